--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,5 +1,5 @@
-// Package codec encodes records of any size without keeping buffers: those of the
-// library would stay as large as the largest snapshot.
+// Package codec encodes records as CBOR into buffers of the caller. The buffer pool of the
+// CBOR library is not used, because its buffers would stay as large as the largest snapshot.
 package codec
 
 import (
@@ -17,7 +17,7 @@
 	return em
 }()
 
-// Append appends v to dst, in CBOR.
+// Append appends the CBOR encoding of v to dst.
 func Append(dst []byte, v any) ([]byte, error) {
 	buf := bytes.NewBuffer(dst)
 	if err := encoder.MarshalToBuffer(v, buf); err != nil {
