--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -10,7 +10,7 @@
 		return
 	}
 
-	r.forced = forced
+	r.forcedElection = forced
 	if forced {
 		r.startVote(now)
 
@@ -19,16 +19,16 @@
 
 	r.role, r.leader, r.preVoting = RoleCandidate, "", true
 	r.votes = map[ReplicaID]bool{}
-	r.requestVotes(MessagePreVote, r.hs.Term+1)
+	r.requestVotes(MessagePreVote, r.hardState.Term+1)
 	r.countVote(now, r.cfg.ID)
 }
 
 func (r *Replica) startVote(now time.Duration) {
 	r.role, r.leader, r.preVoting = RoleCandidate, "", false
-	r.hs = HardState{Term: r.hs.Term + 1, Vote: r.cfg.ID}
+	r.hardState = HardState{Term: r.hardState.Term + 1, Vote: r.cfg.ID}
 	r.votes = map[ReplicaID]bool{}
-	r.resetElection(now)
-	r.requestVotes(MessageVote, r.hs.Term)
+	r.resetElectionTimer(now)
+	r.requestVotes(MessageVote, r.hardState.Term)
 	r.countVote(now, r.cfg.ID)
 }
 
@@ -38,7 +38,7 @@
 			continue
 		}
 		r.send(Message{
-			Kind: kind, To: id, Term: term, Force: r.forced,
+			Kind: kind, To: id, Term: term, Force: r.forcedElection,
 			Index: r.log.lastIndex(), LogTerm: r.log.lastTerm(),
 		})
 	}
@@ -75,7 +75,7 @@
 }
 
 func (r *Replica) onPreVote(now time.Duration, m Message) {
-	grant := m.Term > r.hs.Term && r.logIsCurrent(m) && !r.leaderIsAlive(now) && r.role != RoleLeader
+	grant := m.Term > r.hardState.Term && r.logIsCurrent(m) && !r.leaderIsAlive(now) && r.role != RoleLeader
 	reply := Message{Kind: MessagePreVoteReply, To: m.From, Reject: !grant}
 	if grant {
 		reply.Term = m.Term
@@ -84,11 +84,11 @@
 }
 
 func (r *Replica) onVote(now time.Duration, m Message) {
-	free := r.hs.Vote == "" || r.hs.Vote == m.From
+	free := r.hardState.Vote == "" || r.hardState.Vote == m.From
 	grant := free && r.role == RoleFollower && r.leader == "" && r.logIsCurrent(m)
 	if grant {
-		r.hs.Vote = m.From
-		r.resetElection(now)
+		r.hardState.Vote = m.From
+		r.resetElectionTimer(now)
 	}
 	r.send(Message{Kind: MessageVoteReply, To: m.From, Reject: !grant})
 }
@@ -99,7 +99,7 @@
 	}
 
 	isPre := m.Kind == MessagePreVoteReply
-	if isPre != r.preVoting || (isPre && m.Term != r.hs.Term+1) {
+	if isPre != r.preVoting || (isPre && m.Term != r.hardState.Term+1) {
 		return
 	}
 	r.countVote(now, m.From)
--- a/internal/consensus/follower.go
+++ b/internal/consensus/follower.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-func (r *Replica) hearLeader(now time.Duration, m Message) {
+func (r *Replica) followLeader(now time.Duration, m Message) {
 	r.role, r.leader, r.preVoting = RoleFollower, m.From, false
-	r.heardLeader, r.heardOnce = now, true
-	r.resetElection(now)
+	r.lastLeaderContact, r.hasLeaderContact = now, true
+	r.resetElectionTimer(now)
 }
 
 func (r *Replica) onAppend(now time.Duration, m Message) {
@@ -13,7 +13,7 @@
 		return
 	}
 
-	r.hearLeader(now, m)
+	r.followLeader(now, m)
 	reply := Message{Kind: MessageAppendReply, To: m.From, Round: m.Round}
 	if m.Index < r.log.snapIndex {
 		m = r.skipCompacted(m)
@@ -21,7 +21,7 @@
 	if t, ok := r.log.term(m.Index); !ok || t != m.LogTerm {
 		reply.Reject = true
 		reply.Index = m.Index
-		reply.Hint = r.hint(m.Index)
+		reply.Hint = r.conflictHint(m.Index)
 		r.send(reply)
 
 		return
@@ -58,8 +58,8 @@
 	return m
 }
 
-// hint returns the highest position at or below index that may match the leader's log.
-func (r *Replica) hint(index uint64) uint64 {
+// conflictHint returns the highest position at or below index that may match the leader's log.
+func (r *Replica) conflictHint(index uint64) uint64 {
 	if index > r.log.lastIndex() {
 		return r.log.lastIndex()
 	}
@@ -83,20 +83,20 @@
 		return
 	}
 
-	r.hearLeader(now, m)
+	r.followLeader(now, m)
 	reply := Message{Kind: MessageSnapshotReply, To: m.From, Index: m.Index, Round: m.Round}
 	if m.Index <= r.log.commit {
 		reply.SnapshotDone = true
-		r.incoming = nil
+		r.partialSnapshot = nil
 		r.send(reply)
 
 		return
 	}
 
-	in := r.incoming
+	in := r.partialSnapshot
 	if in == nil || in.Index != m.Index || in.Term != m.LogTerm {
 		in = &Snapshot{Index: m.Index, Term: m.LogTerm, Membership: m.Membership}
-		r.incoming = in
+		r.partialSnapshot = in
 	}
 	if m.SnapshotOffset == uint64(len(in.Data)) {
 		in.Data = append(in.Data, m.Chunk...)
@@ -110,7 +110,7 @@
 }
 
 func (r *Replica) installSnapshot(sn Snapshot) {
-	r.incoming = nil
-	r.install = &sn
+	r.partialSnapshot = nil
+	r.pendingInstall = &sn
 	r.log.reset(sn)
 }
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -7,11 +7,11 @@
 
 // progress is what a leader knows of one follower.
 type progress struct {
-	match      uint64
-	next       uint64
-	heard      time.Duration
-	ackedRound uint64
-	commitSent uint64 // highest commit that was sent
+	match       uint64
+	next        uint64
+	lastContact time.Duration
+	ackedRound  uint64
+	commitSent  uint64 // highest commit that was sent
 
 	// A follower that rejected, or answers nothing, is only asked for a position that
 	// it shares, without entries, until it agrees: what is queued for it would be
@@ -29,7 +29,7 @@
 	r.progress = map[ReplicaID]*progress{}
 	r.round++
 	r.syncProgress(now)
-	r.appendOwn([]Entry{{Kind: EntryNoop}})
+	r.appendToOwnLog([]Entry{{Kind: EntryNoop}})
 	r.broadcast(now)
 }
 
@@ -38,7 +38,7 @@
 	m := r.log.membership()
 	for _, id := range m.All() {
 		if id != r.cfg.ID && r.progress[id] == nil {
-			r.progress[id] = &progress{next: r.log.lastIndex() + 1, heard: now}
+			r.progress[id] = &progress{next: r.log.lastIndex() + 1, lastContact: now}
 		}
 	}
 	for id := range r.progress {
@@ -49,13 +49,13 @@
 }
 
 func (r *Replica) tickLeader(now time.Duration) {
-	if !r.quorumHeardSince(now - 2*r.cfg.ElectionTimeout) {
-		r.becomeFollower(now, r.hs.Term, "")
+	if !r.hasQuorumContactSince(now - 2*r.cfg.ElectionTimeout) {
+		r.becomeFollower(now, r.hardState.Term, "")
 
 		return
 	}
-	if r.transferTo != "" && now > r.transferAt+r.cfg.ElectionTimeout {
-		r.transferTo = ""
+	if r.transferTarget != "" && now > r.transferStart+r.cfg.ElectionTimeout {
+		r.transferTarget = ""
 	}
 	if now >= r.heartbeatDue {
 		r.round++
@@ -63,10 +63,10 @@
 	}
 }
 
-func (r *Replica) quorumHeardSince(since time.Duration) bool {
+func (r *Replica) hasQuorumContactSince(since time.Duration) bool {
 	m, n := r.log.membership(), 0
 	for _, id := range m.Voters {
-		if id == r.cfg.ID || (r.progress[id] != nil && r.progress[id].heard >= since) {
+		if id == r.cfg.ID || (r.progress[id] != nil && r.progress[id].lastContact >= since) {
 			n++
 		}
 	}
@@ -100,7 +100,7 @@
 			r.sendChunk(now, id, pr)
 		}
 		if heartbeat {
-			r.sendEmpty(id, r.log.snapIndex)
+			r.sendEmptyAppend(id, r.log.snapIndex)
 		}
 
 		return
@@ -110,12 +110,12 @@
 
 		return
 	}
-	if !pr.probing && now > pr.heard+r.cfg.ElectionTimeout {
+	if !pr.probing && now > pr.lastContact+r.cfg.ElectionTimeout {
 		pr.probing, pr.next = true, max(pr.match, r.log.snapIndex)+1
 	}
 	if pr.probing {
 		if heartbeat {
-			r.sendEmpty(id, pr.next-1)
+			r.sendEmptyAppend(id, pr.next-1)
 		}
 
 		return
@@ -138,19 +138,19 @@
 	pr.commitSent = r.log.commit
 }
 
-// sendEmpty keeps a follower that receives a snapshot from campaigning.
-func (r *Replica) sendEmpty(id ReplicaID, index uint64) {
+// sendEmptyAppend keeps a follower that receives a snapshot from campaigning.
+func (r *Replica) sendEmptyAppend(id ReplicaID, index uint64) {
 	t, _ := r.log.term(index)
 	r.sendEarly(Message{Kind: MessageAppend, To: id, Index: index, LogTerm: t, Round: r.round})
 }
 
 func (r *Replica) sendEarly(m Message) {
-	m.From, m.Group, m.Term = r.cfg.ID, r.cfg.Group, r.hs.Term
-	r.early = append(r.early, m)
+	m.From, m.Group, m.Term = r.cfg.ID, r.cfg.Group, r.hardState.Term
+	r.earlyMessages = append(r.earlyMessages, m)
 }
 
 func (r *Replica) startSnapshot(now time.Duration, id ReplicaID, pr *progress) {
-	sn, ok := r.sentSnapshot()
+	sn, ok := r.snapshotInTransit()
 	if !ok {
 		sn, ok = r.cfg.LatestSnapshot()
 	}
@@ -162,9 +162,9 @@
 	r.sendChunk(now, id, pr)
 }
 
-// sentSnapshot returns a snapshot that is on its way to another follower and that
+// snapshotInTransit returns a snapshot that is on its way to another follower and that
 // the log still follows on, so that several share its data.
-func (r *Replica) sentSnapshot() (Snapshot, bool) {
+func (r *Replica) snapshotInTransit() (Snapshot, bool) {
 	var newest Snapshot
 	for _, pr := range r.progress {
 		if pr.sendingSnapshot && pr.snapshot.Index > newest.Index {
@@ -192,7 +192,7 @@
 		return
 	}
 
-	pr.heard = now
+	pr.lastContact = now
 	if !pr.sendingSnapshot || m.Index != pr.snapshot.Index {
 		return
 	}
@@ -214,7 +214,7 @@
 		return
 	}
 
-	pr.heard = now
+	pr.lastContact = now
 	pr.ackedRound = max(pr.ackedRound, m.Round)
 	r.confirmReads()
 	if pr.sendingSnapshot {
@@ -245,11 +245,11 @@
 	// A follower that acknowledges after the quorum learns of the commit now, not
 	// with the next heartbeat.
 	r.sendAppend(now, m.From, pr.match == r.log.lastIndex() && pr.commitSent < r.log.commit)
-	r.finishTransfer(m.From, pr)
+	r.sendTimeoutNowIfCurrent(m.From, pr)
 }
 
-func (r *Replica) finishTransfer(id ReplicaID, pr *progress) {
-	if r.transferTo == id && pr.match == r.log.lastIndex() {
+func (r *Replica) sendTimeoutNowIfCurrent(id ReplicaID, pr *progress) {
+	if r.transferTarget == id && pr.match == r.log.lastIndex() {
 		r.send(Message{Kind: MessageTimeoutNow, To: id})
 	}
 }
@@ -271,13 +271,13 @@
 	slices.Sort(stored)
 
 	index := stored[len(stored)-m.Quorum()]
-	if t, ok := r.log.term(index); !ok || t != r.hs.Term || index <= r.log.commit {
+	if t, ok := r.log.term(index); !ok || t != r.hardState.Term || index <= r.log.commit {
 		return
 	}
 	r.log.commit = index
 	r.confirmReads()
 	if !m.IsVoter(r.cfg.ID) && r.log.membershipIndex() <= index {
-		r.becomeFollower(now, r.hs.Term, "")
+		r.becomeFollower(now, r.hardState.Term, "")
 
 		return
 	}
@@ -288,10 +288,10 @@
 	}
 }
 
-func (r *Replica) appendOwn(entries []Entry) {
+func (r *Replica) appendToOwnLog(entries []Entry) {
 	for i := range entries {
 		entries[i].Index = r.log.lastIndex() + 1 + uint64(i)
-		entries[i].Term = r.hs.Term
+		entries[i].Term = r.hardState.Term
 	}
 	r.log.append(entries)
 }
@@ -301,7 +301,7 @@
 	if r.role != RoleLeader {
 		return 0, ErrNotLeader
 	}
-	if r.transferTo != "" {
+	if r.transferTarget != "" {
 		return 0, ErrTransferRunning
 	}
 
@@ -309,7 +309,7 @@
 	for i, c := range commands {
 		entries[i] = Entry{Kind: EntryCommand, Data: c}
 	}
-	r.appendOwn(entries)
+	r.appendToOwnLog(entries)
 	for _, id := range r.peers() {
 		r.sendAppend(now, id, false)
 	}
@@ -326,7 +326,7 @@
 		return 0, ErrChangeInFlight
 	case len(next.Voters) == 0:
 		return 0, ErrLastVoter
-	case !r.oneStep(r.log.membership(), next):
+	case !r.differsByOneVoter(r.log.membership(), next):
 		return 0, ErrUnknownReplica
 	}
 	for _, id := range next.Voters {
@@ -335,15 +335,15 @@
 		}
 	}
 
-	r.appendOwn([]Entry{{Kind: EntryMembership, Data: encodeMembership(next)}})
+	r.appendToOwnLog([]Entry{{Kind: EntryMembership, Data: encodeMembership(next)}})
 	r.syncProgress(now)
 	r.broadcast(now)
 
 	return r.log.lastIndex(), nil
 }
 
-// oneStep reports whether the sets of voters differ by at most one replica.
-func (r *Replica) oneStep(old, next Membership) bool {
+// differsByOneVoter reports whether the sets of voters differ by at most one replica.
+func (r *Replica) differsByOneVoter(old, next Membership) bool {
 	n := 0
 	for _, id := range next.Voters {
 		if !old.IsVoter(id) {
@@ -362,7 +362,7 @@
 func (r *Replica) committedInTerm() bool {
 	t, ok := r.log.term(r.log.commit)
 
-	return ok && t == r.hs.Term
+	return ok && t == r.hardState.Term
 }
 
 // CaughtUp reports whether the follower id lacks few enough entries to vote.
@@ -379,7 +379,7 @@
 		return 0, false
 	}
 
-	return pr.heard, true
+	return pr.lastContact, true
 }
 
 // TransferLeadership asks the voter that holds most of the log to take over.
@@ -391,7 +391,7 @@
 	best := ReplicaID("")
 	for _, id := range r.log.membership().Voters {
 		pr := r.progress[id]
-		if pr == nil || now > pr.heard+r.cfg.ElectionTimeout {
+		if pr == nil || now > pr.lastContact+r.cfg.ElectionTimeout {
 			continue
 		}
 		if best == "" || pr.match > r.progress[best].match {
@@ -402,8 +402,8 @@
 		return false
 	}
 
-	r.transferTo, r.transferAt = best, now
-	r.finishTransfer(best, r.progress[best])
+	r.transferTarget, r.transferStart = best, now
+	r.sendTimeoutNowIfCurrent(best, r.progress[best])
 
 	return true
 }
@@ -419,7 +419,7 @@
 	if r.committedInTerm() {
 		index = r.log.commit
 	}
-	r.reads = append(r.reads, pendingRead{context: context, index: index, round: r.round})
+	r.pendingReads = append(r.pendingReads, pendingRead{context: context, index: index, round: r.round})
 	r.broadcast(now)
 	r.confirmReads()
 
@@ -427,7 +427,7 @@
 }
 
 func (r *Replica) confirmReads() {
-	if r.role != RoleLeader || len(r.reads) == 0 || !r.committedInTerm() {
+	if r.role != RoleLeader || len(r.pendingReads) == 0 || !r.committedInTerm() {
 		return
 	}
 
@@ -447,19 +447,19 @@
 	acked := rounds[len(rounds)-m.Quorum()]
 
 	n := 0
-	for ; n < len(r.reads) && r.reads[n].round <= acked; n++ {
-		index := r.reads[n].index
+	for ; n < len(r.pendingReads) && r.pendingReads[n].round <= acked; n++ {
+		index := r.pendingReads[n].index
 		if index == 0 {
 			index = r.log.commit
 		}
-		r.ready = append(r.ready, ReadState{Context: r.reads[n].context, Index: index, OK: true})
+		r.readStates = append(r.readStates, ReadState{Context: r.pendingReads[n].context, Index: index, OK: true})
 	}
-	r.reads = r.reads[n:]
+	r.pendingReads = r.pendingReads[n:]
 }
 
-func (r *Replica) dropReads() {
-	for _, rd := range r.reads {
-		r.ready = append(r.ready, ReadState{Context: rd.context})
+func (r *Replica) failPendingReads() {
+	for _, rd := range r.pendingReads {
+		r.readStates = append(r.readStates, ReadState{Context: rd.context})
 	}
-	r.reads = nil
+	r.pendingReads = nil
 }
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -124,8 +124,8 @@
 	lo.memberships = append([]membershipAt(nil), lo.memberships[n:]...)
 }
 
-// tail returns the first index of the newest entries that hold at most maxBytes.
-func (lo *raftLog) tail(maxBytes int) uint64 {
+// tailStart returns the first index of the newest entries that hold at most maxBytes.
+func (lo *raftLog) tailStart(maxBytes int) uint64 {
 	size := 0
 	for i := len(lo.entries); i > 0; i-- {
 		size += len(lo.entries[i-1].Data)
--- a/internal/consensus/named_test.go
+++ b/internal/consensus/named_test.go
@@ -9,33 +9,33 @@
 	"github.com/tamarackbay/tamarackbay/internal/consensus"
 )
 
-// calm returns a simulation without random faults that has a leader.
-func calm(seed uint64, founders int) *simulation {
+// newStableSimulation returns a simulation without random faults that has a leader.
+func newStableSimulation(seed uint64, founders int) *simulation {
 	s := newSimulation(seed, founders)
-	s.healed = true
-	s.pass(2 * time.Second)
+	s.faultsDisabled = true
+	s.advance(2 * time.Second)
 	Expect(s.leader()).NotTo(BeNil())
 
 	return s
 }
 
-// pass lets time pass without any other event.
-func (s *simulation) pass(d time.Duration) {
+// advance lets time advance without any other event.
+func (s *simulation) advance(d time.Duration) {
 	for end := s.now + d; s.now < end; s.now += time.Millisecond {
 		s.deliver()
 		for _, n := range s.alive() {
 			n.replica.Tick(n.clock(s.now))
 			s.flush(n)
 		}
-		s.check()
+		s.checkLeaders()
 	}
 }
 
 // isolate cuts a replica off from all others, both ways.
 func (s *simulation) isolate(n *simNode) {
 	for _, o := range s.nodes {
-		s.cut[[2]consensus.ReplicaID{n.id, o.id}] = true
-		s.cut[[2]consensus.ReplicaID{o.id, n.id}] = true
+		s.blockedLinks[[2]consensus.ReplicaID{n.id, o.id}] = true
+		s.blockedLinks[[2]consensus.ReplicaID{o.id, n.id}] = true
 	}
 }
 
@@ -45,10 +45,10 @@
 	s.flush(n)
 }
 
-// otherLeader waits for a leader besides n.
-func (s *simulation) otherLeader(n *simNode) *simNode {
+// waitForOtherLeader waits for a leader besides n.
+func (s *simulation) waitForOtherLeader(n *simNode) *simNode {
 	for range 3000 {
-		s.pass(time.Millisecond)
+		s.advance(time.Millisecond)
 		for _, o := range s.alive() {
 			if o != n && o.replica.Role() == consensus.RoleLeader {
 				return o
@@ -64,49 +64,49 @@
 	It("answers no read from the moment another leader has committed", func() {
 		overlaps := 0
 		for _, seed := range seeds(20) {
-			s := calm(seed, 3)
+			s := newStableSimulation(seed, 3)
 			old := s.leader()
 			s.isolate(old)
-			next := s.otherLeader(old)
-			s.pass(30 * time.Millisecond)
+			next := s.waitForOtherLeader(old)
+			s.advance(30 * time.Millisecond)
 			s.proposeAt(next, "new")
-			s.pass(30 * time.Millisecond)
+			s.advance(30 * time.Millisecond)
 			if old.replica.Role() == consensus.RoleLeader {
 				overlaps++
-				s.reads[1] = s.highest
+				s.commitAtRead[1] = s.highestCommit
 				Expect(old.replica.ReadIndex(old.clock(s.now), 1)).To(Succeed())
 				s.flush(old) // the check of every read is in flush
 			}
-			s.pass(2 * time.Second)
+			s.advance(2 * time.Second)
 			Expect(old.replica.Role()).NotTo(Equal(consensus.RoleLeader), "it steps down by its own clock")
 		}
 		Expect(overlaps).To(BeNumerically(">", 0), "no run had two leaders at once, so nothing was tried")
 	})
 
 	It("loses what it accepted alone and follows after a long time", func() {
-		s := calm(3, 3)
+		s := newStableSimulation(3, 3)
 		old := s.leader()
 		s.isolate(old)
 		s.proposeAt(old, "never committed")
-		next := s.otherLeader(old)
+		next := s.waitForOtherLeader(old)
 		for range 100 {
 			s.proposeAt(next, "kept")
-			s.pass(20 * time.Millisecond)
+			s.advance(20 * time.Millisecond)
 		}
-		s.pass(time.Hour / 60)
-		s.cut = map[[2]consensus.ReplicaID]bool{}
-		s.pass(3 * time.Second)
-		Expect(old.applied).To(Equal(s.highest))
+		s.advance(time.Hour / 60)
+		s.blockedLinks = map[[2]consensus.ReplicaID]bool{}
+		s.advance(3 * time.Second)
+		Expect(old.applied).To(Equal(s.highestCommit))
 		Expect(old.state).To(Equal(next.state))
 		Expect(s.leader()).To(Equal(next), "its return disturbs nobody")
 	})
 })
 
 var _ = Describe("a follower that comes back far behind", func() {
-	const lacks, each = 400, 10_000
+	const missingEntries, entryBytes = 400, 10_000
 
-	// lead returns a leader of three with entries that the follower "b" lacks.
-	lead := func() *consensus.Replica {
+	// newLeader returns a leader of three with entries that the follower "b" lacks.
+	newLeader := func() *consensus.Replica {
 		re := consensus.New(consensus.Config{
 			ID: "a", Group: 1, ElectionTimeout: 300 * time.Millisecond, HeartbeatPeriod: 60 * time.Millisecond,
 			Random: func(int64) int64 { return 0 }, LatestSnapshot: func() (consensus.Snapshot, bool) { return consensus.Snapshot{}, false },
@@ -116,15 +116,15 @@
 		re.Step(time.Second, consensus.Message{Kind: consensus.MessagePreVoteReply, Group: 1, From: "c", To: "a", Term: 1})
 		re.Step(time.Second, consensus.Message{Kind: consensus.MessageVoteReply, Group: 1, From: "c", To: "a", Term: 1})
 		Expect(re.Role()).To(Equal(consensus.RoleLeader))
-		for range lacks {
-			_, err := re.Propose(time.Second, [][]byte{make([]byte, each)})
+		for range missingEntries {
+			_, err := re.Propose(time.Second, [][]byte{make([]byte, entryBytes)})
 			Expect(err).NotTo(HaveOccurred())
 		}
 
 		return re
 	}
-	// sent empties the replica's messages and returns the bytes of entries for "b".
-	sent := func(re *consensus.Replica) int {
+	// takeSentBytes empties the replica's messages and returns the bytes of entries for "b".
+	takeSentBytes := func(re *consensus.Replica) int {
 		rd, n := re.Ready(), 0
 		for _, m := range rd.Early {
 			for _, en := range m.Entries {
@@ -138,21 +138,21 @@
 	}
 
 	It("is sent a first part once, however many queued heartbeats it rejects", func() {
-		re := lead()
-		sent(re)
+		re := newLeader()
+		takeSentBytes(re)
 		n := 0
 		for i := range 200 {
 			re.Step(time.Second, consensus.Message{
 				Kind: consensus.MessageAppendReply, Group: 1, From: "b", To: "a", Term: 1, Reject: true, Index: uint64(i + 2), Hint: 0,
 			})
-			n += sent(re)
+			n += takeSentBytes(re)
 		}
 		Expect(n).To(BeNumerically("<", 3<<20), "a message holds at most 1 MiB")
 	})
 
 	It("is sent the rest once it has answered", func() {
-		re := lead()
-		sent(re)
+		re := newLeader()
+		takeSentBytes(re)
 		now, match := time.Second, uint64(0)
 		for range 100 {
 			now += 10 * time.Millisecond
@@ -172,17 +172,17 @@
 				re.Step(now, rep)
 			}
 		}
-		Expect(match).To(Equal(uint64(lacks + 1)))
+		Expect(match).To(Equal(uint64(missingEntries + 1)))
 	})
 })
 
 var _ = Describe("two followers that need a snapshot", func() {
 	It("share one copy of its data", func() {
-		read := 0
+		snapshotReads := 0
 		re := consensus.New(consensus.Config{
 			ID: "a", Group: 1, ElectionTimeout: 300 * time.Millisecond, HeartbeatPeriod: 60 * time.Millisecond,
 			Random: func(int64) int64 { return 0 }, LatestSnapshot: func() (consensus.Snapshot, bool) {
-				read++
+				snapshotReads++
 
 				return consensus.Snapshot{Index: 50, Term: 1, Data: make([]byte, 1<<20)}, true
 			},
@@ -207,7 +207,7 @@
 			}
 		}
 		Expect(chunks).To(Equal(map[consensus.ReplicaID]int{"d": 1, "e": 1}))
-		Expect(read).To(Equal(1))
+		Expect(snapshotReads).To(Equal(1))
 	})
 })
 
@@ -216,13 +216,13 @@
 	steps := []string{"before the learner joins", "while it is a learner", "after its promotion", "after the removal"}
 	for at, name := range steps {
 		It("loses nothing when a second VM is lost "+name, func() {
-			s := calm(uint64(40+at), 3)
+			s := newStableSimulation(uint64(40+at), 3)
 			ld := s.leader()
 			for range 50 {
 				s.proposeAt(ld, "accepted")
 			}
-			s.pass(time.Second)
-			before := s.highest
+			s.advance(time.Second)
+			before := s.highestCommit
 			var dead, second *simNode
 			for _, n := range s.nodes {
 				switch {
@@ -233,13 +233,13 @@
 					second = n
 				}
 			}
-			dead.gone = true
+			dead.diskLost = true
 			var spare *simNode
 			stages := []func(){
 				func() {
 					_, err := ld.replica.ProposeMembership(ld.clock(s.now), ld.replica.Membership().WithLearner("spare"))
 					Expect(err).NotTo(HaveOccurred())
-					spare = s.add("spare", s.nodes[0].bootstrap)
+					spare = s.addNode("spare", s.nodes[0].bootstrap)
 					s.flush(ld)
 				},
 				func() {
@@ -258,20 +258,20 @@
 					break
 				}
 				stage()
-				s.pass(500 * time.Millisecond)
+				s.advance(500 * time.Millisecond)
 			}
 			s.crash(second) // its disk comes back, later
-			s.pass(2 * time.Second)
+			s.advance(2 * time.Second)
 			s.boot(second)
-			s.pass(4 * time.Second)
+			s.advance(4 * time.Second)
 			now := s.leader()
 			Expect(now).NotTo(BeNil(), "the group goes on once the second VM is back")
 			s.proposeAt(now, "after")
-			s.pass(time.Second)
-			Expect(s.highest).To(BeNumerically(">", before))
+			s.advance(time.Second)
+			Expect(s.highestCommit).To(BeNumerically(">", before))
 			for _, n := range []*simNode{second, spare} {
 				if n != nil {
-					Expect(n.applied).To(Equal(s.highest), "%s has everything", n.id)
+					Expect(n.applied).To(Equal(s.highestCommit), "%s has everything", n.id)
 				}
 			}
 		})
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -22,33 +22,33 @@
 
 // Replica is one member of a group. It is not safe for concurrent use.
 type Replica struct {
-	cfg    Config
-	hs     HardState
-	stored HardState // last one handed out
-	role   Role
-	leader ReplicaID
-	log    raftLog
-
-	electionDue  time.Duration
-	heartbeatDue time.Duration
-	heardLeader  time.Duration
-	heardOnce    bool
-	preVoting    bool
-	forced       bool
-	votes        map[ReplicaID]bool
-
-	progress   map[ReplicaID]*progress
-	round      uint64
-	reads      []pendingRead
-	transferTo ReplicaID
-	transferAt time.Duration
-
-	incoming *Snapshot // snapshot being received
-	install  *Snapshot // snapshot to hand out
-
-	early    []Message
-	messages []Message
-	ready    []ReadState
+	cfg              Config
+	hardState        HardState
+	emittedHardState HardState // last one handed out
+	role             Role
+	leader           ReplicaID
+	log              raftLog
+
+	electionDue       time.Duration
+	heartbeatDue      time.Duration
+	lastLeaderContact time.Duration
+	hasLeaderContact  bool
+	preVoting         bool
+	forcedElection    bool
+	votes             map[ReplicaID]bool
+
+	progress       map[ReplicaID]*progress
+	round          uint64
+	pendingReads   []pendingRead
+	transferTarget ReplicaID
+	transferStart  time.Duration
+
+	partialSnapshot *Snapshot // snapshot being received
+	pendingInstall  *Snapshot // snapshot to hand out
+
+	earlyMessages []Message
+	messages      []Message
+	readStates    []ReadState
 }
 
 type pendingRead struct {
@@ -60,7 +60,7 @@
 // New returns a follower with the recovered state of cfg.
 func New(cfg Config, now time.Duration) *Replica {
 	cfg.Defaults()
-	r := &Replica{cfg: cfg, hs: cfg.HardState, stored: cfg.HardState, log: newRaftLog(cfg.Snapshot, cfg.Entries)}
+	r := &Replica{cfg: cfg, hardState: cfg.HardState, emittedHardState: cfg.HardState, log: newRaftLog(cfg.Snapshot, cfg.Entries)}
 	r.cfg.Snapshot, r.cfg.Entries = Snapshot{}, nil // large, and not needed any more
 	// A replica that has just started asks soon whether there is a leader: its
 	// pre-vote disturbs none that is alive.
@@ -76,7 +76,7 @@
 func (r *Replica) Role() Role { return r.role }
 
 // Term returns the current term.
-func (r *Replica) Term() uint64 { return r.hs.Term }
+func (r *Replica) Term() uint64 { return r.hardState.Term }
 
 // Leader returns the leader of the term, or "" when none is known.
 func (r *Replica) Leader() ReplicaID { return r.leader }
@@ -106,7 +106,7 @@
 func (r *Replica) Compact(index uint64) { r.log.compact(min(index, r.log.applied)) }
 
 // TailFrom returns the first position of the newest entries that hold at most maxBytes.
-func (r *Replica) TailFrom(maxBytes int) uint64 { return r.log.tail(maxBytes) }
+func (r *Replica) TailFrom(maxBytes int) uint64 { return r.log.tailStart(maxBytes) }
 
 // Tick lets time pass.
 func (r *Replica) Tick(now time.Duration) {
@@ -117,7 +117,7 @@
 	}
 
 	if now >= r.electionDue {
-		r.resetElection(now)
+		r.resetElectionTimer(now)
 		r.campaign(now, false)
 	}
 }
@@ -128,11 +128,11 @@
 		return
 	}
 
-	if m.Term > r.hs.Term && !r.followHigherTerm(now, m) {
+	if m.Term > r.hardState.Term && !r.followHigherTerm(now, m) {
 		return
 	}
-	if m.Term < r.hs.Term {
-		r.answerLowerTerm(m)
+	if m.Term < r.hardState.Term {
+		r.rejectLowerTerm(m)
 
 		return
 	}
@@ -183,7 +183,7 @@
 	return true
 }
 
-func (r *Replica) answerLowerTerm(m Message) {
+func (r *Replica) rejectLowerTerm(m Message) {
 	switch m.Kind {
 	case MessageAppend, MessageSnapshot:
 		r.send(Message{Kind: MessageAppendReply, To: m.From, Reject: true, Round: m.Round, Hint: r.log.lastIndex()})
@@ -194,12 +194,12 @@
 
 // Ready returns what must be done next; the driver then calls Advance.
 func (r *Replica) Ready() Ready {
-	rd := Ready{Early: r.early, Messages: r.messages, Reads: r.ready, Snapshot: r.install}
-	r.early, r.messages, r.ready, r.install = nil, nil, nil, nil
+	rd := Ready{Early: r.earlyMessages, Messages: r.messages, Reads: r.readStates, Snapshot: r.pendingInstall}
+	r.earlyMessages, r.messages, r.readStates, r.pendingInstall = nil, nil, nil, nil
 
-	if r.hs != r.stored {
-		hs := r.hs
-		rd.HardState, r.stored = &hs, hs
+	if r.hardState != r.emittedHardState {
+		hs := r.hardState
+		rd.HardState, r.emittedHardState = &hs, hs
 	}
 	if r.log.emitted < r.log.lastIndex() {
 		tail := r.log.entries[r.log.emitted-r.log.snapIndex:]
@@ -230,32 +230,32 @@
 
 func (r *Replica) isVoter() bool { return r.log.membership().IsVoter(r.cfg.ID) }
 
-func (r *Replica) resetElection(now time.Duration) {
+func (r *Replica) resetElectionTimer(now time.Duration) {
 	t := int64(r.cfg.ElectionTimeout)
 	r.electionDue = now + r.cfg.ElectionTimeout + time.Duration(r.cfg.Random(t))
 }
 
 func (r *Replica) leaderIsAlive(now time.Duration) bool {
-	return r.heardOnce && r.leader != "" && now < r.heardLeader+r.cfg.ElectionTimeout
+	return r.hasLeaderContact && r.leader != "" && now < r.lastLeaderContact+r.cfg.ElectionTimeout
 }
 
 func (r *Replica) becomeFollower(now time.Duration, term uint64, leader ReplicaID) {
-	if term > r.hs.Term {
-		r.hs = HardState{Term: term}
+	if term > r.hardState.Term {
+		r.hardState = HardState{Term: term}
 	}
 	if r.role == RoleLeader {
-		r.dropReads()
+		r.failPendingReads()
 	}
 
 	r.role, r.leader, r.preVoting = RoleFollower, leader, false
-	r.progress, r.transferTo = nil, ""
-	r.resetElection(now)
+	r.progress, r.transferTarget = nil, ""
+	r.resetElectionTimer(now)
 }
 
 func (r *Replica) send(m Message) {
 	m.From, m.Group = r.cfg.ID, r.cfg.Group
 	if m.Term == 0 {
-		m.Term = r.hs.Term
+		m.Term = r.hardState.Term
 	}
 	r.messages = append(r.messages, m)
 }
--- a/internal/consensus/simulation_test.go
+++ b/internal/consensus/simulation_test.go
@@ -17,60 +17,60 @@
 // simulation runs real replicas under a seeded scheduler of messages, clocks,
 // crashes, emptied disks and partitions, and checks the invariants after each step.
 type simulation struct {
-	rnd     *rand.Rand
-	now     time.Duration
-	nodes   []*simNode
-	flying  []flying
-	cut     map[[2]consensus.ReplicaID]bool // messages from the first to the second are lost
-	leaders map[uint64]consensus.ReplicaID
-	log     map[uint64]string // committed entries by index
-	highest uint64            // highest index that any replica knew as committed
-	next    int
-	reads   map[uint64]uint64 // read context to what was committed when it began
-	steps   map[string]int    // what happened, to see that the run was not empty
-	healed  bool              // no further faults are made
-}
-
-type flying struct {
+	rnd            *rand.Rand
+	now            time.Duration
+	nodes          []*simNode
+	inFlight       []delayedMessage
+	blockedLinks   map[[2]consensus.ReplicaID]bool // messages from the first to the second are lost
+	leaderByTerm   map[uint64]consensus.ReplicaID
+	committed      map[uint64]string // committed entries by index
+	highestCommit  uint64            // highest index that any replica knew as committed
+	lastNumber     int
+	commitAtRead   map[uint64]uint64 // read context to what was committed when it began
+	events         map[string]int    // what happened, to see that the run was not empty
+	faultsDisabled bool              // no further faults are made
+}
+
+type delayedMessage struct {
 	due time.Duration
 	m   consensus.Message
 }
 
 // simNode is a replica with its disk.
 type simNode struct {
-	id        consensus.ReplicaID
-	replica   *consensus.Replica
-	hs        consensus.HardState
-	snapshot  consensus.Snapshot
-	entries   []consensus.Entry
-	bootstrap consensus.Membership
-	applied   uint64
-	state     string // the state machine: a chain over all commands
-	rate      float64
-	down      bool
-	gone      bool // its disk was emptied: it never comes back
-	paused    time.Duration
+	id          consensus.ReplicaID
+	replica     *consensus.Replica
+	hs          consensus.HardState
+	snapshot    consensus.Snapshot
+	entries     []consensus.Entry
+	bootstrap   consensus.Membership
+	applied     uint64
+	state       string // the state machine: a chain over all commands
+	clockRate   float64
+	down        bool
+	diskLost    bool // its disk was emptied: it never comes back
+	pausedUntil time.Duration
 }
 
 func newSimulation(seed uint64, founders int) *simulation {
 	s := &simulation{
-		rnd: rand.New(rand.NewPCG(seed, 7)), cut: map[[2]consensus.ReplicaID]bool{}, leaders: map[uint64]consensus.ReplicaID{},
-		log: map[uint64]string{}, reads: map[uint64]uint64{}, steps: map[string]int{},
+		rnd: rand.New(rand.NewPCG(seed, 7)), blockedLinks: map[[2]consensus.ReplicaID]bool{}, leaderByTerm: map[uint64]consensus.ReplicaID{},
+		committed: map[uint64]string{}, commitAtRead: map[uint64]uint64{}, events: map[string]int{},
 	}
 	var m consensus.Membership
 	for i := range founders {
 		m.Voters = append(m.Voters, consensus.ReplicaID(fmt.Sprintf("r%d", i)))
 	}
 	for _, id := range m.Voters {
-		s.add(id, m)
+		s.addNode(id, m)
 	}
 
 	return s
 }
 
-func (s *simulation) add(id consensus.ReplicaID, bootstrap consensus.Membership) *simNode {
+func (s *simulation) addNode(id consensus.ReplicaID, bootstrap consensus.Membership) *simNode {
 	n := &simNode{id: id, bootstrap: bootstrap, snapshot: consensus.Snapshot{Membership: bootstrap}}
-	n.rate = 0.9 + 0.2*s.rnd.Float64()
+	n.clockRate = 0.9 + 0.2*s.rnd.Float64()
 	s.nodes = append(s.nodes, n)
 	s.boot(n)
 
@@ -78,7 +78,7 @@
 }
 
 func (n *simNode) clock(now time.Duration) time.Duration {
-	return time.Duration(float64(now) * n.rate)
+	return time.Duration(float64(now) * n.clockRate)
 }
 
 func (s *simulation) boot(n *simNode) {
@@ -100,32 +100,32 @@
 			return
 		}
 		s.sendAll(rd.Early)
-		if rd.MustSync() && !s.healed && s.rnd.IntN(400) == 0 {
+		if rd.MustSync() && !s.faultsDisabled && s.rnd.IntN(400) == 0 {
 			s.crash(n) // the tail that was not synced is lost
-			s.steps["lostTail"]++
+			s.events["lostTail"]++
 
 			return
 		}
-		s.store(n, &rd)
+		s.persist(n, &rd)
 		s.sendAll(rd.Messages)
 		n.replica.Advance(n.clock(s.now), rd)
 		s.apply(n, &rd)
 		for _, r := range rd.Reads {
 			if r.OK {
-				s.steps["read"]++
-				Expect(r.Index).To(BeNumerically(">=", s.reads[r.Context]), "a read misses what was committed before it")
+				s.events["read"]++
+				Expect(r.Index).To(BeNumerically(">=", s.commitAtRead[r.Context]), "a read misses what was committed before it")
 			}
 		}
 	}
 }
 
-func (s *simulation) store(n *simNode, rd *consensus.Ready) {
+func (s *simulation) persist(n *simNode, rd *consensus.Ready) {
 	if rd.HardState != nil {
 		n.hs = *rd.HardState
 	}
 	if rd.Snapshot != nil {
 		n.snapshot, n.entries = *rd.Snapshot, nil
-		s.steps["snapshot"]++
+		s.events["snapshot"]++
 	}
 	for _, en := range rd.Entries {
 		at := int(en.Index - n.snapshot.Index - 1)
@@ -147,22 +147,22 @@
 		Expect(en.Index).To(Equal(n.applied+1), "%s applies out of order", n.id)
 		n.applied = en.Index
 		text := fmt.Sprintf("%d/%d/%s", en.Term, en.Kind, en.Data)
-		if old, ok := s.log[en.Index]; ok {
+		if old, ok := s.committed[en.Index]; ok {
 			Expect(text).To(Equal(old), "two entries are committed at %d", en.Index)
 		}
-		s.log[en.Index] = text
+		s.committed[en.Index] = text
 		if en.Kind == consensus.EntryCommand {
-			n.state = fmt.Sprintf("%x", chain(n.state, en.Data))
+			n.state = fmt.Sprintf("%x", hashChain(n.state, en.Data))
 		}
-		s.highest = max(s.highest, en.Index)
-		s.steps["applied"]++
+		s.highestCommit = max(s.highestCommit, en.Index)
+		s.events["applied"]++
 	}
 	if n.applied >= n.snapshot.Index+30 && s.rnd.IntN(3) == 0 {
 		s.compact(n)
 	}
 }
 
-func chain(state string, data []byte) uint64 {
+func hashChain(state string, data []byte) uint64 {
 	h := uint64(14695981039346656037)
 	for _, b := range append([]byte(state), data...) {
 		h = (h ^ uint64(b)) * 1099511628211
@@ -183,31 +183,31 @@
 		}
 	}
 	n.entries = kept
-	s.steps["compact"]++
+	s.events["compact"]++
 }
 
 func (s *simulation) sendAll(ms []consensus.Message) {
 	for _, m := range ms {
-		if s.cut[[2]consensus.ReplicaID{m.From, m.To}] || (!s.healed && s.rnd.IntN(50) == 0) {
+		if s.blockedLinks[[2]consensus.ReplicaID{m.From, m.To}] || (!s.faultsDisabled && s.rnd.IntN(50) == 0) {
 			continue
 		}
 		d := time.Duration(s.rnd.Int64N(int64(10 * time.Millisecond)))
 		if s.rnd.IntN(30) == 0 {
 			d *= 40 // late, behind newer ones
 		}
-		s.flying = append(s.flying, flying{s.now + d, m})
+		s.inFlight = append(s.inFlight, delayedMessage{s.now + d, m})
 		if s.rnd.IntN(40) == 0 {
-			s.flying = append(s.flying, flying{s.now + 2*d, m})
+			s.inFlight = append(s.inFlight, delayedMessage{s.now + 2*d, m})
 		}
 	}
 }
 
 func (s *simulation) crash(n *simNode) {
 	n.down, n.replica = true, nil
-	s.steps["crash"]++
+	s.events["crash"]++
 }
 
-func (s *simulation) find(id consensus.ReplicaID) *simNode {
+func (s *simulation) node(id consensus.ReplicaID) *simNode {
 	for _, n := range s.nodes {
 		if n.id == id {
 			return n
@@ -220,7 +220,7 @@
 func (s *simulation) alive() []*simNode {
 	var out []*simNode
 	for _, n := range s.nodes {
-		if !n.down && !n.gone && s.now >= n.paused {
+		if !n.down && !n.diskLost && s.now >= n.pausedUntil {
 			out = append(out, n)
 		}
 	}
@@ -239,8 +239,8 @@
 	return best
 }
 
-// step lets one thing happen.
-func (s *simulation) step() {
+// randomStep lets one thing happen.
+func (s *simulation) randomStep() {
 	s.now += time.Duration(s.rnd.Int64N(int64(3 * time.Millisecond)))
 	s.deliver()
 	for _, n := range s.alive() {
@@ -249,21 +249,21 @@
 	}
 	switch r := s.rnd.IntN(1000); {
 	case r < 200:
-		s.propose()
+		s.proposeAtLeaders()
 	case r < 240:
-		s.read()
+		s.readAtLeaders()
 	case r < 244:
 		s.crashOne()
 	case r < 264:
 		s.restartOne()
 	case r < 272:
-		s.emptyOne()
+		s.loseOneDisk()
 	case r < 282:
-		s.member()
+		s.changeMembership()
 	case r < 286:
 		s.partition()
 	case r < 290:
-		s.cut = map[[2]consensus.ReplicaID]bool{}
+		s.blockedLinks = map[[2]consensus.ReplicaID]bool{}
 	case r < 292:
 		s.pauseOne()
 	case r < 294:
@@ -272,23 +272,23 @@
 			s.flush(n)
 		}
 	}
-	s.check()
+	s.checkLeaders()
 }
 
 func (s *simulation) deliver() {
-	due := s.flying[:0:0]
-	rest := s.flying[:0:0]
-	for _, f := range s.flying {
+	due := s.inFlight[:0:0]
+	rest := s.inFlight[:0:0]
+	for _, f := range s.inFlight {
 		if f.due <= s.now {
 			due = append(due, f)
 		} else {
 			rest = append(rest, f)
 		}
 	}
-	s.flying = rest
+	s.inFlight = rest
 	for _, f := range due {
-		n := s.find(f.m.To)
-		if n == nil || n.down || n.gone || s.now < n.paused {
+		n := s.node(f.m.To)
+		if n == nil || n.down || n.diskLost || s.now < n.pausedUntil {
 			continue
 		}
 		n.replica.Step(n.clock(s.now), f.m)
@@ -296,27 +296,27 @@
 	}
 }
 
-func (s *simulation) propose() {
+func (s *simulation) proposeAtLeaders() {
 	for _, n := range s.alive() {
 		if n.replica.Role() != consensus.RoleLeader {
 			continue
 		}
-		s.next++
-		if _, err := n.replica.Propose(n.clock(s.now), [][]byte{[]byte(strconv.Itoa(s.next))}); err == nil {
-			s.steps["propose"]++
+		s.lastNumber++
+		if _, err := n.replica.Propose(n.clock(s.now), [][]byte{[]byte(strconv.Itoa(s.lastNumber))}); err == nil {
+			s.events["propose"]++
 		}
 		s.flush(n)
 	}
 }
 
-func (s *simulation) read() {
+func (s *simulation) readAtLeaders() {
 	for _, n := range s.alive() {
 		if n.replica.Role() != consensus.RoleLeader {
 			continue
 		}
-		s.next++
-		s.reads[uint64(s.next)] = s.highest
-		_ = n.replica.ReadIndex(n.clock(s.now), uint64(s.next))
+		s.lastNumber++
+		s.commitAtRead[uint64(s.lastNumber)] = s.highestCommit
+		_ = n.replica.ReadIndex(n.clock(s.now), uint64(s.lastNumber))
 		s.flush(n)
 	}
 }
@@ -338,39 +338,39 @@
 
 func (s *simulation) restartOne() {
 	for _, i := range s.rnd.Perm(len(s.nodes)) {
-		if n := s.nodes[i]; n.down && !n.gone {
+		if n := s.nodes[i]; n.down && !n.diskLost {
 			s.boot(n)
-			s.steps["restart"]++
+			s.events["restart"]++
 
 			return
 		}
 	}
 }
 
-// emptyOne empties a disk for good, as long as a quorum of voters keeps theirs: more
+// loseOneDisk empties a disk for good, as long as a quorum of voters keeps theirs: more
 // loss than that is beyond what any replication survives.
-func (s *simulation) emptyOne() {
+func (s *simulation) loseOneDisk() {
 	gone := 0
 	vs := s.voters()
 	for _, id := range vs {
-		if o := s.find(id); o == nil || o.gone {
+		if o := s.node(id); o == nil || o.diskLost {
 			gone++
 		}
 	}
 	a := s.alive()
-	if len(vs) == 0 || gone+1 > (len(vs)-1)/2 || len(a) == 0 || !s.settled() {
+	if len(vs) == 0 || gone+1 > (len(vs)-1)/2 || len(a) == 0 || !s.membershipsAgree() {
 		return
 	}
-	a[s.rnd.IntN(len(a))].gone = true
-	s.steps["emptied"]++
+	a[s.rnd.IntN(len(a))].diskLost = true
+	s.events["emptied"]++
 }
 
-// settled reports whether every living replica agrees on the members, so that the
+// membershipsAgree reports whether every living replica agrees on the members, so that the
 // count of lost disks above is not made against a membership that is on its way out.
-func (s *simulation) settled() bool {
+func (s *simulation) membershipsAgree() bool {
 	ld := s.leader()
 	for _, n := range s.nodes {
-		if !ld.replica.Membership().IsVoter(n.id) || n.gone {
+		if !ld.replica.Membership().IsVoter(n.id) || n.diskLost {
 			continue
 		}
 		if n.down {
@@ -384,8 +384,8 @@
 	return true
 }
 
-// member changes the membership by one step: a new learner, a promotion, a removal.
-func (s *simulation) member() {
+// changeMembership changes the membership by one step: a new learner, a promotion, a removal.
+func (s *simulation) changeMembership() {
 	ld := s.leader()
 	if ld == nil {
 		return
@@ -396,29 +396,29 @@
 	case len(m.Learners) == 0 && len(s.nodes) < 200:
 		id := consensus.ReplicaID(fmt.Sprintf("r%d", len(s.nodes)))
 		if _, err := ld.replica.ProposeMembership(ld.clock(s.now), m.WithLearner(id)); err == nil {
-			s.add(id, s.nodes[0].bootstrap)
-			s.steps["join"]++
+			s.addNode(id, s.nodes[0].bootstrap)
+			s.events["join"]++
 		}
 		s.flush(ld)
 
 		return
-	case len(m.Learners) > 0 && s.find(m.Learners[0]).gone:
+	case len(m.Learners) > 0 && s.node(m.Learners[0]).diskLost:
 		next = m.Without(m.Learners[0])
 	case len(m.Voters) < 5 && len(m.Learners) > 0:
 		next = m.WithVoter(m.Learners[0])
 	case len(m.Voters) > 3:
-		next = m.Without(s.replaceable(m.Voters))
+		next = m.Without(s.voterToRemove(m.Voters))
 	}
 	if _, err := ld.replica.ProposeMembership(ld.clock(s.now), next); err == nil {
-		s.steps["member"]++
+		s.events["member"]++
 	}
 	s.flush(ld)
 }
 
-// replaceable returns the voter whose disk was emptied, or any one.
-func (s *simulation) replaceable(voters []consensus.ReplicaID) consensus.ReplicaID {
+// voterToRemove returns the voter whose disk was emptied, or any one.
+func (s *simulation) voterToRemove(voters []consensus.ReplicaID) consensus.ReplicaID {
 	for _, id := range voters {
-		if s.find(id).gone {
+		if s.node(id).diskLost {
 			return id
 		}
 	}
@@ -428,7 +428,7 @@
 
 // partition cuts random directions between replicas.
 func (s *simulation) partition() {
-	s.cut = map[[2]consensus.ReplicaID]bool{}
+	s.blockedLinks = map[[2]consensus.ReplicaID]bool{}
 	a := s.alive()
 	if len(a) == 0 {
 		return
@@ -439,45 +439,45 @@
 	}
 	oneWay := s.rnd.IntN(2) == 0
 	for _, n := range s.nodes {
-		s.cut[[2]consensus.ReplicaID{lone.id, n.id}] = true
+		s.blockedLinks[[2]consensus.ReplicaID{lone.id, n.id}] = true
 		if !oneWay {
-			s.cut[[2]consensus.ReplicaID{n.id, lone.id}] = true
+			s.blockedLinks[[2]consensus.ReplicaID{n.id, lone.id}] = true
 		}
 	}
-	s.steps["partition"]++
+	s.events["partition"]++
 }
 
 func (s *simulation) pauseOne() {
 	if a := s.alive(); len(a) > 0 {
-		a[s.rnd.IntN(len(a))].paused = s.now + time.Duration(s.rnd.Int64N(int64(2*time.Second)))
-		s.steps["pause"]++
+		a[s.rnd.IntN(len(a))].pausedUntil = s.now + time.Duration(s.rnd.Int64N(int64(2*time.Second)))
+		s.events["pause"]++
 	}
 }
 
-// check holds the invariants that are seen from outside after each step.
-func (s *simulation) check() {
+// checkLeaders holds the invariants that are seen from outside after each step.
+func (s *simulation) checkLeaders() {
 	for _, n := range s.nodes {
-		if n.down || n.gone || n.replica.Role() != consensus.RoleLeader {
+		if n.down || n.diskLost || n.replica.Role() != consensus.RoleLeader {
 			continue
 		}
-		if old, ok := s.leaders[n.replica.Term()]; ok {
+		if old, ok := s.leaderByTerm[n.replica.Term()]; ok {
 			Expect(old).To(Equal(n.id), "two leaders in term %d", n.replica.Term())
 		}
-		s.leaders[n.replica.Term()] = n.id
+		s.leaderByTerm[n.replica.Term()] = n.id
 	}
 }
 
-// settle heals everything and checks that the group goes on and agrees.
-func (s *simulation) settle() {
-	s.healed = true
-	s.cut = map[[2]consensus.ReplicaID]bool{}
+// healAndVerify heals everything and checks that the group goes on and agrees.
+func (s *simulation) healAndVerify() {
+	s.faultsDisabled = true
+	s.blockedLinks = map[[2]consensus.ReplicaID]bool{}
 	for _, n := range s.nodes {
-		n.paused = 0
-		if n.down && !n.gone {
+		n.pausedUntil = 0
+		if n.down && !n.diskLost {
 			s.boot(n)
 		}
 	}
-	before := s.highest
+	before := s.highestCommit
 	for i := range 20_000 {
 		s.now += time.Millisecond
 		s.deliver()
@@ -486,16 +486,16 @@
 			s.flush(n)
 		}
 		for _, n := range s.nodes {
-			if n.down && !n.gone {
+			if n.down && !n.diskLost {
 				s.boot(n)
 			}
 		}
-		s.check()
+		s.checkLeaders()
 		if i%200 == 0 {
-			s.propose()
+			s.proposeAtLeaders()
 		}
 	}
-	Expect(s.highest).To(BeNumerically(">", before), "the group does not go on after everything is healed")
+	Expect(s.highestCommit).To(BeNumerically(">", before), "the group does not go on after everything is healed")
 
 	ld := s.leader()
 	Expect(ld).NotTo(BeNil())
@@ -535,12 +535,12 @@
 		It(fmt.Sprintf("keep their invariants with seed %d", seed), func() {
 			s := newSimulation(seed, 3)
 			for range simulationSteps {
-				s.step()
+				s.randomStep()
 			}
-			s.settle()
-			GinkgoWriter.Println("seed", seed, s.steps, "leaders", len(s.leaders))
+			s.healAndVerify()
+			GinkgoWriter.Println("seed", seed, s.events, "leaders", len(s.leaderByTerm))
 			for _, what := range []string{"propose", "applied", "crash", "restart", "snapshot", "compact", "emptied", "member", "partition", "read", "lostTail"} {
-				Expect(s.steps[what]).To(BeNumerically(">", 0), "the run had no %s", what)
+				Expect(s.events[what]).To(BeNumerically(">", 0), "the run had no %s", what)
 			}
 		})
 	}
