--- a/spec/check.sh
+++ b/spec/check.sh
@@ -1,11 +1,12 @@
 #!/usr/bin/env bash
-# Checks the specifications, and that the checker catches a fault in each property.
+# Verifies the specifications, and that the checker detects each fault that MUTATE_* injects.
 set -euo pipefail
 cd "$(dirname "$0")"
 work="$(mktemp -d)"
 trap 'rm -rf "$work"' EXIT
 
-# verify FILE WANT DEFINES... : runs the checker and compares its verdict.
+# verify FILE WANT DEFINES... : runs the checker on FILE and fails unless the result is WANT
+# (holds or fails).
 verify() {
   local file="$1" want="$2" dir
   shift 2
@@ -20,7 +21,7 @@
     echo "not complete: $file $*"
     exit 1
   fi
-  # A search that was cut short proves nothing unless it found a fault.
+  # An incomplete search is only conclusive if it found an error.
   if [ "${errors:-0}" = 0 ] && grep -q 'Search not completed' "$dir/out.txt"; then
     echo "not complete: $file $*"
     exit 1
--- a/spec/consensus.pml
+++ b/spec/consensus.pml
@@ -1,13 +1,13 @@
 /*
- * The core of the replication protocol: votes, append, commit by count in the own
- * term, and a restart that keeps what was stored or, where a disk was emptied,
- * comes back under a new identity that does not vote.
+ * The core of the replication protocol: votes, log replication, commitment of entries of
+ * the leader's term by a quorum, and restarts. A restarted replica keeps its stored state.
+ * A replica whose disk was lost returns under a new identity that does not vote.
  *
- * Three replicas, terms up to MAXTERM, logs up to MAXLOG entries. A message is an
- * atomic step between two replicas, which covers every interleaving of deliveries;
- * a lost message is a step that is not taken. An entry is the term that wrote it.
+ * The model has three replicas, terms up to MAXTERM and logs up to MAXLOG entries. A message
+ * is an atomic step between two replicas, which covers every interleaving of deliveries; a
+ * lost message is a step that is not taken. An entry is represented by the term that wrote it.
  *
- * MUTATE_* compile a fault in; the checker must find it (spec/check.sh).
+ * Each MUTATE_* definition adds a fault that the checker must find (spec/check.sh).
  */
 #define N 3
 #ifndef MAXTERM
@@ -18,24 +18,24 @@
 #endif
 
 byte term[N];
-byte voted[N];        /* candidate + 1 in the current term, 0 for none */
-bool leads[N];
-bool wiped[N];        /* the disk was emptied: the old identity is gone */
-byte size[N];
-byte log[N * MAXLOG]; /* term of the entry at each position */
-byte votes[N];        /* set of voters as bits, for a candidate */
+byte voted[N];          /* candidate + 1 in the current term, 0 for none */
+bool isLeader[N];
+bool diskLost[N];       /* the disk was lost: the old identity never returns */
+byte logSize[N];
+byte log[N * MAXLOG];   /* term of the entry at each position */
+byte votes[N];          /* bit set of the replicas that voted for this candidate */
 byte commit[N];
-byte chosen[MAXLOG];  /* term of the entry committed at a position, 0 for none */
+byte committed[MAXLOG]; /* term of the entry committed at a position, 0 for none */
 byte leaderOf[MAXTERM + 1];
-byte crashes;
+byte crashCount;
 
 #define LOG(r, i) log[(r) * MAXLOG + (i)]
-#define LASTTERM(r) ((size[r] == 0) -> 0 : LOG(r, size[r] - 1))
-#define UPTODATE(c, v) (LASTTERM(c) > LASTTERM(v) || (LASTTERM(c) == LASTTERM(v) && size[c] >= size[v]))
+#define LASTTERM(r) ((logSize[r] == 0) -> 0 : LOG(r, logSize[r] - 1))
+#define UPTODATE(c, v) (LASTTERM(c) > LASTTERM(v) || (LASTTERM(c) == LASTTERM(v) && logSize[c] >= logSize[v]))
 
-inline adopt(r, t) {
+inline adoptTerm(r, t) {
 	if
-	:: t > term[r] -> term[r] = t; voted[r] = 0; leads[r] = false; votes[r] = 0
+	:: t > term[r] -> term[r] = t; voted[r] = 0; isLeader[r] = false; votes[r] = 0
 	:: else
 	fi
 }
@@ -45,9 +45,9 @@
 	i = 0;
 	do
 	:: i < n ->
-		/* Committed entries are never lost or changed. */
-		assert(chosen[i] == 0 || chosen[i] == LOG(r, i));
-		chosen[i] = LOG(r, i);
+		/* Invariant: committed entries are never lost or changed. */
+		assert(committed[i] == 0 || committed[i] == LOG(r, i));
+		committed[i] = LOG(r, i);
 		i++
 	:: else -> break
 	od;
@@ -59,19 +59,19 @@
 	byte o, i, n, m;
 
 	do
-	/* An election starts. */
-	:: atomic { !leads[me] && !wiped[me] && term[me] < MAXTERM ->
+	/* A replica starts an election. */
+	:: atomic { !isLeader[me] && !diskLost[me] && term[me] < MAXTERM ->
 		term[me]++; voted[me] = me + 1; votes[me] = 1 << me }
 
-	/* A vote is asked for and given. */
-	:: atomic { !leads[me] && votes[me] != 0 ->
+	/* A candidate requests a vote, and the other replica may grant it. */
+	:: atomic { !isLeader[me] && votes[me] != 0 ->
 		select(o : 0 .. N - 1);
 		if
-		:: o != me && !wiped[o] && term[o] <= term[me] ->
-			adopt(o, term[me]);
+		:: o != me && !diskLost[o] && term[o] <= term[me] ->
+			adoptTerm(o, term[me]);
 			if
 #ifdef MUTATE_TWO_VOTES
-			:: UPTODATE(me, o) && !leads[o] ->
+			:: UPTODATE(me, o) && !isLeader[o] ->
 #elif defined(MUTATE_NO_LOG_CHECK)
 			:: (voted[o] == 0 || voted[o] == me + 1) ->
 #else
@@ -85,35 +85,35 @@
 		fi;
 		o = 0 }
 
-	/* A quorum makes a leader. */
-	:: atomic { !leads[me] && (votes[me] == 3 || votes[me] == 5 || votes[me] == 6 || votes[me] == 7) ->
-		leads[me] = true; votes[me] = 0;
-		/* At most one leader a term. */
+	/* A candidate with a quorum of votes becomes the leader. */
+	:: atomic { !isLeader[me] && (votes[me] == 3 || votes[me] == 5 || votes[me] == 6 || votes[me] == 7) ->
+		isLeader[me] = true; votes[me] = 0;
+		/* Invariant: at most one leader per term. */
 		assert(leaderOf[term[me]] == 0 || leaderOf[term[me]] == me + 1);
 		leaderOf[term[me]] = me + 1 }
 
-	/* A command is appended. */
-	:: atomic { leads[me] && size[me] < MAXLOG ->
-		LOG(me, size[me]) = term[me]; size[me]++ }
+	/* The leader appends a command to its log. */
+	:: atomic { isLeader[me] && logSize[me] < MAXLOG ->
+		LOG(me, logSize[me]) = term[me]; logSize[me]++ }
 
-	/* The log is replicated: the follower takes the leader's log up to a position. */
-	:: atomic { leads[me] ->
+	/* The leader replicates its log up to a position to a follower. */
+	:: atomic { isLeader[me] ->
 		select(o : 0 .. N - 1);
 		if
-		:: o != me && !wiped[o] && term[o] <= term[me] ->
-			adopt(o, term[me]);
-			leads[o] = false; votes[o] = 0;
+		:: o != me && !diskLost[o] && term[o] <= term[me] ->
+			adoptTerm(o, term[me]);
+			isLeader[o] = false; votes[o] = 0;
 			select(n : 0 .. MAXLOG);
 			if
-			:: n <= size[me] ->
-				/* An append that matches shortens no log that already agrees. */
+			:: n <= logSize[me] ->
+				/* An append never truncates a log that already contains its entries. */
 				i = 0; m = 1;
 				do
-				:: i < n && i < size[o] -> m = (m && LOG(o, i) == LOG(me, i)); i++
+				:: i < n && i < logSize[o] -> m = (m && LOG(o, i) == LOG(me, i)); i++
 				:: else -> break
 				od;
 				if
-				:: m && size[o] >= n
+				:: m && logSize[o] >= n
 				:: else ->
 					i = 0;
 					do
@@ -124,7 +124,7 @@
 					:: i < MAXLOG -> LOG(o, i) = 0; i++
 					:: else -> break
 					od;
-					size[o] = n
+					logSize[o] = n
 				fi
 			:: else
 			fi
@@ -132,15 +132,15 @@
 		fi;
 		o = 0; n = 0; i = 0; m = 0 }
 
-	/* What a quorum stores is committed, if the own term wrote it. */
-	:: atomic { leads[me] && commit[me] < size[me] ->
+	/* The leader commits entries that a quorum stores, if its own term wrote the last of them. */
+	:: atomic { isLeader[me] && commit[me] < logSize[me] ->
 		n = commit[me] + 1;
 #ifdef MUTATE_COMMIT_OLD_TERM
 		if
 		:: true ->
 #else
 		if
-		:: LOG(me, n - 1) == term[me] || (n < size[me] && LOG(me, n) == term[me]) ->
+		:: LOG(me, n - 1) == term[me] || (n < logSize[me] && LOG(me, n) == term[me]) ->
 			if
 			:: LOG(me, n - 1) != term[me] -> n++
 			:: else
@@ -151,7 +151,7 @@
 			:: o < N ->
 				if
 				:: o == me -> m++
-				:: o != me && !wiped[o] && term[o] == term[me] && size[o] >= n && LOG(o, n - 1) == LOG(me, n - 1) -> m++
+				:: o != me && !diskLost[o] && term[o] == term[me] && logSize[o] >= n && LOG(o, n - 1) == LOG(me, n - 1) -> m++
 				:: else
 				fi;
 				o++
@@ -165,12 +165,12 @@
 		fi;
 		o = 0; n = 0; m = 0 }
 
-	/* A crash: what was stored is kept, leading and counting votes are not. */
-	:: atomic { crashes < 2 -> crashes++; leads[me] = false; votes[me] = 0; commit[me] = 0 }
+	/* A replica crashes: stored state survives, its role and the votes it received do not. */
+	:: atomic { crashCount < 2 -> crashCount++; isLeader[me] = false; votes[me] = 0; commit[me] = 0 }
 
-	/* A disk is emptied, one of three. */
-	:: atomic { !wiped[0] && !wiped[1] && !wiped[2] && crashes < 2 ->
-		crashes++; leads[me] = false; votes[me] = 0; commit[me] = 0; size[me] = 0;
+	/* A replica loses its disk; at most one of the three does. */
+	:: atomic { !diskLost[0] && !diskLost[1] && !diskLost[2] && crashCount < 2 ->
+		crashCount++; isLeader[me] = false; votes[me] = 0; commit[me] = 0; logSize[me] = 0;
 		i = 0;
 		do
 		:: i < MAXLOG -> LOG(me, i) = 0; i++
@@ -180,7 +180,7 @@
 #ifdef MUTATE_EMPTY_VOTES
 		term[me] = 0; voted[me] = 0
 #else
-		wiped[me] = true
+		diskLost[me] = true
 #endif
 	}
 	od
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -1,45 +1,49 @@
 /*
- * A lease: candidates watch the renewal number with their own clocks and name the
- * one they saw. Two processes, one register (the group). Commands and answers travel
- * for any time; an outside call of the holder takes at most CALL ticks and starts only
- * while the lease is held by the holder's own clock, which counts from the send.
+ * The lease protocol. A candidate observes the renewal number with its own clock and may
+ * acquire the lease once the number has not changed for WAIT ticks. Its command names the
+ * fencing and renewal numbers that it last observed. There are two processes and one register
+ * (the group). Commands and replies may be delayed for any time. An outside call of the
+ * holder takes at most CALL ticks and starts only while the lease is valid by the holder's
+ * own clock, which counts from the time the command was sent.
  *
- * Times are ages and remaining ticks, so that time has no end; the renewal number is
- * bounded by MAXRENEW. Each process may pause between any two of its steps.
+ * Times are modelled as ages and remaining ticks, so that time is unbounded; MAXRENEW
+ * bounds the renewal number. Each process may pause between any two of its steps.
+ *
+ * Each MUTATE_* definition adds a fault that the checker must find (spec/check.sh).
  */
-#define D 2      /* duration of the lease in ticks, counted from the send */
-#define CALL 1   /* longest outside call */
+#define LEASE 2 /* lease duration in ticks, counted from sending the command */
+#define CALL 1  /* longest outside call in ticks */
 #ifndef MAXRENEW
 #define MAXRENEW 5
 #endif
 #ifdef MUTATE_SHORT_WAIT
-#define WAIT (D - 1)
+#define WAIT (LEASE - 1)
 #else
-#define WAIT (D + CALL)
+#define WAIT (LEASE + CALL)
 #endif
 
-byte fencing, renewal;   /* the register */
-bool taken;              /* somebody holds it */
+byte fencing, renewal; /* the register */
+bool taken;            /* the lease was acquired at least once */
 
-byte seenF[2], seenR[2]; /* the register as last looked at */
-byte age[2];             /* ticks since it was seen to change, at most WAIT */
+byte seenFencing[2], seenRenewal[2]; /* the register as last observed */
+byte sinceChange[2];                 /* ticks since a change was last observed, at most WAIT */
 bool held[2];
-byte fence[2];
-byte left[2];            /* ticks of the own lease that are left */
-byte nextR[2];           /* last renewal number that the holder named */
-byte asked[2];           /* 0 nothing, 1 acquire, 2 renew */
-byte sent[2];            /* ticks since the command was sent, at most D */
-byte wantF[2], wantR[2];
-byte call[2];            /* ticks that an outside call may still run */
-byte highest;            /* highest fencing number under which a call was started */
+byte heldFencing[2];
+byte leaseLeft[2];                   /* remaining ticks of the process's own lease */
+byte lastRenewal[2];                 /* last renewal number that the holder sent */
+byte pending[2];                     /* pending command: 0 none, 1 acquire, 2 renew */
+byte sinceSent[2];                   /* ticks since the command was sent, at most LEASE */
+byte sentFencing[2], sentRenewal[2];
+byte callLeft[2];                    /* remaining ticks of an outside call */
+byte highestFencing;                 /* highest fencing number of any call so far */
 byte p;
 
-inline forget(me) {
-	held[me] = false; left[me] = 0; nextR[me] = 0; fence[me] = 0
+inline dropLease(me) {
+	held[me] = false; leaseLeft[me] = 0; lastRenewal[me] = 0; heldFencing[me] = 0
 }
 
-inline settle(me) {
-	asked[me] = 0; sent[me] = 0; wantF[me] = 0; wantR[me] = 0
+inline clearPending(me) {
+	pending[me] = 0; sinceSent[me] = 0; sentFencing[me] = 0; sentRenewal[me] = 0
 }
 
 active proctype clock() {
@@ -48,16 +52,16 @@
 		p = 0;
 		do
 		:: p < 2 ->
-			age[p] = ((age[p] < WAIT) -> age[p] + 1 : age[p]);
-			left[p] = ((left[p] > 0) -> left[p] - 1 : 0);
-			call[p] = ((call[p] > 0) -> call[p] - 1 : 0);
+			sinceChange[p] = ((sinceChange[p] < WAIT) -> sinceChange[p] + 1 : sinceChange[p]);
+			leaseLeft[p] = ((leaseLeft[p] > 0) -> leaseLeft[p] - 1 : 0);
+			callLeft[p] = ((callLeft[p] > 0) -> callLeft[p] - 1 : 0);
 			if
-			:: asked[p] != 0 && sent[p] < D -> sent[p]++
+			:: pending[p] != 0 && sinceSent[p] < LEASE -> sinceSent[p]++
 			:: else
 			fi;
 #ifndef MUTATE_NO_CHECK
 			if
-			:: held[p] && left[p] == 0 -> forget(p)
+			:: held[p] && leaseLeft[p] == 0 -> dropLease(p)
 			:: else
 			fi;
 #endif
@@ -72,68 +76,68 @@
 	byte me = _pid - 1;
 
 	do
-	/* The register is looked at. */
-	:: atomic { (seenF[me] != fencing || seenR[me] != renewal) ->
-		seenF[me] = fencing; seenR[me] = renewal; age[me] = 0 }
+	/* A process observes the register. */
+	:: atomic { (seenFencing[me] != fencing || seenRenewal[me] != renewal) ->
+		seenFencing[me] = fencing; seenRenewal[me] = renewal; sinceChange[me] = 0 }
 
-	/* A candidate that saw no renewal for long enough asks for the lease. */
-	:: atomic { asked[me] == 0 && !held[me] && renewal < MAXRENEW && (!taken || age[me] >= WAIT) ->
-		asked[me] = 1; sent[me] = 0; wantF[me] = seenF[me]; wantR[me] = seenR[me] }
+	/* A candidate that observed no renewal for WAIT ticks sends an acquire command. */
+	:: atomic { pending[me] == 0 && !held[me] && renewal < MAXRENEW && (!taken || sinceChange[me] >= WAIT) ->
+		pending[me] = 1; sinceSent[me] = 0; sentFencing[me] = seenFencing[me]; sentRenewal[me] = seenRenewal[me] }
 
-	/* The holder asks for a renewal, each time under a new number. */
-	:: atomic { asked[me] == 0 && held[me] && left[me] > 0 && nextR[me] < MAXRENEW ->
+	/* The holder sends a renew command, each time with a new number. */
+	:: atomic { pending[me] == 0 && held[me] && leaseLeft[me] > 0 && lastRenewal[me] < MAXRENEW ->
 #ifndef MUTATE_SAME_RENEWAL
-		nextR[me]++;
+		lastRenewal[me]++;
 #endif
-		asked[me] = 2; sent[me] = 0; wantF[me] = fence[me]; wantR[me] = nextR[me] }
+		pending[me] = 2; sinceSent[me] = 0; sentFencing[me] = heldFencing[me]; sentRenewal[me] = lastRenewal[me] }
 
-	/* The command is applied and answered, at any time after it was sent. */
-	:: atomic { asked[me] == 1 ->
+	/* The group applies the command and replies, at any time after it was sent. */
+	:: atomic { pending[me] == 1 ->
 		if
 #ifdef MUTATE_NO_COMPARE
 		:: renewal < MAXRENEW ->
 #else
-		:: fencing == wantF[me] && renewal == wantR[me] ->
+		:: fencing == sentFencing[me] && renewal == sentRenewal[me] ->
 #endif
 			fencing++; renewal++; taken = true;
-			seenF[me] = fencing; seenR[me] = renewal; age[me] = 0;
-			held[me] = (sent[me] < D);
-			fence[me] = (held[me] -> fencing : 0);
-			nextR[me] = (held[me] -> renewal : 0);
-			left[me] = D - sent[me]
+			seenFencing[me] = fencing; seenRenewal[me] = renewal; sinceChange[me] = 0;
+			held[me] = (sinceSent[me] < LEASE);
+			heldFencing[me] = (held[me] -> fencing : 0);
+			lastRenewal[me] = (held[me] -> renewal : 0);
+			leaseLeft[me] = LEASE - sinceSent[me]
 		:: else
 		fi;
-		settle(me) }
-	:: atomic { asked[me] == 2 ->
+		clearPending(me) }
+	:: atomic { pending[me] == 2 ->
 		if
-		:: fencing == wantF[me] ->
-			renewal = ((wantR[me] > renewal) -> wantR[me] : renewal);
+		:: fencing == sentFencing[me] ->
+			renewal = ((sentRenewal[me] > renewal) -> sentRenewal[me] : renewal);
 			if
-			:: sent[me] < D ->
-				held[me] = true; fence[me] = wantF[me]; left[me] = D - sent[me];
-				nextR[me] = ((wantR[me] > nextR[me]) -> wantR[me] : nextR[me])
+			:: sinceSent[me] < LEASE ->
+				held[me] = true; heldFencing[me] = sentFencing[me]; leaseLeft[me] = LEASE - sinceSent[me];
+				lastRenewal[me] = ((sentRenewal[me] > lastRenewal[me]) -> sentRenewal[me] : lastRenewal[me])
 			:: else
 			fi
-		:: else -> forget(me)
+		:: else -> dropLease(me)
 		fi;
-		settle(me) }
+		clearPending(me) }
 
-	/* The answer is lost after the command was applied. */
-	:: atomic { asked[me] == 2 && fencing == wantF[me] ->
-		renewal = ((wantR[me] > renewal) -> wantR[me] : renewal);
-		settle(me) }
+	/* The reply to a renewal is lost after the command was applied. */
+	:: atomic { pending[me] == 2 && fencing == sentFencing[me] ->
+		renewal = ((sentRenewal[me] > renewal) -> sentRenewal[me] : renewal);
+		clearPending(me) }
 
-	/* An outside call starts while the lease is held, looked at right before. */
+	/* The holder starts an outside call after checking that its lease is still valid. */
 #ifdef MUTATE_NO_CHECK
-	:: atomic { held[me] && call[me] == 0 ->
+	:: atomic { held[me] && callLeft[me] == 0 ->
 #else
-	:: atomic { held[me] && left[me] > 0 && call[me] == 0 ->
+	:: atomic { held[me] && leaseLeft[me] > 0 && callLeft[me] == 0 ->
 #endif
-		/* Only one process may be giving orders. */
-		assert(call[1 - me] == 0);
-		/* Orders never go back to an earlier fencing number. */
-		assert(fence[me] >= highest);
-		highest = fence[me];
-		call[me] = CALL }
+		/* Invariant: outside calls of two processes never overlap. */
+		assert(callLeft[1 - me] == 0);
+		/* Invariant: fencing numbers of successive calls never decrease. */
+		assert(heldFencing[me] >= highestFencing);
+		highestFencing = heldFencing[me];
+		callLeft[me] = CALL }
 	od
 }
--- a/spec/progress.pml
+++ b/spec/progress.pml
@@ -1,83 +1,85 @@
 /*
- * The text of one item while drivers follow each other. A driver of each term copies
- * what the ledger holds, generates events that go on after its own last one, or begins
- * the text anew, and proposes each as a part, in order. Parts may be lost. Every event has a
- * number of its own and remembers the event before it, as the engine that made it saw it.
- * The ledger must never hold an event behind one that it does not go on after.
+ * The generated text of one item while successive drivers run it, one per term. A new driver
+ * copies the events in the ledger. It then generates events that continue after its last one,
+ * or restarts the text, and proposes each event as a part, in order. Parts may be lost. Every
+ * event has a unique number and records its predecessor as the engine that generated it had it.
+ * Invariant: the ledger never holds an event after one that is not its predecessor.
+ *
+ * Each MUTATE_* definition adds a fault that the checker must find (spec/check.sh).
  */
-#define EV 3       /* longest text */
+#define EV 3    /* longest text in events */
 #define TERMS 3
-#define PARTS 2    /* proposals of one driver on their way */
+#define PARTS 2 /* proposals of one driver in flight */
 #ifndef MAXID
-#define MAXID 5    /* events generated in all */
+#define MAXID 5 /* total number of events generated */
 #endif
 
-byte text[EV];     /* the ledger */
-byte length, lterm;
+byte text[EV]; /* events in the ledger */
+byte textLength, ledgerTerm;
 byte nextId = 1;
-byte term;         /* of the newest driver */
+byte term;     /* term of the newest driver */
 
 typedef driver {
-	bool first;           /* nothing was told yet */
-	bool silent;          /* a part was lost: no further one is proposed */
-	byte own[EV];
-	byte n;
+	bool first;   /* the driver has generated no event yet */
+	bool stopped; /* a part was lost: no more parts are proposed */
+	byte events[EV];
+	byte count;
 };
-driver d[TERMS];
+driver drivers[TERMS];
 
-chan parts[TERMS] = [PARTS] of { byte, byte, byte, bool }; /* after, event, event before it, first */
+chan parts[TERMS] = [PARTS] of { byte, byte, byte, bool }; /* position, event, its predecessor, first */
 
-inline drop(t) {
+inline discardParts(t) {
 	do
 	:: nempty(parts[t]) -> parts[t]?_, _, _, _
 	:: empty(parts[t]) -> break
 	od
 }
 
-active [TERMS] proctype drive() {
-	byte me = _pid, i, before;
+active [TERMS] proctype runDriver() {
+	byte me = _pid, i, predecessor;
 
-	/* A new driver begins once it has applied an entry of its own term: what drivers
-	   before it proposed is applied or lost by then. */
+	/* A new driver starts once it has applied an entry of its own term. By then, each
+	   proposal of an earlier driver is either applied or lost. */
 	atomic { term <= me ->
 		term = me + 1;
 		i = 0;
 		do
 		:: i < me ->
 #ifndef MUTATE_NOT_SETTLED
-			drop(i);
+			discardParts(i);
 #endif
 			i++
 		:: else -> break
 		od;
 		i = 0;
 		do
-		:: i < length -> d[me].own[i] = text[i]; i++
+		:: i < textLength -> drivers[me].events[i] = text[i]; i++
 		:: else -> break
 		od;
-		d[me].n = length; d[me].first = true; i = 0 }
+		drivers[me].count = textLength; drivers[me].first = true; i = 0 }
 
 	do
-	/* The next event of the text. An older driver commits nothing any more. */
-	:: atomic { d[me].n < EV && nextId <= MAXID && nfull(parts[me]) ->
+	/* The driver generates the next event. Proposals of an older driver no longer commit. */
+	:: atomic { drivers[me].count < EV && nextId <= MAXID && nfull(parts[me]) ->
 		if
-		:: d[me].n > 0 -> before = d[me].own[d[me].n - 1]
-		:: else -> before = 0
+		:: drivers[me].count > 0 -> predecessor = drivers[me].events[drivers[me].count - 1]
+		:: else -> predecessor = 0
 		fi;
 		if
-		:: !d[me].silent && term == me + 1 -> parts[me]!d[me].n, nextId, before, d[me].first
+		:: !drivers[me].stopped && term == me + 1 -> parts[me]!drivers[me].count, nextId, predecessor, drivers[me].first
 		:: else
 		fi;
-		d[me].own[d[me].n] = nextId;
-		d[me].n++; nextId++; d[me].first = false; before = 0 }
+		drivers[me].events[drivers[me].count] = nextId;
+		drivers[me].count++; nextId++; drivers[me].first = false; predecessor = 0 }
 
-	/* The text is begun anew, since its version may not be mixed. */
-	:: atomic { d[me].n > 0 && nextId <= MAXID -> d[me].n = 0 }
+	/* The driver restarts the text, because one text must not mix weight versions. */
+	:: atomic { drivers[me].count > 0 && nextId <= MAXID -> drivers[me].count = 0 }
 	od
 }
 
 active proctype ledger() {
-	byte t, after, id, before;
+	byte t, position, id, predecessor;
 	bool first;
 
 	do
@@ -89,25 +91,25 @@
 		fi;
 #ifdef MUTATE_UNORDERED
 		if
-		:: parts[t]?after, id, before, first
-		:: len(parts[t]) == 2 -> parts[t]?after, id, before, first; parts[t]!after, id, before, first; parts[t]?after, id, before, first
+		:: parts[t]?position, id, predecessor, first
+		:: len(parts[t]) == 2 -> parts[t]?position, id, predecessor, first; parts[t]!position, id, predecessor, first; parts[t]?position, id, predecessor, first
 		fi;
 #else
-		parts[t]?after, id, before, first;
+		parts[t]?position, id, predecessor, first;
 #endif
 		if
-		:: true -> /* lost, which the driver sees before it proposes more */
+		:: true -> /* the part is lost; the driver notices before it proposes more */
 #ifndef MUTATE_GOES_ON
-			drop(t); d[t].silent = true
+			discardParts(t); drivers[t].stopped = true
 #else
 			skip
 #endif
-		:: after == 0 && t + 1 >= lterm -> text[0] = id; length = 1; lterm = t + 1
-		:: after > 0 && after == length && (t + 1 == lterm || (first && t + 1 > lterm)) ->
-			assert(text[length - 1] == before);
-			text[length] = id; length++; lterm = t + 1
+		:: position == 0 && t + 1 >= ledgerTerm -> text[0] = id; textLength = 1; ledgerTerm = t + 1
+		:: position > 0 && position == textLength && (t + 1 == ledgerTerm || (first && t + 1 > ledgerTerm)) ->
+			assert(text[textLength - 1] == predecessor);
+			text[textLength] = id; textLength++; ledgerTerm = t + 1
 		:: else -> skip
 		fi;
-		t = 0; after = 0; id = 0; before = 0; first = false }
+		t = 0; position = 0; id = 0; predecessor = 0; first = false }
 	od
 }
