--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// campaign starts a pre-vote, or at once a vote when the leader asked for it.
+// campaign starts a pre-vote, or directly an election if a leadership transfer requested it.
 func (r *Replica) campaign(now time.Duration, forced bool) {
 	if !r.isVoter() {
-		r.leader = "" // nobody has been heard for long: a learner only asks for a new leader
+		r.leader = "" // no message from the leader within the election timeout; a learner never campaigns
 
 		return
 	}
--- a/internal/consensus/follower.go
+++ b/internal/consensus/follower.go
@@ -48,7 +48,7 @@
 	r.send(reply)
 }
 
-// skipCompacted drops the entries of m that the own snapshot covers.
+// skipCompacted removes the entries of m that this replica's snapshot covers.
 func (r *Replica) skipCompacted(m Message) Message {
 	for len(m.Entries) > 0 && m.Entries[0].Index <= r.log.snapIndex {
 		m.Entries = m.Entries[1:]
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// progress is what a leader knows of one follower.
+// progress is the leader's replication state for one follower.
 type progress struct {
-	match       uint64
-	next        uint64
+	match       uint64 // highest index known to be replicated
+	next        uint64 // index of the next entry to send
 	lastContact time.Duration
 	ackedRound  uint64
-	commitSent  uint64 // highest commit that was sent
+	commitSent  uint64 // highest commit index sent
 
-	// A follower that rejected, or answers nothing, is only asked for a position that
-	// it shares, without entries, until it agrees: what is queued for it would be
-	// rejected message by message, and each rejection would send entries again.
+	// probing is set when the follower rejects an append or stops replying. It then
+	// receives only empty appends until its log matches at next-1. Otherwise every
+	// append in flight would be rejected and each rejection would resend entries.
 	probing bool
 
 	sendingSnapshot bool
@@ -33,7 +33,7 @@
 	r.broadcast(now)
 }
 
-// syncProgress follows the membership: one progress for each other member.
+// syncProgress keeps one progress for each other member of the current membership.
 func (r *Replica) syncProgress(now time.Duration) {
 	m := r.log.membership()
 	for _, id := range m.All() {
@@ -74,8 +74,8 @@
 	return n >= m.Quorum()
 }
 
-// broadcast sends every member what it lacks, or a heartbeat. Messages go out in
-// the order of the identities, so that a run with a fixed seed is repeatable.
+// broadcast sends every other member its missing entries, or a heartbeat. Messages are
+// sent in the order of replica IDs so that simulations with a fixed seed are repeatable.
 func (r *Replica) broadcast(now time.Duration) {
 	r.heartbeatDue = now + r.cfg.HeartbeatPeriod
 	for _, id := range r.peers() {
@@ -138,7 +138,8 @@
 	pr.commitSent = r.log.commit
 }
 
-// sendEmptyAppend keeps a follower that receives a snapshot from campaigning.
+// sendEmptyAppend sends an append without entries. It probes for a matching index, and serves as
+// the heartbeat of a follower that is receiving a snapshot.
 func (r *Replica) sendEmptyAppend(id ReplicaID, index uint64) {
 	t, _ := r.log.term(index)
 	r.sendEarly(Message{Kind: MessageAppend, To: id, Index: index, LogTerm: t, Round: r.round})
@@ -162,8 +163,8 @@
 	r.sendChunk(now, id, pr)
 }
 
-// snapshotInTransit returns a snapshot that is on its way to another follower and that
-// the log still follows on, so that several share its data.
+// snapshotInTransit returns the newest snapshot that another follower is receiving, if the
+// log still holds all entries after it. Followers then share one copy of its data.
 func (r *Replica) snapshotInTransit() (Snapshot, bool) {
 	var newest Snapshot
 	for _, pr := range r.progress {
@@ -222,7 +223,7 @@
 	}
 	if m.Reject {
 		if m.Index < pr.match || (pr.probing && m.Index != pr.next-1) {
-			return // the answer to an older message
+			return // reply to an older message
 		}
 		pr.next = max(pr.match+1, min(m.Hint+1, r.log.lastIndex()+1))
 		pr.probing = true
@@ -240,10 +241,10 @@
 		r.advanceCommit(now)
 	}
 	if r.role != RoleLeader {
-		return // the commit removed this replica
+		return // the committed membership change removed this replica
 	}
-	// A follower that acknowledges after the quorum learns of the commit now, not
-	// with the next heartbeat.
+	// A follower that acknowledges after the quorum receives the commit index now
+	// instead of with the next heartbeat.
 	r.sendAppend(now, m.From, pr.match == r.log.lastIndex() && pr.commitSent < r.log.commit)
 	r.sendTimeoutNowIfCurrent(m.From, pr)
 }
@@ -254,7 +255,8 @@
 	}
 }
 
-// advanceCommit commits what a quorum of voters has stored in this term.
+// advanceCommit commits entries of the current term that a quorum of voters has stored,
+// and thereby all entries before them.
 func (r *Replica) advanceCommit(now time.Duration) {
 	m := r.log.membership()
 	stored := make([]uint64, 0, len(m.Voters))
@@ -296,7 +298,7 @@
 	r.log.append(entries)
 }
 
-// Propose appends commands to the log and returns the position of the first.
+// Propose appends commands to the log and returns the index of the first.
 func (r *Replica) Propose(now time.Duration, commands [][]byte) (uint64, error) {
 	if r.role != RoleLeader {
 		return 0, ErrNotLeader
@@ -317,7 +319,8 @@
 	return entries[0].Index, nil
 }
 
-// ProposeMembership appends a membership that differs from the one in force by one replica.
+// ProposeMembership appends a membership whose voters differ from the current ones by at
+// most one replica, and returns its index.
 func (r *Replica) ProposeMembership(now time.Duration, next Membership) (uint64, error) {
 	switch {
 	case r.role != RoleLeader:
@@ -365,14 +368,15 @@
 	return ok && t == r.hardState.Term
 }
 
-// CaughtUp reports whether the follower id lacks few enough entries to vote.
+// CaughtUp reports whether the follower id lags by at most maxPromotionLag entries.
 func (r *Replica) CaughtUp(id ReplicaID) bool {
 	pr := r.progress[id]
 
 	return pr != nil && pr.match > 0 && pr.match+maxPromotionLag >= r.log.lastIndex()
 }
 
-// HeardFrom returns when the leader last heard from the follower id.
+// HeardFrom returns when the leader last received a reply from the follower id, or before the
+// first reply, when it started to track id. It returns false if id is not tracked.
 func (r *Replica) HeardFrom(id ReplicaID) (time.Duration, bool) {
 	pr := r.progress[id]
 	if pr == nil {
@@ -382,7 +386,8 @@
 	return pr.lastContact, true
 }
 
-// TransferLeadership asks the voter that holds most of the log to take over.
+// TransferLeadership starts a transfer to the active voter with the most complete log. It
+// returns false if this replica is not the leader or no other voter is active.
 func (r *Replica) TransferLeadership(now time.Duration) bool {
 	if r.role != RoleLeader {
 		return false
@@ -408,14 +413,14 @@
 	return true
 }
 
-// ReadIndex starts a read; a ReadState with the same context follows.
+// ReadIndex starts a linearizable read. A later Ready contains the ReadState for context.
 func (r *Replica) ReadIndex(now time.Duration, context uint64) error {
 	if r.role != RoleLeader {
 		return ErrNotLeader
 	}
 
 	r.round++
-	index := uint64(0) // set once an entry of this term is committed
+	index := uint64(0) // 0 until an entry of this term is committed; confirmReads then sets it
 	if r.committedInTerm() {
 		index = r.log.commit
 	}
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -7,12 +7,13 @@
 	snapIndex uint64
 	snapTerm  uint64
 	entries   []Entry
-	persisted uint64 // stored on the own disk up to here
-	emitted   uint64 // handed out for storage up to here
+	persisted uint64 // last index stored on this replica's disk
+	emitted   uint64 // last index returned by Ready for storage
 	commit    uint64
-	applied   uint64 // handed out for application up to here
+	applied   uint64 // last index returned by Ready for application
 
-	// memberships holds each membership in force with the index of its entry, oldest first.
+	// memberships holds each membership with the index of its entry, oldest first. The
+	// first applies at the snapshot; the last is the current one.
 	memberships []membershipAt
 }
 
@@ -75,7 +76,7 @@
 	}
 }
 
-// truncateFrom drops index and all that follows.
+// truncateFrom removes the entries from index on.
 func (lo *raftLog) truncateFrom(index uint64) {
 	lo.entries = lo.entries[:index-lo.snapIndex-1]
 	lo.persisted = min(lo.persisted, index-1)
@@ -88,7 +89,8 @@
 	lo.memberships = lo.memberships[:n]
 }
 
-// slice returns entries from index on, at most maxBytes of them but always one.
+// slice returns entries starting at index from, limited by maxBytes and maxEntries. It
+// returns at least one entry if the log holds index from.
 func (lo *raftLog) slice(from uint64, maxBytes int, maxEntries uint64) []Entry {
 	if from <= lo.snapIndex || from > lo.lastIndex() {
 		return nil
@@ -106,7 +108,7 @@
 	return tail[:len(tail):len(tail)]
 }
 
-// compact drops the entries up to index, which a stored snapshot covers.
+// compact removes the entries up to index, which a stored snapshot covers.
 func (lo *raftLog) compact(index uint64) {
 	if index <= lo.snapIndex || index > lo.lastIndex() {
 		return
@@ -137,7 +139,7 @@
 	return lo.snapIndex + 1
 }
 
-// reset replaces the whole log by a snapshot.
+// reset replaces the entire log with a snapshot.
 func (lo *raftLog) reset(sn Snapshot) {
 	*lo = newRaftLog(sn, nil)
 }
--- a/internal/consensus/named_test.go
+++ b/internal/consensus/named_test.go
@@ -19,7 +19,7 @@
 	return s
 }
 
-// advance lets time advance without any other event.
+// advance runs the simulation for d without random events.
 func (s *simulation) advance(d time.Duration) {
 	for end := s.now + d; s.now < end; s.now += time.Millisecond {
 		s.deliver()
@@ -31,7 +31,7 @@
 	}
 }
 
-// isolate cuts a replica off from all others, both ways.
+// isolate blocks all messages to and from a replica.
 func (s *simulation) isolate(n *simNode) {
 	for _, o := range s.nodes {
 		s.blockedLinks[[2]consensus.ReplicaID{n.id, o.id}] = true
@@ -45,7 +45,7 @@
 	s.flush(n)
 }
 
-// waitForOtherLeader waits for a leader besides n.
+// waitForOtherLeader waits until a replica other than n is the leader.
 func (s *simulation) waitForOtherLeader(n *simNode) *simNode {
 	for range 3000 {
 		s.advance(time.Millisecond)
@@ -60,8 +60,8 @@
 	return nil
 }
 
-var _ = Describe("a leader that is cut off", func() {
-	It("answers no read from the moment another leader has committed", func() {
+var _ = Describe("a partitioned leader", func() {
+	It("serves no reads once another leader has committed an entry", func() {
 		overlaps := 0
 		for _, seed := range seeds(20) {
 			s := newStableSimulation(seed, 3)
@@ -78,12 +78,12 @@
 				s.flush(old) // the check of every read is in flush
 			}
 			s.advance(2 * time.Second)
-			Expect(old.replica.Role()).NotTo(Equal(consensus.RoleLeader), "it steps down by its own clock")
+			Expect(old.replica.Role()).NotTo(Equal(consensus.RoleLeader), "a leader without a quorum steps down by its own clock")
 		}
-		Expect(overlaps).To(BeNumerically(">", 0), "no run had two leaders at once, so nothing was tried")
+		Expect(overlaps).To(BeNumerically(">", 0), "no seed produced two concurrent leaders, so the test checked nothing")
 	})
 
-	It("loses what it accepted alone and follows after a long time", func() {
+	It("discards its uncommitted entries and catches up after the partition", func() {
 		s := newStableSimulation(3, 3)
 		old := s.leader()
 		s.isolate(old)
@@ -98,14 +98,14 @@
 		s.advance(3 * time.Second)
 		Expect(old.applied).To(Equal(s.highestCommit))
 		Expect(old.state).To(Equal(next.state))
-		Expect(s.leader()).To(Equal(next), "its return disturbs nobody")
+		Expect(s.leader()).To(Equal(next), "the returning replica must not force an election")
 	})
 })
 
-var _ = Describe("a follower that comes back far behind", func() {
+var _ = Describe("a follower that lags far behind", func() {
 	const missingEntries, entryBytes = 400, 10_000
 
-	// newLeader returns a leader of three with entries that the follower "b" lacks.
+	// newLeader returns a leader of three replicas with entries that the follower "b" does not have.
 	newLeader := func() *consensus.Replica {
 		re := consensus.New(consensus.Config{
 			ID: "a", Group: 1, ElectionTimeout: 300 * time.Millisecond, HeartbeatPeriod: 60 * time.Millisecond,
@@ -123,7 +123,7 @@
 
 		return re
 	}
-	// takeSentBytes empties the replica's messages and returns the bytes of entries for "b".
+	// takeSentBytes takes the pending messages and returns the number of entry bytes sent to "b".
 	takeSentBytes := func(re *consensus.Replica) int {
 		rd, n := re.Ready(), 0
 		for _, m := range rd.Early {
@@ -137,7 +137,7 @@
 		return n
 	}
 
-	It("is sent a first part once, however many queued heartbeats it rejects", func() {
+	It("is not sent entries again for each queued heartbeat that it rejects", func() {
 		re := newLeader()
 		takeSentBytes(re)
 		n := 0
@@ -147,10 +147,10 @@
 			})
 			n += takeSentBytes(re)
 		}
-		Expect(n).To(BeNumerically("<", 3<<20), "a message holds at most 1 MiB")
+		Expect(n).To(BeNumerically("<", 3<<20), "one message holds at most 1 MiB of entries")
 	})
 
-	It("is sent the rest once it has answered", func() {
+	It("receives the missing entries once it replies to a probe", func() {
 		re := newLeader()
 		takeSentBytes(re)
 		now, match := time.Second, uint64(0)
@@ -211,11 +211,12 @@
 	})
 })
 
-var _ = Describe("a repair", func() {
-	// A spare takes the place of a voter with an emptied disk: learner, voter, removal.
-	steps := []string{"before the learner joins", "while it is a learner", "after its promotion", "after the removal"}
+var _ = Describe("the replacement of a voter", func() {
+	// A spare replaces a voter whose disk was lost: it joins as a learner, is promoted, and
+	// the lost voter is removed.
+	steps := []string{"before the spare joins", "while the spare is a learner", "after the promotion", "after the removal"}
 	for at, name := range steps {
-		It("loses nothing when a second VM is lost "+name, func() {
+		It("loses no committed entry when a second VM fails "+name, func() {
 			s := newStableSimulation(uint64(40+at), 3)
 			ld := s.leader()
 			for range 50 {
@@ -260,18 +261,18 @@
 				stage()
 				s.advance(500 * time.Millisecond)
 			}
-			s.crash(second) // its disk comes back, later
+			s.crash(second) // its disk survives; it restarts below
 			s.advance(2 * time.Second)
 			s.boot(second)
 			s.advance(4 * time.Second)
 			now := s.leader()
-			Expect(now).NotTo(BeNil(), "the group goes on once the second VM is back")
+			Expect(now).NotTo(BeNil(), "the group has a leader once the second VM is back")
 			s.proposeAt(now, "after")
 			s.advance(time.Second)
 			Expect(s.highestCommit).To(BeNumerically(">", before))
 			for _, n := range []*simNode{second, spare} {
 				if n != nil {
-					Expect(n.applied).To(Equal(s.highestCommit), "%s has everything", n.id)
+					Expect(n.applied).To(Equal(s.highestCommit), "%s is missing entries", n.id)
 				}
 			}
 		})
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -10,21 +10,21 @@
 // Errors of proposals and membership changes.
 var (
 	ErrNotLeader       = errors.New("consensus: this replica is not the leader")
-	ErrChangeInFlight  = errors.New("consensus: a membership change is in flight")
+	ErrChangeInFlight  = errors.New("consensus: a membership change is in flight, or no entry of this term is committed yet")
 	ErrNotCaughtUp     = errors.New("consensus: the learner has not caught up")
-	ErrLastVoter       = errors.New("consensus: the last voter cannot be removed")
+	ErrLastVoter       = errors.New("consensus: cannot remove the last voter")
 	ErrUnknownReplica  = errors.New("consensus: the replica is not a member")
-	ErrTransferRunning = errors.New("consensus: leadership is being transferred")
+	ErrTransferRunning = errors.New("consensus: a leadership transfer is in progress")
 )
 
-// maxPromotionLag is the number of entries a learner may lack when it becomes a voter.
+// maxPromotionLag is how many entries a learner may lag behind when it becomes a voter.
 const maxPromotionLag = 64
 
 // Replica is one member of a group. It is not safe for concurrent use.
 type Replica struct {
 	cfg              Config
 	hardState        HardState
-	emittedHardState HardState // last one handed out
+	emittedHardState HardState // the one that Ready returned last
 	role             Role
 	leader           ReplicaID
 	log              raftLog
@@ -43,8 +43,8 @@
 	transferTarget ReplicaID
 	transferStart  time.Duration
 
-	partialSnapshot *Snapshot // snapshot being received
-	pendingInstall  *Snapshot // snapshot to hand out
+	partialSnapshot *Snapshot // being received in chunks
+	pendingInstall  *Snapshot // received completely; the next Ready returns it
 
 	earlyMessages []Message
 	messages      []Message
@@ -61,9 +61,9 @@
 func New(cfg Config, now time.Duration) *Replica {
 	cfg.Defaults()
 	r := &Replica{cfg: cfg, hardState: cfg.HardState, emittedHardState: cfg.HardState, log: newRaftLog(cfg.Snapshot, cfg.Entries)}
-	r.cfg.Snapshot, r.cfg.Entries = Snapshot{}, nil // large, and not needed any more
-	// A replica that has just started asks soon whether there is a leader: its
-	// pre-vote disturbs none that is alive.
+	r.cfg.Snapshot, r.cfg.Entries = Snapshot{}, nil // free the memory
+	// The first election timeout is shorter, so that a restarted group soon elects a
+	// leader. This is safe because a pre-vote does not disrupt a live leader.
 	r.electionDue = now + cfg.ElectionTimeout/4 + time.Duration(cfg.Random(int64(cfg.ElectionTimeout/2)))
 
 	return r
@@ -78,16 +78,16 @@
 // Term returns the current term.
 func (r *Replica) Term() uint64 { return r.hardState.Term }
 
-// Leader returns the leader of the term, or "" when none is known.
+// Leader returns the leader of the current term, or "" if it is unknown.
 func (r *Replica) Leader() ReplicaID { return r.leader }
 
-// Membership returns the membership in force here.
+// Membership returns the membership of the newest entry in this replica's log, committed or not.
 func (r *Replica) Membership() Membership { return r.log.membership() }
 
-// Commit returns the highest position known as committed.
+// Commit returns the highest index known to be committed.
 func (r *Replica) Commit() uint64 { return r.log.commit }
 
-// MembershipAt returns the membership that was in force at index.
+// MembershipAt returns the membership that applies at index.
 func (r *Replica) MembershipAt(index uint64) Membership {
 	m := r.log.memberships[0].membership
 	for _, at := range r.log.memberships {
@@ -99,16 +99,16 @@
 	return m
 }
 
-// TermAt returns the term of the entry at index, and false if it is not held.
+// TermAt returns the term of the entry at index, and false if the log does not hold it.
 func (r *Replica) TermAt(index uint64) (uint64, bool) { return r.log.term(index) }
 
-// Compact drops the log up to index; a snapshot at index must be stored.
+// Compact removes applied entries up to index. The stored snapshot must cover them.
 func (r *Replica) Compact(index uint64) { r.log.compact(min(index, r.log.applied)) }
 
-// TailFrom returns the first position of the newest entries that hold at most maxBytes.
+// TailFrom returns the index from which the newest entries hold at most maxBytes of data.
 func (r *Replica) TailFrom(maxBytes int) uint64 { return r.log.tailStart(maxBytes) }
 
-// Tick lets time pass.
+// Tick starts elections, heartbeats and timeouts that are due at now.
 func (r *Replica) Tick(now time.Duration) {
 	if r.role == RoleLeader {
 		r.tickLeader(now)
@@ -122,7 +122,7 @@
 	}
 }
 
-// Step takes one message.
+// Step handles a received message.
 func (r *Replica) Step(now time.Duration, m Message) {
 	if m.To != r.cfg.ID || m.Group != r.cfg.Group {
 		return
@@ -159,7 +159,9 @@
 	}
 }
 
-// followHigherTerm moves to the term of m where m justifies it, and reports whether m is to be handled.
+// followHigherTerm adopts the higher term of m, except for pre-votes and granted pre-vote
+// replies, and reports whether m must be handled. A vote request is ignored while the leader
+// is alive, unless a leadership transfer caused it.
 func (r *Replica) followHigherTerm(now time.Duration, m Message) bool {
 	switch m.Kind {
 	case MessagePreVote:
@@ -192,7 +194,7 @@
 	}
 }
 
-// Ready returns what must be done next; the driver then calls Advance.
+// Ready returns the pending work. The driver calls Advance once it is stored.
 func (r *Replica) Ready() Ready {
 	rd := Ready{Early: r.earlyMessages, Messages: r.messages, Reads: r.readStates, Snapshot: r.pendingInstall}
 	r.earlyMessages, r.messages, r.readStates, r.pendingInstall = nil, nil, nil, nil
@@ -214,7 +216,7 @@
 	return rd
 }
 
-// Advance says that rd is stored.
+// Advance records that everything in rd is stored.
 func (r *Replica) Advance(now time.Duration, rd Ready) {
 	if n := len(rd.Entries); n > 0 {
 		last := rd.Entries[n-1]
--- a/internal/consensus/simulation_test.go
+++ b/internal/consensus/simulation_test.go
@@ -14,21 +14,21 @@
 	"github.com/tamarackbay/tamarackbay/internal/consensus"
 )
 
-// simulation runs real replicas under a seeded scheduler of messages, clocks,
-// crashes, emptied disks and partitions, and checks the invariants after each step.
+// simulation runs replicas with a seeded random schedule of messages, clock rates,
+// crashes, lost disks and partitions, and checks invariants after each step.
 type simulation struct {
 	rnd            *rand.Rand
 	now            time.Duration
 	nodes          []*simNode
 	inFlight       []delayedMessage
-	blockedLinks   map[[2]consensus.ReplicaID]bool // messages from the first to the second are lost
+	blockedLinks   map[[2]consensus.ReplicaID]bool // pairs of sender and receiver whose messages are lost
 	leaderByTerm   map[uint64]consensus.ReplicaID
 	committed      map[uint64]string // committed entries by index
-	highestCommit  uint64            // highest index that any replica knew as committed
+	highestCommit  uint64            // highest index that any replica applied
 	lastNumber     int
-	commitAtRead   map[uint64]uint64 // read context to what was committed when it began
-	events         map[string]int    // what happened, to see that the run was not empty
-	faultsDisabled bool              // no further faults are made
+	commitAtRead   map[uint64]uint64 // highestCommit when the read started, by read context
+	events         map[string]int    // counts of events, to check that the run covered them
+	faultsDisabled bool              // no further random faults
 }
 
 type delayedMessage struct {
@@ -36,7 +36,7 @@
 	m   consensus.Message
 }
 
-// simNode is a replica with its disk.
+// simNode is a replica and its disk.
 type simNode struct {
 	id          consensus.ReplicaID
 	replica     *consensus.Replica
@@ -45,10 +45,10 @@
 	entries     []consensus.Entry
 	bootstrap   consensus.Membership
 	applied     uint64
-	state       string // the state machine: a chain over all commands
+	state       string // state machine: a hash chain over all applied commands
 	clockRate   float64
 	down        bool
-	diskLost    bool // its disk was emptied: it never comes back
+	diskLost    bool // the replica never restarts
 	pausedUntil time.Duration
 }
 
@@ -92,7 +92,7 @@
 	}, n.clock(s.now))
 }
 
-// flush does what a driver does. A crash may come before anything is stored.
+// flush processes Ready as a driver does. The replica may crash before anything is stored.
 func (s *simulation) flush(n *simNode) {
 	for {
 		rd := n.replica.Ready()
@@ -101,7 +101,7 @@
 		}
 		s.sendAll(rd.Early)
 		if rd.MustSync() && !s.faultsDisabled && s.rnd.IntN(400) == 0 {
-			s.crash(n) // the tail that was not synced is lost
+			s.crash(n) // loses the unsynced tail
 			s.events["lostTail"]++
 
 			return
@@ -113,7 +113,7 @@
 		for _, r := range rd.Reads {
 			if r.OK {
 				s.events["read"]++
-				Expect(r.Index).To(BeNumerically(">=", s.commitAtRead[r.Context]), "a read misses what was committed before it")
+				Expect(r.Index).To(BeNumerically(">=", s.commitAtRead[r.Context]), "the read index is below what was committed before the read")
 			}
 		}
 	}
@@ -133,22 +133,22 @@
 			at = int(en.Index - n.entries[0].Index)
 		}
 		Expect(at).To(BeNumerically(">=", 0))
-		Expect(at).To(BeNumerically("<=", len(n.entries)), "a gap in the log of %s", n.id)
+		Expect(at).To(BeNumerically("<=", len(n.entries)), "the stored log of %s has a gap", n.id)
 		n.entries = append(n.entries[:at:at], en)
 	}
 }
 
 func (s *simulation) apply(n *simNode, rd *consensus.Ready) {
 	if rd.Snapshot != nil {
-		Expect(rd.Snapshot.Index).To(BeNumerically(">=", n.applied), "a snapshot takes the state back")
+		Expect(rd.Snapshot.Index).To(BeNumerically(">=", n.applied), "the snapshot is older than the applied state")
 		n.applied, n.state = rd.Snapshot.Index, string(rd.Snapshot.Data)
 	}
 	for _, en := range rd.Committed {
-		Expect(en.Index).To(Equal(n.applied+1), "%s applies out of order", n.id)
+		Expect(en.Index).To(Equal(n.applied+1), "%s applies entries out of order", n.id)
 		n.applied = en.Index
 		text := fmt.Sprintf("%d/%d/%s", en.Term, en.Kind, en.Data)
 		if old, ok := s.committed[en.Index]; ok {
-			Expect(text).To(Equal(old), "two entries are committed at %d", en.Index)
+			Expect(text).To(Equal(old), "two different entries are committed at index %d", en.Index)
 		}
 		s.committed[en.Index] = text
 		if en.Kind == consensus.EntryCommand {
@@ -193,7 +193,7 @@
 		}
 		d := time.Duration(s.rnd.Int64N(int64(10 * time.Millisecond)))
 		if s.rnd.IntN(30) == 0 {
-			d *= 40 // late, behind newer ones
+			d *= 40 // reordered behind later messages
 		}
 		s.inFlight = append(s.inFlight, delayedMessage{s.now + d, m})
 		if s.rnd.IntN(40) == 0 {
@@ -239,7 +239,7 @@
 	return best
 }
 
-// randomStep lets one thing happen.
+// randomStep advances time a little, delivers due messages and triggers at most one random event.
 func (s *simulation) randomStep() {
 	s.now += time.Duration(s.rnd.Int64N(int64(3 * time.Millisecond)))
 	s.deliver()
@@ -321,7 +321,7 @@
 	}
 }
 
-// voters returns the voters as the leader sees them.
+// voters returns the voters in the leader's membership.
 func (s *simulation) voters() []consensus.ReplicaID {
 	if n := s.leader(); n != nil {
 		return n.replica.Membership().Voters
@@ -347,8 +347,8 @@
 	}
 }
 
-// loseOneDisk empties a disk for good, as long as a quorum of voters keeps theirs: more
-// loss than that is beyond what any replication survives.
+// loseOneDisk permanently removes a replica with its disk, as long as a quorum of voters
+// keeps theirs: no replication protocol survives the loss of a quorum.
 func (s *simulation) loseOneDisk() {
 	gone := 0
 	vs := s.voters()
@@ -365,8 +365,9 @@
 	s.events["emptied"]++
 }
 
-// membershipsAgree reports whether every living replica agrees on the members, so that the
-// count of lost disks above is not made against a membership that is on its way out.
+// membershipsAgree reports whether all voters that kept their disk are running and have the
+// leader's list of voters. Otherwise loseOneDisk would count lost disks against a membership
+// that is being replaced.
 func (s *simulation) membershipsAgree() bool {
 	ld := s.leader()
 	for _, n := range s.nodes {
@@ -384,7 +385,7 @@
 	return true
 }
 
-// changeMembership changes the membership by one step: a new learner, a promotion, a removal.
+// changeMembership proposes one change: a new learner, a promotion or a removal.
 func (s *simulation) changeMembership() {
 	ld := s.leader()
 	if ld == nil {
@@ -415,7 +416,7 @@
 	s.flush(ld)
 }
 
-// voterToRemove returns the voter whose disk was emptied, or any one.
+// voterToRemove returns a voter whose disk was lost, or else a random one.
 func (s *simulation) voterToRemove(voters []consensus.ReplicaID) consensus.ReplicaID {
 	for _, id := range voters {
 		if s.node(id).diskLost {
@@ -426,7 +427,7 @@
 	return voters[s.rnd.IntN(len(voters))]
 }
 
-// partition cuts random directions between replicas.
+// partition isolates one replica from all others, in one direction or both.
 func (s *simulation) partition() {
 	s.blockedLinks = map[[2]consensus.ReplicaID]bool{}
 	a := s.alive()
@@ -435,7 +436,7 @@
 	}
 	lone := a[s.rnd.IntN(len(a))]
 	if ld := s.leader(); ld != nil && s.rnd.IntN(2) == 0 {
-		lone = ld // a leader that is cut off knows it last
+		lone = ld // an isolated leader is the last to notice that it lost its role
 	}
 	oneWay := s.rnd.IntN(2) == 0
 	for _, n := range s.nodes {
@@ -454,7 +455,7 @@
 	}
 }
 
-// checkLeaders holds the invariants that are seen from outside after each step.
+// checkLeaders checks that each term has at most one leader.
 func (s *simulation) checkLeaders() {
 	for _, n := range s.nodes {
 		if n.down || n.diskLost || n.replica.Role() != consensus.RoleLeader {
@@ -467,7 +468,7 @@
 	}
 }
 
-// healAndVerify heals everything and checks that the group goes on and agrees.
+// healAndVerify ends all faults, then checks that the group makes progress and its states agree.
 func (s *simulation) healAndVerify() {
 	s.faultsDisabled = true
 	s.blockedLinks = map[[2]consensus.ReplicaID]bool{}
@@ -495,7 +496,7 @@
 			s.proposeAtLeaders()
 		}
 	}
-	Expect(s.highestCommit).To(BeNumerically(">", before), "the group does not go on after everything is healed")
+	Expect(s.highestCommit).To(BeNumerically(">", before), "the group makes no progress after all faults ended")
 
 	ld := s.leader()
 	Expect(ld).NotTo(BeNil())
@@ -505,13 +506,14 @@
 			continue
 		}
 		if old, ok := states[n.applied]; ok {
-			Expect(n.state).To(Equal(old), "the states differ at %d", n.applied)
+			Expect(n.state).To(Equal(old), "the states of two replicas differ at index %d", n.applied)
 		}
 		states[n.applied] = n.state
 	}
 }
 
-// seeds returns fixed seeds, or as many as TAMARACKBAY_SEEDS asks for.
+// seeds returns n consecutive seeds. TAMARACKBAY_SEEDS overrides n, and
+// TAMARACKBAY_FIRST_SEED the first seed.
 func seeds(n int) []uint64 {
 	first := uint64(1)
 	if v, err := strconv.Atoi(os.Getenv("TAMARACKBAY_SEEDS")); err == nil {
@@ -530,7 +532,7 @@
 
 const simulationSteps = 100_000
 
-var _ = Describe("replicas under a seeded scheduler", func() {
+var _ = Describe("replicas with seeded random faults", func() {
 	for _, seed := range seeds(6) {
 		It(fmt.Sprintf("keep their invariants with seed %d", seed), func() {
 			s := newSimulation(seed, 3)
@@ -540,7 +542,7 @@
 			s.healAndVerify()
 			GinkgoWriter.Println("seed", seed, s.events, "leaders", len(s.leaderByTerm))
 			for _, what := range []string{"propose", "applied", "crash", "restart", "snapshot", "compact", "emptied", "member", "partition", "read", "lostTail"} {
-				Expect(s.events[what]).To(BeNumerically(">", 0), "the run had no %s", what)
+				Expect(s.events[what]).To(BeNumerically(">", 0), "the run had no %s event", what)
 			}
 		})
 	}
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -1,7 +1,8 @@
-// Package consensus holds the replication protocol of a group: terms, pre-vote,
-// log replication, read index, snapshots in chunks, learners and membership
-// changes one at a time. The Replica is a plain struct that takes messages and
-// the time as arguments and hands out what must be stored and sent.
+// Package consensus implements the Raft protocol of a replication group: elections
+// with pre-vote, log replication, read index, chunked snapshots, learners, leadership
+// transfer and single-server membership changes. A Replica does no I/O and reads no
+// clock: messages and the time are arguments, and Ready returns what the driver must
+// store, send and apply.
 package consensus
 
 import (
@@ -9,13 +10,13 @@
 	"time"
 )
 
-// ReplicaID names one replica for as long as its data folder lives.
+// ReplicaID identifies a replica. A replica whose data folder is lost returns under a new ID.
 type ReplicaID string
 
-// GroupID names a replication group.
+// GroupID identifies a replication group.
 type GroupID uint32
 
-// EntryKind tells what the data of an Entry means.
+// EntryKind determines how the data of an Entry is interpreted.
 type EntryKind uint8
 
 // Kinds of log entries.
@@ -33,7 +34,7 @@
 	Data  []byte    `cbor:"4,keyasint,omitempty"`
 }
 
-// HardState is what a replica must not forget between two messages it sends.
+// HardState must be durable before the replica sends any message that depends on it.
 type HardState struct {
 	Term uint64    `cbor:"1,keyasint"`
 	Vote ReplicaID `cbor:"2,keyasint"`
@@ -45,10 +46,10 @@
 	Learners []ReplicaID `cbor:"2,keyasint"`
 }
 
-// IsVoter reports whether id votes.
+// IsVoter reports whether id is a voter.
 func (m Membership) IsVoter(id ReplicaID) bool { return slices.Contains(m.Voters, id) }
 
-// IsLearner reports whether id receives the log without voting.
+// IsLearner reports whether id is a learner.
 func (m Membership) IsLearner(id ReplicaID) bool { return slices.Contains(m.Learners, id) }
 
 // Quorum returns the number of voters that form a majority.
@@ -68,7 +69,7 @@
 	return n
 }
 
-// WithVoter returns a copy in which id votes.
+// WithVoter returns a copy in which id is a voter.
 func (m Membership) WithVoter(id ReplicaID) Membership {
 	n := m.Without(id)
 	n.Voters = append(n.Voters, id)
@@ -77,12 +78,12 @@
 	return n
 }
 
-// Equal reports whether two memberships name the same replicas.
+// Equal reports whether both memberships have the same voters and learners.
 func (m Membership) Equal(o Membership) bool {
 	return slices.Equal(m.Voters, o.Voters) && slices.Equal(m.Learners, o.Learners)
 }
 
-// Without returns a copy that lacks id.
+// Without returns a copy from which id is removed.
 func (m Membership) Without(id ReplicaID) Membership {
 	isID := func(o ReplicaID) bool { return o == id }
 
@@ -92,7 +93,7 @@
 	}
 }
 
-// Snapshot is the state of the group's state machine after Index.
+// Snapshot is the state of the group's state machine after the entry at Index is applied.
 type Snapshot struct {
 	Index      uint64     `cbor:"1,keyasint"`
 	Term       uint64     `cbor:"2,keyasint"`
@@ -100,7 +101,7 @@
 	Data       []byte     `cbor:"4,keyasint"`
 }
 
-// MessageKind tells the purpose of a Message.
+// MessageKind determines which protocol step a Message belongs to.
 type MessageKind uint8
 
 // Kinds of messages between replicas.
@@ -116,7 +117,7 @@
 	MessageTimeoutNow
 )
 
-// Message is sent between two replicas of one group. It may be lost, repeated,
+// Message is sent between two replicas of one group. Messages may be lost, duplicated,
 // delayed and reordered.
 type Message struct {
 	Kind    MessageKind
@@ -124,13 +125,13 @@
 	From    ReplicaID
 	To      ReplicaID
 	Term    uint64
-	Index   uint64 // log position before Entries, or the last one of a candidate
-	LogTerm uint64 // term at Index
+	Index   uint64 // index of the entry before Entries, or of a candidate's last entry
+	LogTerm uint64 // term of the entry at Index
 	Commit  uint64
-	Round   uint64 // heartbeat round, echoed by replies
+	Round   uint64 // heartbeat round; replies return it
 	Reject  bool
-	Force   bool   // the vote follows a leadership transfer
-	Hint    uint64 // highest position that a rejecting follower may share
+	Force   bool   // the election follows a leadership transfer, so a live leader does not prevent it
+	Hint    uint64 // highest index at which a rejecting follower's log may match
 	Entries []Entry
 
 	SnapshotOffset uint64
@@ -139,7 +140,7 @@
 	Chunk          []byte
 }
 
-// Role is the part a replica plays in its term.
+// Role is the role of a replica in its current term.
 type Role uint8
 
 // Roles of a replica.
@@ -154,15 +155,16 @@
 	return [...]string{"follower", "candidate", "leader"}[ro]
 }
 
-// ReadState says that reads under Context may be served once Index is applied.
+// ReadState is the result of ReadIndex for the same Context. If OK, the read may be served
+// once Index is applied; otherwise the replica lost leadership and the read must be retried.
 type ReadState struct {
 	Context uint64
 	Index   uint64
 	OK      bool
 }
 
-// Ready is what the driver must do next: send Early, store HardState, Snapshot
-// and Entries with one sync, send Messages, call Advance, then apply Committed.
+// Ready lists the driver's pending work, in this order: send Early, store HardState,
+// Snapshot and Entries with one sync, send Messages, call Advance, apply Committed.
 type Ready struct {
 	Early     []Message
 	HardState *HardState
@@ -173,7 +175,7 @@
 	Reads     []ReadState
 }
 
-// Empty reports whether there is nothing to do.
+// Empty reports whether there is no pending work.
 func (rd *Ready) Empty() bool {
 	return len(rd.Early) == 0 && rd.HardState == nil && rd.Snapshot == nil && len(rd.Entries) == 0 &&
 		len(rd.Messages) == 0 && len(rd.Committed) == 0 && len(rd.Reads) == 0
@@ -184,26 +186,26 @@
 	return rd.HardState != nil || rd.Snapshot != nil || len(rd.Entries) > 0
 }
 
-// Config builds a Replica.
+// Config holds the settings and the recovered state of a Replica.
 type Config struct {
 	ID              ReplicaID
 	Group           GroupID
 	ElectionTimeout time.Duration
 	HeartbeatPeriod time.Duration
 	MaxAppendBytes  int
-	MaxInFlight     uint64 // entries sent and not yet acknowledged, a follower
+	MaxInFlight     uint64 // unacknowledged entries per follower
 	ChunkBytes      int
 	Random          func(n int64) int64
-	// LatestSnapshot returns the stored snapshot, which covers all that Compact dropped.
+	// LatestSnapshot returns the stored snapshot, which covers all entries that Compact removed.
 	LatestSnapshot func() (Snapshot, bool)
 
 	// Recovered state.
 	HardState HardState
-	Snapshot  Snapshot // Data is not used
+	Snapshot  Snapshot // Data is ignored
 	Entries   []Entry
 }
 
-// Defaults fills the fields left zero.
+// Defaults sets fields that are zero to their default values.
 func (c *Config) Defaults() {
 	if c.ElectionTimeout == 0 {
 		c.ElectionTimeout = 500 * time.Millisecond
