--- a/internal/storage/fuzz_test.go
+++ b/internal/storage/fuzz_test.go
@@ -13,8 +13,8 @@
 	f.Add([]byte{1, 0, 0, 0, 9, 9, 9, 9, 2})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		d := newDisk()
-		d.files[dir+"/log-0000000000000001"] = &diskFile{data: b, synced: len(b)}
-		_, re, err := storage.Open(d.seam(), dir, 1)
+		d.files[dir+"/log-0000000000000001"] = &memoryFile{data: b, synced: len(b)}
+		_, re, err := storage.Open(d.operations(), dir, 1)
 		if err != nil {
 			return
 		}
--- a/internal/storage/record.go
+++ b/internal/storage/record.go
@@ -8,9 +8,9 @@
 const (
 	recordHeaderBytes = 8
 	maxRecordBytes    = 64 << 20
-	tailScanBytes     = 1 << 20
-	// dataBytes is the most data of a snapshot in one record.
-	dataBytes = 16 << 20
+	maxTailScanBytes  = 1 << 20
+	// maxDataRecordBytes is the most data of a snapshot in one record.
+	maxDataRecordBytes = 16 << 20
 )
 
 // Kinds of records in a log segment.
@@ -18,8 +18,8 @@
 	recordHeader byte = iota + 1
 	recordEntry
 	recordHardState
-	recordData // a part of a snapshot's data
-	recordEnd  // how many bytes of data there are
+	recordSnapshotData // a part of a snapshot's data
+	recordSnapshotEnd  // how many bytes of data there are
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -28,7 +28,7 @@
 func appendRecord(dst []byte, kind byte, body []byte) []byte {
 	at := len(dst)
 	dst = append(beginRecord(dst, kind), body...)
-	endRecord(dst[at:])
+	finishRecord(dst[at:])
 
 	return dst
 }
@@ -40,8 +40,8 @@
 	return append(append(dst, h[:]...), kind)
 }
 
-// recordOf returns the start of a record whose body is written after it.
-func recordOf(kind byte, body []byte) []byte {
+// recordPrefix returns the start of a record whose body is written after it.
+func recordPrefix(kind byte, body []byte) []byte {
 	b := beginRecord(nil, kind)
 	binary.LittleEndian.PutUint32(b, uint32(len(body)+1))
 	binary.LittleEndian.PutUint32(b[4:], crc32.Update(crc32.Checksum([]byte{kind}, castagnoli), castagnoli, body))
@@ -49,8 +49,8 @@
 	return b
 }
 
-// endRecord fills in the size and the checksum of the record that b holds.
-func endRecord(b []byte) {
+// finishRecord fills in the size and the checksum of the record that b holds.
+func finishRecord(b []byte) {
 	body := b[recordHeaderBytes:]
 	binary.LittleEndian.PutUint32(b, uint32(len(body)))
 	binary.LittleEndian.PutUint32(b[4:], crc32.Checksum(body, castagnoli))
@@ -78,7 +78,7 @@
 // hasRecordAfter reports whether a whole record starts anywhere behind the first byte of b.
 // A torn write leaves none; damage in the middle of a file does.
 func hasRecordAfter(b []byte) bool {
-	for i := 1; i < len(b) && i < tailScanBytes; i++ {
+	for i := 1; i < len(b) && i < maxTailScanBytes; i++ {
 		if _, _, _, ok := readRecord(b[i:]); ok {
 			return true
 		}
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -21,7 +21,7 @@
 // still read.
 const FormatVersion = 2
 
-const segmentBytes = 16 << 20
+const maxSegmentBytes = 16 << 20
 
 type fileHeader struct {
 	Format int               `cbor:"1,keyasint"`
@@ -30,23 +30,23 @@
 }
 
 type segment struct {
-	name string
-	last uint64 // highest entry written to it
+	name      string
+	lastIndex uint64 // highest entry written to it
 }
 
 // Store holds the log and snapshot of one group. It is not safe for concurrent use.
 type Store struct {
-	files    Files
-	dir      string
-	group    consensus.GroupID
-	current  File
-	size     int
-	sequence int
-	segments []segment
-	hs       consensus.HardState
-	snapshot consensus.Snapshot
-	buf      []byte
-	broken   error
+	files        Files
+	dir          string
+	group        consensus.GroupID
+	currentFile  File
+	currentBytes int
+	sequence     int
+	segments     []segment
+	hardState    consensus.HardState
+	snapshot     consensus.Snapshot
+	encodeBuffer []byte
+	failure      error
 }
 
 // Recovered is what a Store found on the disk.
@@ -60,13 +60,13 @@
 // Open reads the folder dir and starts a new segment.
 func Open(files Files, dir string, group consensus.GroupID) (*Store, *Recovered, error) {
 	if err := files.MkdirAll(dir); err != nil {
-		return nil, nil, writeError(dir, err)
+		return nil, nil, fileError(dir, err)
 	}
 
 	st := &Store{files: files, dir: dir, group: group}
 	names, err := files.List(dir)
 	if err != nil {
-		return nil, nil, writeError(dir, err)
+		return nil, nil, fileError(dir, err)
 	}
 
 	re := &Recovered{}
@@ -76,7 +76,7 @@
 	if err := st.readSegments(names, re); err != nil {
 		return nil, nil, err
 	}
-	st.hs, st.snapshot = re.HardState, withoutData(re.Snapshot)
+	st.hardState, st.snapshot = re.HardState, withoutData(re.Snapshot)
 	if err := st.startSegment(); err != nil {
 		return nil, nil, err
 	}
@@ -84,11 +84,11 @@
 	return st, re, nil
 }
 
-func writeError(path string, err error) error {
+func fileError(path string, err error) error {
 	return result.New(result.DataFolderWrite, "storage: %s: %v", path, err)
 }
 
-func damaged(path string, offset int, what string) error {
+func damagedError(path string, offset int, what string) error {
 	return result.New(result.DataFolderDamaged, "storage: %s: offset %d: %s", path, offset, what)
 }
 
@@ -101,7 +101,7 @@
 		path := filepath.Join(st.dir, name)
 		b, err := st.files.Read(path)
 		if err != nil {
-			return writeError(path, err)
+			return fileError(path, err)
 		}
 		sn, err := decodeSnapshot(path, b)
 		if err != nil {
@@ -119,7 +119,7 @@
 	var sn consensus.Snapshot
 	kind, body, size, ok := readRecord(b)
 	if !ok || kind != recordHeader {
-		return sn, damaged(path, 0, "no valid header")
+		return sn, damagedError(path, 0, "no valid header")
 	}
 	if err := checkHeader(path, body); err != nil {
 		return sn, err
@@ -127,30 +127,30 @@
 
 	kind, body, n, ok := readRecord(b[size:])
 	if !ok || kind != recordEntry {
-		return sn, damaged(path, size, "the snapshot is not whole")
+		return sn, damagedError(path, size, "the snapshot is not whole")
 	}
 	if err := cbor.Unmarshal(body, &sn); err != nil {
-		return sn, damaged(path, size, err.Error())
+		return sn, damagedError(path, size, err.Error())
 	}
 	if sn.Data == nil {
-		return sn, decodeData(path, b, size+n, &sn)
+		return sn, readSnapshotData(path, b, size+n, &sn)
 	}
 
 	return sn, nil
 }
 
-// decodeData reads the records of a snapshot's data, from an offset to the end.
-func decodeData(path string, b []byte, offset int, sn *consensus.Snapshot) error {
+// readSnapshotData reads the records of a snapshot's data, from an offset to the end.
+func readSnapshotData(path string, b []byte, offset int, sn *consensus.Snapshot) error {
 	var parts [][]byte
 	total := 0
 	for {
 		kind, body, n, ok := readRecord(b[offset:])
 		switch {
-		case ok && kind == recordData:
+		case ok && kind == recordSnapshotData:
 			parts = append(parts, body)
 			total += len(body)
 			offset += n
-		case ok && kind == recordEnd && len(body) == 8 && binary.LittleEndian.Uint64(body) == uint64(total):
+		case ok && kind == recordSnapshotEnd && len(body) == 8 && binary.LittleEndian.Uint64(body) == uint64(total):
 			if len(parts) == 1 {
 				sn.Data = parts[0]
 			} else {
@@ -159,7 +159,7 @@
 
 			return nil
 		default:
-			return damaged(path, offset, "the snapshot is not whole")
+			return damagedError(path, offset, "the snapshot is not whole")
 		}
 	}
 }
@@ -167,7 +167,7 @@
 func checkHeader(path string, body []byte) error {
 	var h fileHeader
 	if err := cbor.Unmarshal(body, &h); err != nil {
-		return damaged(path, 0, err.Error())
+		return damagedError(path, 0, err.Error())
 	}
 	if h.Format > FormatVersion {
 		return result.New(result.DataFolderNewer, "storage: %s: format %d, this program knows %d", path, h.Format, FormatVersion)
@@ -202,11 +202,11 @@
 	path := filepath.Join(st.dir, name)
 	f, err := st.files.Append(path)
 	if err != nil {
-		return writeError(path, err)
+		return fileError(path, err)
 	}
 	defer func() { _ = f.Close() }() // nothing was written
 	if err := f.Sync(); err != nil {
-		return writeError(path, err)
+		return fileError(path, err)
 	}
 
 	return nil
@@ -216,10 +216,10 @@
 	path := filepath.Join(st.dir, name)
 	b, err := st.files.Read(path)
 	if err != nil {
-		return writeError(path, err)
+		return fileError(path, err)
 	}
 	if _, err := fmt.Sscanf(name, "log-%d", &st.sequence); err != nil {
-		return damaged(path, 0, "not the name of a segment")
+		return damagedError(path, 0, "not the name of a segment")
 	}
 
 	sg := segment{name: name}
@@ -227,16 +227,16 @@
 		kind, body, size, ok := readRecord(b[off:])
 		if !ok {
 			if !isLast || hasRecordAfter(b[off:]) {
-				return damaged(path, off, "a record in the middle of the log is not valid")
+				return damagedError(path, off, "a record in the middle of the log is not valid")
 			}
 			re.TornBytes += len(b) - off
 			if err := st.files.Truncate(path, int64(off)); err != nil {
-				return writeError(path, err)
+				return fileError(path, err)
 			}
 
 			break
 		}
-		if err := st.takeRecord(path, off, kind, body, &sg, re); err != nil {
+		if err := st.recoverRecord(path, off, kind, body, &sg, re); err != nil {
 			return err
 		}
 		off += size
@@ -246,39 +246,39 @@
 	return nil
 }
 
-func (st *Store) takeRecord(path string, off int, kind byte, body []byte, sg *segment, re *Recovered) error {
+func (st *Store) recoverRecord(path string, off int, kind byte, body []byte, sg *segment, re *Recovered) error {
 	switch kind {
 	case recordHeader:
 		return checkHeader(path, body)
 	case recordHardState:
 		if err := cbor.Unmarshal(body, &re.HardState); err != nil {
-			return damaged(path, off, err.Error())
+			return damagedError(path, off, err.Error())
 		}
 	case recordEntry:
 		var en consensus.Entry
 		if err := cbor.Unmarshal(body, &en); err != nil {
-			return damaged(path, off, err.Error())
+			return damagedError(path, off, err.Error())
 		}
-		sg.last = max(sg.last, en.Index)
+		sg.lastIndex = max(sg.lastIndex, en.Index)
 		if en.Index <= re.Snapshot.Index {
 			return nil
 		}
 
 		at := en.Index - re.Snapshot.Index - 1
 		if at > uint64(len(re.Entries)) {
-			return damaged(path, off, fmt.Sprintf("entry %d follows a gap", en.Index))
+			return damagedError(path, off, fmt.Sprintf("entry %d follows a gap", en.Index))
 		}
 		re.Entries = append(re.Entries[:at], en)
 	default:
-		return damaged(path, off, fmt.Sprintf("record of unknown kind %d", kind))
+		return damagedError(path, off, fmt.Sprintf("record of unknown kind %d", kind))
 	}
 
 	return nil
 }
 
 func (st *Store) startSegment() error {
-	if st.current.Close != nil {
-		_ = st.current.Close()
+	if st.currentFile.Close != nil {
+		_ = st.currentFile.Close()
 	}
 
 	st.sequence++
@@ -286,26 +286,26 @@
 	path := filepath.Join(st.dir, name)
 	f, err := st.files.Append(path)
 	if err != nil {
-		return writeError(path, err)
+		return fileError(path, err)
 	}
 
-	st.current, st.size = f, 0
+	st.currentFile, st.currentBytes = f, 0
 	st.segments = append(st.segments, segment{name: name})
 	h, err := cbor.Marshal(fileHeader{Format: FormatVersion, Group: st.group, First: st.snapshot.Index})
 	if err != nil {
-		return writeError(path, err)
+		return fileError(path, err)
 	}
 	b := appendRecord(nil, recordHeader, h)
-	if st.hs != (consensus.HardState{}) {
-		if b, err = appendCBOR(b, recordHardState, st.hs); err != nil {
-			return writeError(path, err)
+	if st.hardState != (consensus.HardState{}) {
+		if b, err = appendCBOR(b, recordHardState, st.hardState); err != nil {
+			return fileError(path, err)
 		}
 	}
-	if err := st.write(b); err != nil {
+	if err := st.writeSynced(b); err != nil {
 		return err
 	}
 	if err := st.files.SyncDir(st.dir); err != nil {
-		return st.fail(err)
+		return st.failWith(err)
 	}
 
 	return nil
@@ -317,37 +317,37 @@
 	if err != nil {
 		return nil, err
 	}
-	endRecord(dst[at:])
+	finishRecord(dst[at:])
 
 	return dst, nil
 }
 
-func (st *Store) fail(err error) error {
-	st.broken = writeError(st.dir, err)
+func (st *Store) failWith(err error) error {
+	st.failure = fileError(st.dir, err)
 
-	return st.broken
+	return st.failure
 }
 
-func (st *Store) write(b []byte) error {
-	n, err := st.current.Write(b)
+func (st *Store) writeSynced(b []byte) error {
+	n, err := st.currentFile.Write(b)
 	if err == nil && n < len(b) {
 		err = io.ErrShortWrite
 	}
 	if err != nil {
-		return st.fail(err)
+		return st.failWith(err)
 	}
-	if err := st.current.Sync(); err != nil {
-		return st.fail(err)
+	if err := st.currentFile.Sync(); err != nil {
+		return st.failWith(err)
 	}
-	st.size += n
+	st.currentBytes += n
 
 	return nil
 }
 
 // Save stores what rd asks for with one sync. After an error the store refuses all further work.
 func (st *Store) Save(rd *consensus.Ready) error {
-	if st.broken != nil {
-		return st.broken
+	if st.failure != nil {
+		return st.failure
 	}
 	if rd.Snapshot != nil {
 		if err := st.SaveSnapshot(*rd.Snapshot, true); err != nil {
@@ -359,25 +359,25 @@
 	}
 
 	var err error
-	b := st.buf[:0]
+	b := st.encodeBuffer[:0]
 	if rd.HardState != nil {
-		st.hs = *rd.HardState
-		if b, err = appendCBOR(b, recordHardState, st.hs); err != nil {
-			return st.fail(err)
+		st.hardState = *rd.HardState
+		if b, err = appendCBOR(b, recordHardState, st.hardState); err != nil {
+			return st.failWith(err)
 		}
 	}
 	sg := &st.segments[len(st.segments)-1]
 	for i := range rd.Entries {
 		if b, err = appendCBOR(b, recordEntry, &rd.Entries[i]); err != nil {
-			return st.fail(err)
+			return st.failWith(err)
 		}
-		sg.last = max(sg.last, rd.Entries[i].Index)
+		sg.lastIndex = max(sg.lastIndex, rd.Entries[i].Index)
 	}
-	st.buf = b
-	if err := st.write(b); err != nil {
+	st.encodeBuffer = b
+	if err := st.writeSynced(b); err != nil {
 		return err
 	}
-	if st.size > segmentBytes {
+	if st.currentBytes > maxSegmentBytes {
 		return st.startSegment()
 	}
 
@@ -386,11 +386,11 @@
 
 // SaveSnapshot stores sn. A received snapshot replaces the log as a whole.
 func (st *Store) SaveSnapshot(sn consensus.Snapshot, received bool) error {
-	if st.broken != nil {
-		return st.broken
+	if st.failure != nil {
+		return st.failure
 	}
 	if err := st.WriteSnapshot(sn); err != nil {
-		st.broken = err
+		st.failure = err
 
 		return err
 	}
@@ -403,19 +403,19 @@
 func (st *Store) WriteSnapshot(sn consensus.Snapshot) error {
 	h, err := cbor.Marshal(fileHeader{Format: FormatVersion, Group: st.group})
 	if err != nil {
-		return writeError(st.dir, err)
+		return fileError(st.dir, err)
 	}
 	b, err := appendCBOR(appendRecord(nil, recordHeader, h), recordEntry, withoutData(sn))
 	if err != nil {
-		return writeError(st.dir, err)
+		return fileError(st.dir, err)
 	}
 	parts := [][]byte{b}
-	for part := range slices.Chunk(sn.Data, dataBytes) {
-		parts = append(parts, recordOf(recordData, part), part)
+	for part := range slices.Chunk(sn.Data, maxDataRecordBytes) {
+		parts = append(parts, recordPrefix(recordSnapshotData, part), part)
 	}
-	parts = append(parts, appendRecord(nil, recordEnd, binary.LittleEndian.AppendUint64(nil, uint64(len(sn.Data)))))
+	parts = append(parts, appendRecord(nil, recordSnapshotEnd, binary.LittleEndian.AppendUint64(nil, uint64(len(sn.Data)))))
 	if err := st.files.WriteAtomic(st.snapshotPath(sn.Index), parts...); err != nil {
-		return writeError(st.dir, err)
+		return fileError(st.dir, err)
 	}
 
 	return nil
@@ -423,20 +423,20 @@
 
 // DropSnapshot removes a written snapshot that a newer one has overtaken.
 func (st *Store) DropSnapshot(index uint64) error {
-	if st.broken != nil || index == st.snapshot.Index {
-		return st.broken
+	if st.failure != nil || index == st.snapshot.Index {
+		return st.failure
 	}
 	if err := st.files.Remove(st.snapshotPath(index)); err != nil {
-		return st.fail(err)
+		return st.failWith(err)
 	}
 
-	return st.syncDirOrFail()
+	return st.syncFolder()
 }
 
 // AdoptSnapshot makes a written snapshot the stored one and removes what it covers.
 func (st *Store) AdoptSnapshot(sn consensus.Snapshot, received bool) error {
-	if st.broken != nil {
-		return st.broken
+	if st.failure != nil {
+		return st.failure
 	}
 	old := st.snapshot
 	st.snapshot = withoutData(sn)
@@ -447,28 +447,28 @@
 	}
 	if old.Index > 0 && old.Index != sn.Index {
 		if err := st.files.Remove(st.snapshotPath(old.Index)); err != nil {
-			return st.fail(err)
+			return st.failWith(err)
 		}
 	}
 
-	return st.dropSegments(received)
+	return st.removeCoveredSegments(received)
 }
 
-// dropSegments removes the segments that the snapshot covers, oldest first.
-func (st *Store) dropSegments(all bool) error {
-	for len(st.segments) > 1 && (all || st.segments[0].last <= st.snapshot.Index) {
+// removeCoveredSegments removes the segments that the snapshot covers, oldest first.
+func (st *Store) removeCoveredSegments(all bool) error {
+	for len(st.segments) > 1 && (all || st.segments[0].lastIndex <= st.snapshot.Index) {
 		if err := st.files.Remove(filepath.Join(st.dir, st.segments[0].name)); err != nil {
-			return st.fail(err)
+			return st.failWith(err)
 		}
 		st.segments = st.segments[1:]
 	}
 
-	return st.syncDirOrFail()
+	return st.syncFolder()
 }
 
-func (st *Store) syncDirOrFail() error {
+func (st *Store) syncFolder() error {
 	if err := st.files.SyncDir(st.dir); err != nil {
-		return st.fail(err)
+		return st.failWith(err)
 	}
 
 	return nil
@@ -477,19 +477,19 @@
 // LatestSnapshot reads the stored snapshot, and returns false if there is none. One
 // that cannot be read ends all further work.
 func (st *Store) LatestSnapshot() (consensus.Snapshot, bool) {
-	if st.snapshot.Index == 0 || st.broken != nil {
+	if st.snapshot.Index == 0 || st.failure != nil {
 		return consensus.Snapshot{}, false
 	}
 	path := st.snapshotPath(st.snapshot.Index)
 	b, err := st.files.Read(path)
 	if err != nil {
-		_ = st.fail(err) // the next call returns it
+		_ = st.failWith(err) // the next call returns it
 
 		return consensus.Snapshot{}, false
 	}
 	sn, err := decodeSnapshot(path, b)
 	if err != nil {
-		st.broken = err
+		st.failure = err
 
 		return consensus.Snapshot{}, false
 	}
@@ -510,4 +510,4 @@
 }
 
 // Close closes the current segment.
-func (st *Store) Close() error { return st.current.Close() }
+func (st *Store) Close() error { return st.currentFile.Close() }
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -21,29 +21,29 @@
 	"github.com/tamarackbay/tamarackbay/internal/storage"
 )
 
-// disk is a file system in memory that forgets what was not synced.
-type disk struct {
-	files  map[string]*diskFile // as seen by the running program
-	stored map[string]*diskFile // names that a synced folder holds
-	fail   func(op, path string) error
-	short  int // bytes after which a write is short, -1 for never
+// memoryDisk is a file system in memory that forgets what was not synced.
+type memoryDisk struct {
+	files           map[string]*memoryFile // as seen by the running program
+	durable         map[string]*memoryFile // names that a synced folder holds
+	fault           func(op, path string) error
+	shortWriteBytes int // bytes after which a write is short, -1 for never
 }
 
-type diskFile struct {
+type memoryFile struct {
 	data   []byte
 	synced int
 }
 
 var errDisk = errors.New("disk fault")
 
-func newDisk() *disk {
-	return &disk{files: map[string]*diskFile{}, stored: map[string]*diskFile{}, short: -1, fail: func(string, string) error { return nil }}
+func newDisk() *memoryDisk {
+	return &memoryDisk{files: map[string]*memoryFile{}, durable: map[string]*memoryFile{}, shortWriteBytes: -1, fault: func(string, string) error { return nil }}
 }
 
 // crash leaves what was synced, and a random part of what was not.
-func (d *disk) crash(rnd *rand.Rand) {
-	d.files = map[string]*diskFile{}
-	for p, f := range d.stored {
+func (d *memoryDisk) crash(rnd *rand.Rand) {
+	d.files = map[string]*memoryFile{}
+	for p, f := range d.durable {
 		n := f.synced
 		if extra := len(f.data) - n; extra > 0 {
 			n += rnd.IntN(extra + 1)
@@ -51,35 +51,35 @@
 		f.data, f.synced = f.data[:n:n], n
 		d.files[p] = f
 	}
-	d.fail = func(string, string) error { return nil }
+	d.fault = func(string, string) error { return nil }
 }
 
-func (d *disk) open(path string, truncate bool) (storage.File, error) {
-	if err := d.fail("open", path); err != nil {
+func (d *memoryDisk) open(path string, truncate bool) (storage.File, error) {
+	if err := d.fault("open", path); err != nil {
 		return storage.File{}, err
 	}
 	f, ok := d.files[path]
 	if !ok || truncate {
-		f = &diskFile{}
+		f = &memoryFile{}
 		d.files[path] = f
 	}
 
 	return storage.File{
 		Write: func(b []byte) (int, error) {
-			if err := d.fail("write", path); err != nil {
+			if err := d.fault("write", path); err != nil {
 				return 0, err
 			}
-			if d.short >= 0 && len(b) > d.short {
-				f.data = append(f.data, b[:d.short]...)
+			if d.shortWriteBytes >= 0 && len(b) > d.shortWriteBytes {
+				f.data = append(f.data, b[:d.shortWriteBytes]...)
 
-				return d.short, errDisk
+				return d.shortWriteBytes, errDisk
 			}
 			f.data = append(f.data, b...)
 
 			return len(b), nil
 		},
 		Sync: func() error {
-			if err := d.fail("sync", path); err != nil {
+			if err := d.fault("sync", path); err != nil {
 				return err
 			}
 			f.synced = len(f.data)
@@ -90,9 +90,9 @@
 	}, nil
 }
 
-func (d *disk) seam() storage.Files {
+func (d *memoryDisk) operations() storage.Files {
 	return storage.Files{
-		MkdirAll: func(dir string) error { return d.fail("mkdir", dir) },
+		MkdirAll: func(dir string) error { return d.fault("mkdir", dir) },
 		Append:   func(p string) (storage.File, error) { return d.open(p, false) },
 		Create:   func(p string) (storage.File, error) { return d.open(p, true) },
 		Read: func(p string) ([]byte, error) {
@@ -104,7 +104,7 @@
 			return slices.Clone(f.data), nil
 		},
 		Rename: func(from, to string) error {
-			if err := d.fail("rename", to); err != nil {
+			if err := d.fault("rename", to); err != nil {
 				return err
 			}
 			d.files[to] = d.files[from]
@@ -115,7 +115,7 @@
 		Remove: func(p string) error {
 			delete(d.files, p)
 
-			return d.fail("remove", p)
+			return d.fault("remove", p)
 		},
 		Truncate: func(p string, size int64) error {
 			d.files[p].data = d.files[p].data[:size]
@@ -124,17 +124,17 @@
 			return nil
 		},
 		SyncDir: func(dir string) error {
-			if err := d.fail("syncDir", dir); err != nil {
+			if err := d.fault("syncDir", dir); err != nil {
 				return err
 			}
-			for p := range d.stored {
+			for p := range d.durable {
 				if filepath.Dir(p) == dir {
-					delete(d.stored, p)
+					delete(d.durable, p)
 				}
 			}
 			for p, f := range d.files {
 				if filepath.Dir(p) == dir {
-					d.stored[p] = f
+					d.durable[p] = f
 				}
 			}
 
@@ -156,8 +156,8 @@
 
 const dir = "/data/group-1"
 
-// maxRecord is the most that one record of a file holds.
-const maxRecord = 64 << 20
+// maxRecordBytes is the most that one record of a file holds.
+const maxRecordBytes = 64 << 20
 
 func entries(first, n int, term uint64) []consensus.Entry {
 	out := make([]consensus.Entry, n)
@@ -181,7 +181,7 @@
 			var hs consensus.HardState
 			base := uint64(0)
 			for range 6 {
-				st, re, err := storage.Open(d.seam(), dir, 1)
+				st, re, err := storage.Open(d.operations(), dir, 1)
 				Expect(err).NotTo(HaveOccurred(), "seed %d", seed)
 				Expect(re.Snapshot.Index).To(Equal(base))
 				Expect(len(re.Entries)).To(BeNumerically(">=", len(want)), "seed %d", seed)
@@ -193,7 +193,7 @@
 
 				crashAt := rnd.IntN(40)
 				n := 0
-				d.fail = func(op, _ string) error {
+				d.fault = func(op, _ string) error {
 					if n++; n > crashAt && op != "mkdir" {
 						return errDisk
 					}
@@ -224,7 +224,7 @@
 				}
 				d.crash(rnd)
 				// The crash may have come between the snapshot's rename and its answer.
-				if _, re, err := storage.Open(d.seam(), dir, 1); err == nil && re.Snapshot.Index > base {
+				if _, re, err := storage.Open(d.operations(), dir, 1); err == nil && re.Snapshot.Index > base {
 					want = want[re.Snapshot.Index-base:]
 					base = re.Snapshot.Index
 				}
@@ -233,13 +233,13 @@
 	})
 
 	damage := []struct {
-		name string
-		hurt func(d *disk)
-		code result.Code
+		name   string
+		inject func(d *memoryDisk)
+		code   result.Code
 	}{
-		{"a flipped bit in the middle of the log", func(d *disk) { flip(d, "log-", 0.4) }, result.DataFolderDamaged},
-		{"a flipped bit in a snapshot", func(d *disk) { flip(d, "snapshot-", 0.7) }, result.DataFolderDamaged},
-		{"a newer format", func(d *disk) {
+		{"a flipped bit in the middle of the log", func(d *memoryDisk) { flipBit(d, "log-", 0.4) }, result.DataFolderDamaged},
+		{"a flipped bit in a snapshot", func(d *memoryDisk) { flipBit(d, "snapshot-", 0.7) }, result.DataFolderDamaged},
+		{"a newer format", func(d *memoryDisk) {
 			for p, f := range d.files {
 				if strings.Contains(p, "log-") {
 					f.data = storage.EncodeHeader(storage.FormatVersion + 1)
@@ -250,12 +250,12 @@
 	for _, tc := range damage {
 		It("refuses "+tc.name+" and names the file", func() {
 			d := newDisk()
-			st, _, err := storage.Open(d.seam(), dir, 1)
+			st, _, err := storage.Open(d.operations(), dir, 1)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(save(st, entries(1, 20, 1), nil)).To(Succeed())
 			Expect(st.SaveSnapshot(consensus.Snapshot{Index: 10, Term: 1, Data: make([]byte, 400)}, false)).To(Succeed())
-			tc.hurt(d)
-			_, _, err = storage.Open(d.seam(), dir, 1)
+			tc.inject(d)
+			_, _, err = storage.Open(d.operations(), dir, 1)
 			Expect(result.Is(err, tc.code)).To(BeTrue(), "%v", err)
 			Expect(err.Error()).To(ContainSubstring(dir))
 		})
@@ -270,10 +270,10 @@
 	for _, tc := range faults {
 		It("refuses all further work after "+tc.name, func() {
 			d := newDisk()
-			st, _, err := storage.Open(d.seam(), dir, 1)
+			st, _, err := storage.Open(d.operations(), dir, 1)
 			Expect(err).NotTo(HaveOccurred())
 			failing := true
-			d.fail = func(op, _ string) error {
+			d.fault = func(op, _ string) error {
 				if failing && op == tc.op {
 					return errDisk
 				}
@@ -290,32 +290,32 @@
 
 	It("refuses a write that was short", func() {
 		d := newDisk()
-		st, _, err := storage.Open(d.seam(), dir, 1)
+		st, _, err := storage.Open(d.operations(), dir, 1)
 		Expect(err).NotTo(HaveOccurred())
-		d.short = 11
+		d.shortWriteBytes = 11
 		Expect(save(st, entries(1, 3, 1), nil)).NotTo(Succeed())
 	})
 
 	It("refuses a folder that cannot be written", func() {
 		d := newDisk()
-		d.fail = func(op, _ string) error {
+		d.fault = func(op, _ string) error {
 			if op == "open" || op == "mkdir" {
 				return fs.ErrPermission
 			}
 
 			return nil
 		}
-		_, _, err := storage.Open(d.seam(), dir, 1)
+		_, _, err := storage.Open(d.operations(), dir, 1)
 		Expect(result.Is(err, result.DataFolderWrite)).To(BeTrue(), "%v", err)
 	})
 
 	It("keeps what a restart read, though the process was killed between write and sync, over a later loss of power", func() {
 		for seed := range uint64(20) {
 			d := newDisk()
-			st, _, err := storage.Open(d.seam(), dir, 1)
+			st, _, err := storage.Open(d.operations(), dir, 1)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(st.Save(&consensus.Ready{Entries: []consensus.Entry{{Index: 1, Term: 1}}})).To(Succeed())
-			d.fail = func(op, _ string) error {
+			d.fault = func(op, _ string) error {
 				if op == "sync" {
 					return errDisk
 				}
@@ -323,16 +323,16 @@
 				return nil
 			}
 			Expect(st.Save(&consensus.Ready{Entries: []consensus.Entry{{Index: 2, Term: 1}, {Index: 3, Term: 1}}})).NotTo(Succeed())
-			d.fail = func(string, string) error { return nil }
+			d.fault = func(string, string) error { return nil }
 
 			// The system keeps what the killed process wrote; the new one counts on it.
-			st, re, err := storage.Open(d.seam(), dir, 1)
+			st, re, err := storage.Open(d.operations(), dir, 1)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(re.Entries).To(HaveLen(3))
 			Expect(st.Save(&consensus.Ready{Entries: []consensus.Entry{{Index: 4, Term: 2}}})).To(Succeed())
 
 			d.crash(rand.New(rand.NewPCG(seed, 1)))
-			_, re, err = storage.Open(d.seam(), dir, 1)
+			_, re, err = storage.Open(d.operations(), dir, 1)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(re.Entries).To(HaveLen(4))
 		}
@@ -361,7 +361,7 @@
 		folder, err := os.MkdirTemp("", "storage-")
 		Expect(err).NotTo(HaveOccurred())
 		defer os.RemoveAll(folder)
-		held := func() int64 {
+		heapBytes := func() int64 {
 			runtime.GC()
 			var ms runtime.MemStats
 			runtime.ReadMemStats(&ms)
@@ -370,15 +370,15 @@
 		}
 		st, _, err := storage.Open(storage.OSFiles(), folder, 1)
 		Expect(err).NotTo(HaveOccurred())
-		before := held()
+		before := heapBytes()
 		Expect(st.SaveSnapshot(consensus.Snapshot{Index: 50, Term: 1, Data: make([]byte, size)}, false)).To(Succeed())
-		Expect(held()-before).To(BeNumerically("<", size/4), "after it was saved")
+		Expect(heapBytes()-before).To(BeNumerically("<", size/4), "after it was saved")
 		Expect(st.Close()).To(Succeed())
 
-		before = held()
+		before = heapBytes()
 		st, _, err = storage.Open(storage.OSFiles(), folder, 1)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(held()-before).To(BeNumerically("<", size/4), "after a restart")
+		Expect(heapBytes()-before).To(BeNumerically("<", size/4), "after a restart")
 		sn, ok := st.LatestSnapshot()
 		Expect(ok).To(BeTrue())
 		Expect(sn.Index).To(Equal(uint64(50)))
@@ -387,7 +387,7 @@
 	})
 
 	It("may be larger than a record, and is written without a copy of its data", func() {
-		data := make([]byte, maxRecord+(5<<20))
+		data := make([]byte, maxRecordBytes+(5<<20))
 		for i := range data {
 			data[i] = byte(i * 7)
 		}
@@ -422,18 +422,18 @@
 
 	It("that cannot be read ends all further work", func() {
 		d := newDisk()
-		st, _, err := storage.Open(d.seam(), dir, 1)
+		st, _, err := storage.Open(d.operations(), dir, 1)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(st.SaveSnapshot(consensus.Snapshot{Index: 50, Term: 1, Data: make([]byte, 1000)}, false)).To(Succeed())
-		flip(d, "snapshot", 0.5)
+		flipBit(d, "snapshot", 0.5)
 		_, ok := st.LatestSnapshot()
 		Expect(ok).To(BeFalse())
 		Expect(result.Is(save(st, entries(51, 1, 1), nil), result.DataFolderDamaged)).To(BeTrue())
 	})
 })
 
-// flip changes one bit at a part of the way through the first file of a kind.
-func flip(d *disk, kind string, part float64) {
+// flipBit changes one bit at a part of the way through the first file of a kind.
+func flipBit(d *memoryDisk, kind string, part float64) {
 	for p, f := range d.files {
 		if strings.Contains(p, kind) && len(f.data) > 100 {
 			f.data[int(part*float64(len(f.data)))] ^= 4
