--- a/internal/storage/export_test.go
+++ b/internal/storage/export_test.go
@@ -6,7 +6,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/consensus"
 )
 
-// EncodeHeader returns a segment of a format version.
+// EncodeHeader returns a file that holds only a header with the given format version.
 func EncodeHeader(format int) []byte {
 	h, err := cbor.Marshal(fileHeader{Format: format})
 	if err != nil {
@@ -16,11 +16,11 @@
 	return appendRecord(nil, recordHeader, h)
 }
 
-// EncodeSnapshotV1 returns a file with a snapshot as version 1 wrote it.
+// EncodeSnapshotV1 returns a snapshot file in format version 1.
 func EncodeSnapshotV1(sn consensus.Snapshot) []byte {
 	b, err := appendCBOR(EncodeHeader(1), recordEntry, sn)
 	if err != nil {
-		panic(err) // snapshots can be encoded
+		panic(err) // a snapshot always encodes
 	}
 
 	return b
--- a/internal/storage/files.go
+++ b/internal/storage/files.go
@@ -1,5 +1,5 @@
-// Package storage keeps a group's log and snapshots under the data folder. What
-// it returned as stored survives a crash: files and their folders are synced.
+// Package storage stores a group's log and snapshots in the data folder. It syncs files and
+// their folders before it returns, so that everything it reported as stored survives a crash.
 package storage
 
 import (
@@ -9,14 +9,14 @@
 	"sort"
 )
 
-// File is an open file that is appended to.
+// File is a file that is open for writing.
 type File struct {
 	Write func(b []byte) (int, error)
 	Sync  func() error
 	Close func() error
 }
 
-// Files are the file operations that the package uses; tests put faulty ones in.
+// Files holds the file operations that the package uses. Tests inject faults by replacing them.
 type Files struct {
 	MkdirAll func(dir string) error
 	Append   func(path string) (File, error)
@@ -29,7 +29,7 @@
 	List     func(dir string) ([]string, error)
 }
 
-// OSFiles returns the operations of the operating system.
+// OSFiles returns operations on the file system of the operating system.
 func OSFiles() Files {
 	return Files{
 		MkdirAll: func(dir string) error { return os.MkdirAll(dir, 0o700) },
@@ -96,8 +96,8 @@
 	return names, nil
 }
 
-// WriteAtomic replaces the file at path by parts, one after another, so that a crash
-// leaves the old or the new file.
+// WriteAtomic replaces the file at path with the concatenated parts. After a crash, path
+// holds either the old or the new file.
 func (fi Files) WriteAtomic(path string, parts ...[]byte) error {
 	tmp := path + ".tmp"
 	f, err := fi.Create(tmp)
--- a/internal/storage/fuzz_test.go
+++ b/internal/storage/fuzz_test.go
@@ -6,8 +6,8 @@
 	"github.com/tamarackbay/tamarackbay/internal/storage"
 )
 
-// FuzzOpen feeds arbitrary bytes as a log segment: the store recovers or refuses,
-// it never panics, and what it recovers has no gap.
+// FuzzOpen opens a store whose log segment holds arbitrary bytes. Open must not panic, and
+// the entries that it recovers must have no gap.
 func FuzzOpen(f *testing.F) {
 	f.Add(storage.EncodeHeader(1))
 	f.Add([]byte{1, 0, 0, 0, 9, 9, 9, 9, 2})
--- a/internal/storage/record.go
+++ b/internal/storage/record.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	recordHeaderBytes = 8
-	maxRecordBytes    = 64 << 20
-	maxTailScanBytes  = 1 << 20
-	// maxDataRecordBytes is the most data of a snapshot in one record.
+	recordHeaderBytes = 8        // length and CRC32C, 4 bytes each
+	maxRecordBytes    = 64 << 20 // readRecord rejects a larger length as damage
+	maxTailScanBytes  = 1 << 20  // how far hasRecordAfter searches
+	// maxDataRecordBytes limits the snapshot data in one record.
 	maxDataRecordBytes = 16 << 20
 )
 
-// Kinds of records in a log segment.
+// Kinds of records in log segments and snapshot files. The values are stored.
 const (
 	recordHeader byte = iota + 1
-	recordEntry
+	recordEntry       // a log entry, or the metadata of a snapshot
 	recordHardState
-	recordSnapshotData // a part of a snapshot's data
-	recordSnapshotEnd  // how many bytes of data there are
+	recordSnapshotData // part of a snapshot's data
+	recordSnapshotEnd  // total number of bytes of a snapshot's data
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// appendRecord appends length, CRC32C, kind and body.
+// appendRecord appends a record: the length and CRC32C of kind and body, then both.
 func appendRecord(dst []byte, kind byte, body []byte) []byte {
 	at := len(dst)
 	dst = append(beginRecord(dst, kind), body...)
@@ -33,14 +33,16 @@
 	return dst
 }
 
-// beginRecord appends the start of a record whose body follows.
+// beginRecord appends an empty header and the kind of a record. The caller appends the body
+// and calls finishRecord.
 func beginRecord(dst []byte, kind byte) []byte {
 	var h [recordHeaderBytes]byte
 
 	return append(append(dst, h[:]...), kind)
 }
 
-// recordPrefix returns the start of a record whose body is written after it.
+// recordPrefix returns the header and kind of a record with the given body. The caller writes
+// the body after it, which avoids a copy.
 func recordPrefix(kind byte, body []byte) []byte {
 	b := beginRecord(nil, kind)
 	binary.LittleEndian.PutUint32(b, uint32(len(body)+1))
@@ -49,14 +51,15 @@
 	return b
 }
 
-// finishRecord fills in the size and the checksum of the record that b holds.
+// finishRecord sets the length and the checksum in the header of the record b.
 func finishRecord(b []byte) {
 	body := b[recordHeaderBytes:]
 	binary.LittleEndian.PutUint32(b, uint32(len(body)))
 	binary.LittleEndian.PutUint32(b[4:], crc32.Checksum(body, castagnoli))
 }
 
-// readRecord returns the record at the start of b and its size, or false if there is no whole one.
+// readRecord returns the record at the start of b and its size, or false if b does not start
+// with a complete record and a valid checksum.
 func readRecord(b []byte) (kind byte, body []byte, size int, ok bool) {
 	if len(b) < recordHeaderBytes+1 {
 		return 0, nil, 0, false
@@ -75,8 +78,8 @@
 	return data[0], data[1:], recordHeaderBytes + n, true
 }
 
-// hasRecordAfter reports whether a whole record starts anywhere behind the first byte of b.
-// A torn write leaves none; damage in the middle of a file does.
+// hasRecordAfter reports whether a valid record starts after the first byte of b. This tells
+// damage in the middle of a file from a torn write at its end, which no record follows.
 func hasRecordAfter(b []byte) bool {
 	for i := 1; i < len(b) && i < maxTailScanBytes; i++ {
 		if _, _, _, ok := readRecord(b[i:]); ok {
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -17,24 +17,25 @@
 
 // FormatVersion is the version of the files that this package writes.
 //
-// Since version 2 the data of a snapshot stands in records of its own. Version 1 is
-// still read.
+// Version 2 stores the data of a snapshot in separate records. Version 1 can still be read.
 const FormatVersion = 2
 
+// A new segment starts once the current one exceeds maxSegmentBytes.
 const maxSegmentBytes = 16 << 20
 
 type fileHeader struct {
 	Format int               `cbor:"1,keyasint"`
 	Group  consensus.GroupID `cbor:"2,keyasint"`
-	First  uint64            `cbor:"3,keyasint"` // no entry at or below it is needed from older segments once compacted
+	First  uint64            `cbor:"3,keyasint"` // index of the snapshot when the segment started; it covers all entries up to here
 }
 
 type segment struct {
 	name      string
-	lastIndex uint64 // highest entry written to it
+	lastIndex uint64 // highest index of the entries in the segment
 }
 
-// Store holds the log and snapshot of one group. It is not safe for concurrent use.
+// Store stores the log and the snapshot of one group. It is not safe for concurrent use,
+// except for WriteSnapshot. After a failed write, all methods that write return that error.
 type Store struct {
 	files        Files
 	dir          string
@@ -49,15 +50,15 @@
 	failure      error
 }
 
-// Recovered is what a Store found on the disk.
+// Recovered is the state that Open read from the disk.
 type Recovered struct {
 	HardState consensus.HardState
 	Snapshot  consensus.Snapshot
 	Entries   []consensus.Entry
-	TornBytes int
+	TornBytes int // size of the incomplete record that Open cut off the end of the log
 }
 
-// Open reads the folder dir and starts a new segment.
+// Open recovers the state stored in the folder dir and starts a new segment.
 func Open(files Files, dir string, group consensus.GroupID) (*Store, *Recovered, error) {
 	if err := files.MkdirAll(dir); err != nil {
 		return nil, nil, fileError(dir, err)
@@ -119,7 +120,7 @@
 	var sn consensus.Snapshot
 	kind, body, size, ok := readRecord(b)
 	if !ok || kind != recordHeader {
-		return sn, damagedError(path, 0, "no valid header")
+		return sn, damagedError(path, 0, "the snapshot has no valid header")
 	}
 	if err := checkHeader(path, body); err != nil {
 		return sn, err
@@ -127,7 +128,7 @@
 
 	kind, body, n, ok := readRecord(b[size:])
 	if !ok || kind != recordEntry {
-		return sn, damagedError(path, size, "the snapshot is not whole")
+		return sn, damagedError(path, size, "the snapshot is incomplete or damaged")
 	}
 	if err := cbor.Unmarshal(body, &sn); err != nil {
 		return sn, damagedError(path, size, err.Error())
@@ -159,7 +160,7 @@
 
 			return nil
 		default:
-			return damagedError(path, offset, "the snapshot is not whole")
+			return damagedError(path, offset, "the snapshot is incomplete or damaged")
 		}
 	}
 }
@@ -170,7 +171,7 @@
 		return damagedError(path, 0, err.Error())
 	}
 	if h.Format > FormatVersion {
-		return result.New(result.DataFolderNewer, "storage: %s: format %d, this program knows %d", path, h.Format, FormatVersion)
+		return result.New(result.DataFolderNewer, "storage: %s: file format %d is newer than the supported format %d", path, h.Format, FormatVersion)
 	}
 
 	return nil
@@ -196,8 +197,8 @@
 	return st.syncSegment(logs[len(logs)-1])
 }
 
-// syncSegment makes durable what was read: a process that was killed may have
-// written it without a sync, and everything read from now on counts as stored.
+// syncSegment syncs a segment that was read. A killed process may have written to it without
+// a sync, but all recovered entries count as stored from now on.
 func (st *Store) syncSegment(name string) error {
 	path := filepath.Join(st.dir, name)
 	f, err := st.files.Append(path)
@@ -219,7 +220,7 @@
 		return fileError(path, err)
 	}
 	if _, err := fmt.Sscanf(name, "log-%d", &st.sequence); err != nil {
-		return damagedError(path, 0, "not the name of a segment")
+		return damagedError(path, 0, "the file name is not that of a log segment")
 	}
 
 	sg := segment{name: name}
@@ -227,7 +228,7 @@
 		kind, body, size, ok := readRecord(b[off:])
 		if !ok {
 			if !isLast || hasRecordAfter(b[off:]) {
-				return damagedError(path, off, "a record in the middle of the log is not valid")
+				return damagedError(path, off, "invalid record in the middle of the log")
 			}
 			re.TornBytes += len(b) - off
 			if err := st.files.Truncate(path, int64(off)); err != nil {
@@ -266,11 +267,11 @@
 
 		at := en.Index - re.Snapshot.Index - 1
 		if at > uint64(len(re.Entries)) {
-			return damagedError(path, off, fmt.Sprintf("entry %d follows a gap", en.Index))
+			return damagedError(path, off, fmt.Sprintf("entry %d follows a gap in the log", en.Index))
 		}
 		re.Entries = append(re.Entries[:at], en)
 	default:
-		return damagedError(path, off, fmt.Sprintf("record of unknown kind %d", kind))
+		return damagedError(path, off, fmt.Sprintf("unknown record kind %d", kind))
 	}
 
 	return nil
@@ -344,7 +345,8 @@
 	return nil
 }
 
-// Save stores what rd asks for with one sync. After an error the store refuses all further work.
+// Save stores the snapshot of rd, then its hard state and entries with one sync. After an
+// error, all further writes fail.
 func (st *Store) Save(rd *consensus.Ready) error {
 	if st.failure != nil {
 		return st.failure
@@ -384,7 +386,7 @@
 	return nil
 }
 
-// SaveSnapshot stores sn. A received snapshot replaces the log as a whole.
+// SaveSnapshot stores sn. A snapshot received from the leader replaces the entire log.
 func (st *Store) SaveSnapshot(sn consensus.Snapshot, received bool) error {
 	if st.failure != nil {
 		return st.failure
@@ -398,8 +400,8 @@
 	return st.AdoptSnapshot(sn, received)
 }
 
-// WriteSnapshot writes sn beside the stored one. It may run beside all other calls;
-// AdoptSnapshot or DropSnapshot must follow.
+// WriteSnapshot writes sn next to the stored snapshot. It may run concurrently with all other
+// calls. The caller must then call AdoptSnapshot or DropSnapshot.
 func (st *Store) WriteSnapshot(sn consensus.Snapshot) error {
 	h, err := cbor.Marshal(fileHeader{Format: FormatVersion, Group: st.group})
 	if err != nil {
@@ -421,7 +423,7 @@
 	return nil
 }
 
-// DropSnapshot removes a written snapshot that a newer one has overtaken.
+// DropSnapshot removes a written snapshot that is not adopted because a newer one is stored.
 func (st *Store) DropSnapshot(index uint64) error {
 	if st.failure != nil || index == st.snapshot.Index {
 		return st.failure
@@ -433,7 +435,8 @@
 	return st.syncFolder()
 }
 
-// AdoptSnapshot makes a written snapshot the stored one and removes what it covers.
+// AdoptSnapshot makes a written snapshot the stored one and removes the older snapshot and
+// the log segments that it covers.
 func (st *Store) AdoptSnapshot(sn consensus.Snapshot, received bool) error {
 	if st.failure != nil {
 		return st.failure
@@ -454,7 +457,8 @@
 	return st.removeCoveredSegments(received)
 }
 
-// removeCoveredSegments removes the segments that the snapshot covers, oldest first.
+// removeCoveredSegments removes the segments that the snapshot covers, oldest first. If
+// all is set, it removes all segments but the current one.
 func (st *Store) removeCoveredSegments(all bool) error {
 	for len(st.segments) > 1 && (all || st.segments[0].lastIndex <= st.snapshot.Index) {
 		if err := st.files.Remove(filepath.Join(st.dir, st.segments[0].name)); err != nil {
@@ -474,8 +478,8 @@
 	return nil
 }
 
-// LatestSnapshot reads the stored snapshot, and returns false if there is none. One
-// that cannot be read ends all further work.
+// LatestSnapshot reads the stored snapshot, and returns false if there is none. If the
+// snapshot cannot be read, all further writes fail.
 func (st *Store) LatestSnapshot() (consensus.Snapshot, bool) {
 	if st.snapshot.Index == 0 || st.failure != nil {
 		return consensus.Snapshot{}, false
@@ -483,7 +487,7 @@
 	path := st.snapshotPath(st.snapshot.Index)
 	b, err := st.files.Read(path)
 	if err != nil {
-		_ = st.failWith(err) // the next call returns it
+		_ = st.failWith(err) // the next write returns the error
 
 		return consensus.Snapshot{}, false
 	}
@@ -501,8 +505,8 @@
 	return filepath.Join(st.dir, fmt.Sprintf("snapshot-%016d", index))
 }
 
-// withoutData returns what is kept of a snapshot in memory: its data is read from
-// the disk when a replica lacks it.
+// withoutData returns the metadata of a snapshot, which stays in memory. The data is read
+// from the disk when a replica needs the snapshot.
 func withoutData(sn consensus.Snapshot) consensus.Snapshot {
 	sn.Data = nil
 
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -21,12 +21,12 @@
 	"github.com/tamarackbay/tamarackbay/internal/storage"
 )
 
-// memoryDisk is a file system in memory that forgets what was not synced.
+// memoryDisk is an in-memory file system that loses unsynced data in a crash.
 type memoryDisk struct {
-	files           map[string]*memoryFile // as seen by the running program
-	durable         map[string]*memoryFile // names that a synced folder holds
+	files           map[string]*memoryFile // files as the running process sees them
+	durable         map[string]*memoryFile // files whose folder entry was synced
 	fault           func(op, path string) error
-	shortWriteBytes int // bytes after which a write is short, -1 for never
+	shortWriteBytes int // writes stop short after this many bytes; -1 disables it
 }
 
 type memoryFile struct {
@@ -40,7 +40,7 @@
 	return &memoryDisk{files: map[string]*memoryFile{}, durable: map[string]*memoryFile{}, shortWriteBytes: -1, fault: func(string, string) error { return nil }}
 }
 
-// crash leaves what was synced, and a random part of what was not.
+// crash retains synced data and a random prefix of the data after it.
 func (d *memoryDisk) crash(rnd *rand.Rand) {
 	d.files = map[string]*memoryFile{}
 	for p, f := range d.durable {
@@ -156,7 +156,7 @@
 
 const dir = "/data/group-1"
 
-// maxRecordBytes is the most that one record of a file holds.
+// maxRecordBytes is the size limit of a record, as in package storage.
 const maxRecordBytes = 64 << 20
 
 func entries(first, n int, term uint64) []consensus.Entry {
@@ -173,7 +173,7 @@
 }
 
 var _ = Describe("a store", func() {
-	It("recovers everything that Save returned for, over any crash", func() {
+	It("recovers after a crash everything that Save reported as stored", func() {
 		for seed := range uint64(200) {
 			rnd := rand.New(rand.NewPCG(seed, 1))
 			d := newDisk()
@@ -208,7 +208,7 @@
 					es := entries(int(next), 1+rnd.IntN(5), hs.Term+1)
 					nhs := consensus.HardState{Term: hs.Term + 1, Vote: "r1"}
 					if save(st, es, &nhs) != nil {
-						want = want[:next-base-1] // the overwritten tail may be there or not
+						want = want[:next-base-1] // the overwritten tail may or may not survive
 						break
 					}
 					want, hs = append(want[:next-base-1:next-base-1], es...), nhs
@@ -223,7 +223,7 @@
 					base, want = at, nil
 				}
 				d.crash(rnd)
-				// The crash may have come between the snapshot's rename and its answer.
+				// The snapshot may be stored although SaveSnapshot returned an error.
 				if _, re, err := storage.Open(d.operations(), dir, 1); err == nil && re.Snapshot.Index > base {
 					want = want[re.Snapshot.Index-base:]
 					base = re.Snapshot.Index
@@ -248,7 +248,7 @@
 		}, result.DataFolderNewer},
 	}
 	for _, tc := range damage {
-		It("refuses "+tc.name+" and names the file", func() {
+		It("fails to open a folder with "+tc.name+" and names it in the error", func() {
 			d := newDisk()
 			st, _, err := storage.Open(d.operations(), dir, 1)
 			Expect(err).NotTo(HaveOccurred())
@@ -268,7 +268,7 @@
 		{"a failed sync", "sync"}, {"a full disk", "write"}, {"a failed sync of the folder", "syncDir"},
 	}
 	for _, tc := range faults {
-		It("refuses all further work after "+tc.name, func() {
+		It("fails all further writes after "+tc.name, func() {
 			d := newDisk()
 			st, _, err := storage.Open(d.operations(), dir, 1)
 			Expect(err).NotTo(HaveOccurred())
@@ -284,11 +284,11 @@
 			err = st.Save(&consensus.Ready{Entries: entries(1, 1, 1), Snapshot: &sn})
 			Expect(result.Is(err, result.DataFolderWrite)).To(BeTrue(), "%v", err)
 			failing = false
-			Expect(save(st, entries(2, 1, 1), nil)).NotTo(Succeed(), "a disk that failed once is not trusted again")
+			Expect(save(st, entries(2, 1, 1), nil)).NotTo(Succeed(), "after one failure the state of the disk is unknown")
 		})
 	}
 
-	It("refuses a write that was short", func() {
+	It("reports a short write as an error", func() {
 		d := newDisk()
 		st, _, err := storage.Open(d.operations(), dir, 1)
 		Expect(err).NotTo(HaveOccurred())
@@ -296,7 +296,7 @@
 		Expect(save(st, entries(1, 3, 1), nil)).NotTo(Succeed())
 	})
 
-	It("refuses a folder that cannot be written", func() {
+	It("fails to open a folder without write permission", func() {
 		d := newDisk()
 		d.fault = func(op, _ string) error {
 			if op == "open" || op == "mkdir" {
@@ -309,7 +309,7 @@
 		Expect(result.Is(err, result.DataFolderWrite)).To(BeTrue(), "%v", err)
 	})
 
-	It("keeps what a restart read, though the process was killed between write and sync, over a later loss of power", func() {
+	It("syncs recovered entries that a killed process wrote without a sync", func() {
 		for seed := range uint64(20) {
 			d := newDisk()
 			st, _, err := storage.Open(d.operations(), dir, 1)
@@ -325,7 +325,8 @@
 			Expect(st.Save(&consensus.Ready{Entries: []consensus.Entry{{Index: 2, Term: 1}, {Index: 3, Term: 1}}})).NotTo(Succeed())
 			d.fault = func(string, string) error { return nil }
 
-			// The system keeps what the killed process wrote; the new one counts on it.
+			// The page cache still holds the unsynced entries, so that the new process recovers them.
+			// They must also survive the loss of power below.
 			st, re, err := storage.Open(d.operations(), dir, 1)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(re.Entries).To(HaveLen(3))
@@ -338,7 +339,7 @@
 		}
 	})
 
-	It("works the same on the operating system's files", func() {
+	It("stores and recovers on the operating system's files", func() {
 		folder, err := os.MkdirTemp("", "storage-")
 		Expect(err).NotTo(HaveOccurred())
 		defer os.RemoveAll(folder)
@@ -356,7 +357,7 @@
 })
 
 var _ = Describe("a stored snapshot", func() {
-	It("stays on the disk: its data takes no memory until it is asked for", func() {
+	It("does not hold its data in memory until it is read", func() {
 		const size = 32 << 20
 		folder, err := os.MkdirTemp("", "storage-")
 		Expect(err).NotTo(HaveOccurred())
@@ -372,13 +373,13 @@
 		Expect(err).NotTo(HaveOccurred())
 		before := heapBytes()
 		Expect(st.SaveSnapshot(consensus.Snapshot{Index: 50, Term: 1, Data: make([]byte, size)}, false)).To(Succeed())
-		Expect(heapBytes()-before).To(BeNumerically("<", size/4), "after it was saved")
+		Expect(heapBytes()-before).To(BeNumerically("<", size/4), "heap growth after saving the snapshot")
 		Expect(st.Close()).To(Succeed())
 
 		before = heapBytes()
 		st, _, err = storage.Open(storage.OSFiles(), folder, 1)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(heapBytes()-before).To(BeNumerically("<", size/4), "after a restart")
+		Expect(heapBytes()-before).To(BeNumerically("<", size/4), "heap growth after a restart")
 		sn, ok := st.LatestSnapshot()
 		Expect(ok).To(BeTrue())
 		Expect(sn.Index).To(Equal(uint64(50)))
@@ -386,7 +387,7 @@
 		Expect(st.Close()).To(Succeed())
 	})
 
-	It("may be larger than a record, and is written without a copy of its data", func() {
+	It("may exceed the size limit of a record, and is written without a copy of its data", func() {
 		data := make([]byte, maxRecordBytes+(5<<20))
 		for i := range data {
 			data[i] = byte(i * 7)
@@ -408,7 +409,7 @@
 		Expect(st.Close()).To(Succeed())
 	})
 
-	It("of version 1 is still read", func() {
+	It("can be read in format version 1", func() {
 		folder, err := os.MkdirTemp("", "storage-")
 		Expect(err).NotTo(HaveOccurred())
 		defer os.RemoveAll(folder)
@@ -420,7 +421,7 @@
 		Expect(st.Close()).To(Succeed())
 	})
 
-	It("that cannot be read ends all further work", func() {
+	It("fails all further writes if it cannot be read", func() {
 		d := newDisk()
 		st, _, err := storage.Open(d.operations(), dir, 1)
 		Expect(err).NotTo(HaveOccurred())
@@ -432,7 +433,7 @@
 	})
 })
 
-// flipBit changes one bit at a part of the way through the first file of a kind.
+// flipBit flips one bit in a file whose name contains kind, at the given fraction of its size.
 func flipBit(d *memoryDisk, kind string, part float64) {
 	for p, f := range d.files {
 		if strings.Contains(p, kind) && len(f.data) > 100 {
@@ -441,5 +442,5 @@
 			return
 		}
 	}
-	Fail("no file to hurt")
+	Fail("no file is large enough to flip a bit")
 }
