--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -38,7 +38,7 @@
 	votes             map[ReplicaID]bool
 
 	progress       map[ReplicaID]*progress
-	round          uint64
+	round          uint64 // number of the latest heartbeat round as leader
 	pendingReads   []pendingRead
 	transferTarget ReplicaID
 	transferStart  time.Duration
@@ -46,15 +46,15 @@
 	partialSnapshot *Snapshot // being received in chunks
 	pendingInstall  *Snapshot // received completely; the next Ready returns it
 
-	earlyMessages []Message
-	messages      []Message
+	earlyMessages []Message // for Ready.Early
+	messages      []Message // for Ready.Messages
 	readStates    []ReadState
 }
 
 type pendingRead struct {
 	context uint64
-	index   uint64
-	round   uint64
+	index   uint64 // commit index when the read started, 0 if set on confirmation
+	round   uint64 // heartbeat round that a quorum must acknowledge
 }
 
 // New returns a follower with the recovered state of cfg.
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -166,11 +166,11 @@
 // Ready lists the driver's pending work, in this order: send Early, store HardState,
 // Snapshot and Entries with one sync, send Messages, call Advance, apply Committed.
 type Ready struct {
-	Early     []Message
+	Early     []Message // a leader's appends and snapshots, which need no sync first
 	HardState *HardState
 	Snapshot  *Snapshot
 	Entries   []Entry
-	Messages  []Message
+	Messages  []Message // sent only once everything above is stored
 	Committed []Entry
 	Reads     []ReadState
 }
