--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -10,60 +10,60 @@
 // Errors of proposals and membership changes.
 var (
 	ErrNotLeader       = errors.New("consensus: this replica is not the leader")
-	ErrChangeInFlight  = errors.New("consensus: a membership change is in flight")
+	ErrChangeInFlight  = errors.New("consensus: a membership change is in flight, or no entry of this term is committed yet")
 	ErrNotCaughtUp     = errors.New("consensus: the learner has not caught up")
-	ErrLastVoter       = errors.New("consensus: the last voter cannot be removed")
+	ErrLastVoter       = errors.New("consensus: cannot remove the last voter")
 	ErrUnknownReplica  = errors.New("consensus: the replica is not a member")
-	ErrTransferRunning = errors.New("consensus: leadership is being transferred")
+	ErrTransferRunning = errors.New("consensus: a leadership transfer is in progress")
 )
 
-// maxPromotionLag is the number of entries a learner may lack when it becomes a voter.
+// maxPromotionLag is how many entries a learner may lag behind when it becomes a voter.
 const maxPromotionLag = 64
 
 // Replica is one member of a group. It is not safe for concurrent use.
 type Replica struct {
-	cfg    Config
-	hs     HardState
-	stored HardState // last one handed out
-	role   Role
-	leader ReplicaID
-	log    raftLog
-
-	electionDue  time.Duration
-	heartbeatDue time.Duration
-	heardLeader  time.Duration
-	heardOnce    bool
-	preVoting    bool
-	forced       bool
-	votes        map[ReplicaID]bool
-
-	progress   map[ReplicaID]*progress
-	round      uint64
-	reads      []pendingRead
-	transferTo ReplicaID
-	transferAt time.Duration
-
-	incoming *Snapshot // snapshot being received
-	install  *Snapshot // snapshot to hand out
-
-	early    []Message
-	messages []Message
-	ready    []ReadState
+	cfg              Config
+	hardState        HardState
+	emittedHardState HardState // the one that Ready returned last
+	role             Role
+	leader           ReplicaID
+	log              raftLog
+
+	electionDue       time.Duration
+	heartbeatDue      time.Duration
+	lastLeaderContact time.Duration
+	hasLeaderContact  bool
+	preVoting         bool
+	forcedElection    bool
+	votes             map[ReplicaID]bool
+
+	progress       map[ReplicaID]*progress
+	round          uint64 // number of the latest heartbeat round as leader
+	pendingReads   []pendingRead
+	transferTarget ReplicaID
+	transferStart  time.Duration
+
+	partialSnapshot *Snapshot // being received in chunks
+	pendingInstall  *Snapshot // received completely; the next Ready returns it
+
+	earlyMessages []Message // for Ready.Early
+	messages      []Message // for Ready.Messages
+	readStates    []ReadState
 }
 
 type pendingRead struct {
 	context uint64
-	index   uint64
-	round   uint64
+	index   uint64 // commit index when the read started, 0 if set on confirmation
+	round   uint64 // heartbeat round that a quorum must acknowledge
 }
 
 // New returns a follower with the recovered state of cfg.
 func New(cfg Config, now time.Duration) *Replica {
 	cfg.Defaults()
-	r := &Replica{cfg: cfg, hs: cfg.HardState, stored: cfg.HardState, log: newRaftLog(cfg.Snapshot, cfg.Entries)}
-	r.cfg.Snapshot, r.cfg.Entries = Snapshot{}, nil // large, and not needed any more
-	// A replica that has just started asks soon whether there is a leader: its
-	// pre-vote disturbs none that is alive.
+	r := &Replica{cfg: cfg, hardState: cfg.HardState, emittedHardState: cfg.HardState, log: newRaftLog(cfg.Snapshot, cfg.Entries)}
+	r.cfg.Snapshot, r.cfg.Entries = Snapshot{}, nil // free the memory
+	// The first election timeout is shorter, so that a restarted group soon elects a
+	// leader. This is safe because a pre-vote does not disrupt a live leader.
 	r.electionDue = now + cfg.ElectionTimeout/4 + time.Duration(cfg.Random(int64(cfg.ElectionTimeout/2)))
 
 	return r
@@ -76,18 +76,18 @@
 func (r *Replica) Role() Role { return r.role }
 
 // Term returns the current term.
-func (r *Replica) Term() uint64 { return r.hs.Term }
+func (r *Replica) Term() uint64 { return r.hardState.Term }
 
-// Leader returns the leader of the term, or "" when none is known.
+// Leader returns the leader of the current term, or "" if it is unknown.
 func (r *Replica) Leader() ReplicaID { return r.leader }
 
-// Membership returns the membership in force here.
+// Membership returns the membership of the newest entry in this replica's log, committed or not.
 func (r *Replica) Membership() Membership { return r.log.membership() }
 
-// Commit returns the highest position known as committed.
+// Commit returns the highest index known to be committed.
 func (r *Replica) Commit() uint64 { return r.log.commit }
 
-// MembershipAt returns the membership that was in force at index.
+// MembershipAt returns the membership that applies at index.
 func (r *Replica) MembershipAt(index uint64) Membership {
 	m := r.log.memberships[0].membership
 	for _, at := range r.log.memberships {
@@ -99,16 +99,16 @@
 	return m
 }
 
-// TermAt returns the term of the entry at index, and false if it is not held.
+// TermAt returns the term of the entry at index, and false if the log does not hold it.
 func (r *Replica) TermAt(index uint64) (uint64, bool) { return r.log.term(index) }
 
-// Compact drops the log up to index; a snapshot at index must be stored.
+// Compact removes applied entries up to index. The stored snapshot must cover them.
 func (r *Replica) Compact(index uint64) { r.log.compact(min(index, r.log.applied)) }
 
-// TailFrom returns the first position of the newest entries that hold at most maxBytes.
-func (r *Replica) TailFrom(maxBytes int) uint64 { return r.log.tail(maxBytes) }
+// TailFrom returns the index from which the newest entries hold at most maxBytes of data.
+func (r *Replica) TailFrom(maxBytes int) uint64 { return r.log.tailStart(maxBytes) }
 
-// Tick lets time pass.
+// Tick starts elections, heartbeats and timeouts that are due at now.
 func (r *Replica) Tick(now time.Duration) {
 	if r.role == RoleLeader {
 		r.tickLeader(now)
@@ -117,22 +117,22 @@
 	}
 
 	if now >= r.electionDue {
-		r.resetElection(now)
+		r.resetElectionTimer(now)
 		r.campaign(now, false)
 	}
 }
 
-// Step takes one message.
+// Step handles a received message.
 func (r *Replica) Step(now time.Duration, m Message) {
 	if m.To != r.cfg.ID || m.Group != r.cfg.Group {
 		return
 	}
 
-	if m.Term > r.hs.Term && !r.followHigherTerm(now, m) {
+	if m.Term > r.hardState.Term && !r.followHigherTerm(now, m) {
 		return
 	}
-	if m.Term < r.hs.Term {
-		r.answerLowerTerm(m)
+	if m.Term < r.hardState.Term {
+		r.rejectLowerTerm(m)
 
 		return
 	}
@@ -159,7 +159,9 @@
 	}
 }
 
-// followHigherTerm moves to the term of m where m justifies it, and reports whether m is to be handled.
+// followHigherTerm adopts the higher term of m, except for pre-votes and granted pre-vote
+// replies, and reports whether m must be handled. A vote request is ignored while the leader
+// is alive, unless a leadership transfer caused it.
 func (r *Replica) followHigherTerm(now time.Duration, m Message) bool {
 	switch m.Kind {
 	case MessagePreVote:
@@ -183,7 +185,7 @@
 	return true
 }
 
-func (r *Replica) answerLowerTerm(m Message) {
+func (r *Replica) rejectLowerTerm(m Message) {
 	switch m.Kind {
 	case MessageAppend, MessageSnapshot:
 		r.send(Message{Kind: MessageAppendReply, To: m.From, Reject: true, Round: m.Round, Hint: r.log.lastIndex()})
@@ -192,14 +194,14 @@
 	}
 }
 
-// Ready returns what must be done next; the driver then calls Advance.
+// Ready returns the pending work. The driver calls Advance once it is stored.
 func (r *Replica) Ready() Ready {
-	rd := Ready{Early: r.early, Messages: r.messages, Reads: r.ready, Snapshot: r.install}
-	r.early, r.messages, r.ready, r.install = nil, nil, nil, nil
+	rd := Ready{Early: r.earlyMessages, Messages: r.messages, Reads: r.readStates, Snapshot: r.pendingInstall}
+	r.earlyMessages, r.messages, r.readStates, r.pendingInstall = nil, nil, nil, nil
 
-	if r.hs != r.stored {
-		hs := r.hs
-		rd.HardState, r.stored = &hs, hs
+	if r.hardState != r.emittedHardState {
+		hs := r.hardState
+		rd.HardState, r.emittedHardState = &hs, hs
 	}
 	if r.log.emitted < r.log.lastIndex() {
 		tail := r.log.entries[r.log.emitted-r.log.snapIndex:]
@@ -214,7 +216,7 @@
 	return rd
 }
 
-// Advance says that rd is stored.
+// Advance records that everything in rd is stored.
 func (r *Replica) Advance(now time.Duration, rd Ready) {
 	if n := len(rd.Entries); n > 0 {
 		last := rd.Entries[n-1]
@@ -230,32 +232,32 @@
 
 func (r *Replica) isVoter() bool { return r.log.membership().IsVoter(r.cfg.ID) }
 
-func (r *Replica) resetElection(now time.Duration) {
+func (r *Replica) resetElectionTimer(now time.Duration) {
 	t := int64(r.cfg.ElectionTimeout)
 	r.electionDue = now + r.cfg.ElectionTimeout + time.Duration(r.cfg.Random(t))
 }
 
 func (r *Replica) leaderIsAlive(now time.Duration) bool {
-	return r.heardOnce && r.leader != "" && now < r.heardLeader+r.cfg.ElectionTimeout
+	return r.hasLeaderContact && r.leader != "" && now < r.lastLeaderContact+r.cfg.ElectionTimeout
 }
 
 func (r *Replica) becomeFollower(now time.Duration, term uint64, leader ReplicaID) {
-	if term > r.hs.Term {
-		r.hs = HardState{Term: term}
+	if term > r.hardState.Term {
+		r.hardState = HardState{Term: term}
 	}
 	if r.role == RoleLeader {
-		r.dropReads()
+		r.failPendingReads()
 	}
 
 	r.role, r.leader, r.preVoting = RoleFollower, leader, false
-	r.progress, r.transferTo = nil, ""
-	r.resetElection(now)
+	r.progress, r.transferTarget = nil, ""
+	r.resetElectionTimer(now)
 }
 
 func (r *Replica) send(m Message) {
 	m.From, m.Group = r.cfg.ID, r.cfg.Group
 	if m.Term == 0 {
-		m.Term = r.hs.Term
+		m.Term = r.hardState.Term
 	}
 	r.messages = append(r.messages, m)
 }
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -17,56 +17,57 @@
 
 // FormatVersion is the version of the files that this package writes.
 //
-// Since version 2 the data of a snapshot stands in records of its own. Version 1 is
-// still read.
+// Version 2 stores the data of a snapshot in separate records. Version 1 can still be read.
 const FormatVersion = 2
 
-const segmentBytes = 16 << 20
+// A new segment starts once the current one exceeds maxSegmentBytes.
+const maxSegmentBytes = 16 << 20
 
 type fileHeader struct {
 	Format int               `cbor:"1,keyasint"`
 	Group  consensus.GroupID `cbor:"2,keyasint"`
-	First  uint64            `cbor:"3,keyasint"` // no entry at or below it is needed from older segments once compacted
+	First  uint64            `cbor:"3,keyasint"` // index of the snapshot when the segment started; it covers all entries up to here
 }
 
 type segment struct {
-	name string
-	last uint64 // highest entry written to it
+	name      string
+	lastIndex uint64 // highest index of the entries in the segment
 }
 
-// Store holds the log and snapshot of one group. It is not safe for concurrent use.
+// Store stores the log and the snapshot of one group. It is not safe for concurrent use,
+// except for WriteSnapshot. After a failed write, all methods that write return that error.
 type Store struct {
-	files    Files
-	dir      string
-	group    consensus.GroupID
-	current  File
-	size     int
-	sequence int
-	segments []segment
-	hs       consensus.HardState
-	snapshot consensus.Snapshot
-	buf      []byte
-	broken   error
+	files        Files
+	dir          string
+	group        consensus.GroupID
+	currentFile  File
+	currentBytes int
+	sequence     int
+	segments     []segment
+	hardState    consensus.HardState
+	snapshot     consensus.Snapshot
+	encodeBuffer []byte
+	failure      error
 }
 
-// Recovered is what a Store found on the disk.
+// Recovered is the state that Open read from the disk.
 type Recovered struct {
 	HardState consensus.HardState
 	Snapshot  consensus.Snapshot
 	Entries   []consensus.Entry
-	TornBytes int
+	TornBytes int // size of the incomplete record that Open cut off the end of the log
 }
 
-// Open reads the folder dir and starts a new segment.
+// Open recovers the state stored in the folder dir and starts a new segment.
 func Open(files Files, dir string, group consensus.GroupID) (*Store, *Recovered, error) {
 	if err := files.MkdirAll(dir); err != nil {
-		return nil, nil, writeError(dir, err)
+		return nil, nil, fileError(dir, err)
 	}
 
 	st := &Store{files: files, dir: dir, group: group}
 	names, err := files.List(dir)
 	if err != nil {
-		return nil, nil, writeError(dir, err)
+		return nil, nil, fileError(dir, err)
 	}
 
 	re := &Recovered{}
@@ -76,7 +77,7 @@
 	if err := st.readSegments(names, re); err != nil {
 		return nil, nil, err
 	}
-	st.hs, st.snapshot = re.HardState, withoutData(re.Snapshot)
+	st.hardState, st.snapshot = re.HardState, withoutData(re.Snapshot)
 	if err := st.startSegment(); err != nil {
 		return nil, nil, err
 	}
@@ -84,11 +85,11 @@
 	return st, re, nil
 }
 
-func writeError(path string, err error) error {
+func fileError(path string, err error) error {
 	return result.New(result.DataFolderWrite, "storage: %s: %v", path, err)
 }
 
-func damaged(path string, offset int, what string) error {
+func damagedError(path string, offset int, what string) error {
 	return result.New(result.DataFolderDamaged, "storage: %s: offset %d: %s", path, offset, what)
 }
 
@@ -101,7 +102,7 @@
 		path := filepath.Join(st.dir, name)
 		b, err := st.files.Read(path)
 		if err != nil {
-			return writeError(path, err)
+			return fileError(path, err)
 		}
 		sn, err := decodeSnapshot(path, b)
 		if err != nil {
@@ -119,7 +120,7 @@
 	var sn consensus.Snapshot
 	kind, body, size, ok := readRecord(b)
 	if !ok || kind != recordHeader {
-		return sn, damaged(path, 0, "no valid header")
+		return sn, damagedError(path, 0, "the snapshot has no valid header")
 	}
 	if err := checkHeader(path, body); err != nil {
 		return sn, err
@@ -127,30 +128,30 @@
 
 	kind, body, n, ok := readRecord(b[size:])
 	if !ok || kind != recordEntry {
-		return sn, damaged(path, size, "the snapshot is not whole")
+		return sn, damagedError(path, size, "the snapshot is incomplete or damaged")
 	}
 	if err := cbor.Unmarshal(body, &sn); err != nil {
-		return sn, damaged(path, size, err.Error())
+		return sn, damagedError(path, size, err.Error())
 	}
 	if sn.Data == nil {
-		return sn, decodeData(path, b, size+n, &sn)
+		return sn, readSnapshotData(path, b, size+n, &sn)
 	}
 
 	return sn, nil
 }
 
-// decodeData reads the records of a snapshot's data, from an offset to the end.
-func decodeData(path string, b []byte, offset int, sn *consensus.Snapshot) error {
+// readSnapshotData reads the records of a snapshot's data, from an offset to the end.
+func readSnapshotData(path string, b []byte, offset int, sn *consensus.Snapshot) error {
 	var parts [][]byte
 	total := 0
 	for {
 		kind, body, n, ok := readRecord(b[offset:])
 		switch {
-		case ok && kind == recordData:
+		case ok && kind == recordSnapshotData:
 			parts = append(parts, body)
 			total += len(body)
 			offset += n
-		case ok && kind == recordEnd && len(body) == 8 && binary.LittleEndian.Uint64(body) == uint64(total):
+		case ok && kind == recordSnapshotEnd && len(body) == 8 && binary.LittleEndian.Uint64(body) == uint64(total):
 			if len(parts) == 1 {
 				sn.Data = parts[0]
 			} else {
@@ -159,7 +160,7 @@
 
 			return nil
 		default:
-			return damaged(path, offset, "the snapshot is not whole")
+			return damagedError(path, offset, "the snapshot is incomplete or damaged")
 		}
 	}
 }
@@ -167,10 +168,10 @@
 func checkHeader(path string, body []byte) error {
 	var h fileHeader
 	if err := cbor.Unmarshal(body, &h); err != nil {
-		return damaged(path, 0, err.Error())
+		return damagedError(path, 0, err.Error())
 	}
 	if h.Format > FormatVersion {
-		return result.New(result.DataFolderNewer, "storage: %s: format %d, this program knows %d", path, h.Format, FormatVersion)
+		return result.New(result.DataFolderNewer, "storage: %s: file format %d is newer than the supported format %d", path, h.Format, FormatVersion)
 	}
 
 	return nil
@@ -196,17 +197,17 @@
 	return st.syncSegment(logs[len(logs)-1])
 }
 
-// syncSegment makes durable what was read: a process that was killed may have
-// written it without a sync, and everything read from now on counts as stored.
+// syncSegment syncs a segment that was read. A killed process may have written to it without
+// a sync, but all recovered entries count as stored from now on.
 func (st *Store) syncSegment(name string) error {
 	path := filepath.Join(st.dir, name)
 	f, err := st.files.Append(path)
 	if err != nil {
-		return writeError(path, err)
+		return fileError(path, err)
 	}
 	defer func() { _ = f.Close() }() // nothing was written
 	if err := f.Sync(); err != nil {
-		return writeError(path, err)
+		return fileError(path, err)
 	}
 
 	return nil
@@ -216,10 +217,10 @@
 	path := filepath.Join(st.dir, name)
 	b, err := st.files.Read(path)
 	if err != nil {
-		return writeError(path, err)
+		return fileError(path, err)
 	}
 	if _, err := fmt.Sscanf(name, "log-%d", &st.sequence); err != nil {
-		return damaged(path, 0, "not the name of a segment")
+		return damagedError(path, 0, "the file name is not that of a log segment")
 	}
 
 	sg := segment{name: name}
@@ -227,16 +228,16 @@
 		kind, body, size, ok := readRecord(b[off:])
 		if !ok {
 			if !isLast || hasRecordAfter(b[off:]) {
-				return damaged(path, off, "a record in the middle of the log is not valid")
+				return damagedError(path, off, "invalid record in the middle of the log")
 			}
 			re.TornBytes += len(b) - off
 			if err := st.files.Truncate(path, int64(off)); err != nil {
-				return writeError(path, err)
+				return fileError(path, err)
 			}
 
 			break
 		}
-		if err := st.takeRecord(path, off, kind, body, &sg, re); err != nil {
+		if err := st.recoverRecord(path, off, kind, body, &sg, re); err != nil {
 			return err
 		}
 		off += size
@@ -246,39 +247,39 @@
 	return nil
 }
 
-func (st *Store) takeRecord(path string, off int, kind byte, body []byte, sg *segment, re *Recovered) error {
+func (st *Store) recoverRecord(path string, off int, kind byte, body []byte, sg *segment, re *Recovered) error {
 	switch kind {
 	case recordHeader:
 		return checkHeader(path, body)
 	case recordHardState:
 		if err := cbor.Unmarshal(body, &re.HardState); err != nil {
-			return damaged(path, off, err.Error())
+			return damagedError(path, off, err.Error())
 		}
 	case recordEntry:
 		var en consensus.Entry
 		if err := cbor.Unmarshal(body, &en); err != nil {
-			return damaged(path, off, err.Error())
+			return damagedError(path, off, err.Error())
 		}
-		sg.last = max(sg.last, en.Index)
+		sg.lastIndex = max(sg.lastIndex, en.Index)
 		if en.Index <= re.Snapshot.Index {
 			return nil
 		}
 
 		at := en.Index - re.Snapshot.Index - 1
 		if at > uint64(len(re.Entries)) {
-			return damaged(path, off, fmt.Sprintf("entry %d follows a gap", en.Index))
+			return damagedError(path, off, fmt.Sprintf("entry %d follows a gap in the log", en.Index))
 		}
 		re.Entries = append(re.Entries[:at], en)
 	default:
-		return damaged(path, off, fmt.Sprintf("record of unknown kind %d", kind))
+		return damagedError(path, off, fmt.Sprintf("unknown record kind %d", kind))
 	}
 
 	return nil
 }
 
 func (st *Store) startSegment() error {
-	if st.current.Close != nil {
-		_ = st.current.Close()
+	if st.currentFile.Close != nil {
+		_ = st.currentFile.Close()
 	}
 
 	st.sequence++
@@ -286,26 +287,26 @@
 	path := filepath.Join(st.dir, name)
 	f, err := st.files.Append(path)
 	if err != nil {
-		return writeError(path, err)
+		return fileError(path, err)
 	}
 
-	st.current, st.size = f, 0
+	st.currentFile, st.currentBytes = f, 0
 	st.segments = append(st.segments, segment{name: name})
 	h, err := cbor.Marshal(fileHeader{Format: FormatVersion, Group: st.group, First: st.snapshot.Index})
 	if err != nil {
-		return writeError(path, err)
+		return fileError(path, err)
 	}
 	b := appendRecord(nil, recordHeader, h)
-	if st.hs != (consensus.HardState{}) {
-		if b, err = appendCBOR(b, recordHardState, st.hs); err != nil {
-			return writeError(path, err)
+	if st.hardState != (consensus.HardState{}) {
+		if b, err = appendCBOR(b, recordHardState, st.hardState); err != nil {
+			return fileError(path, err)
 		}
 	}
-	if err := st.write(b); err != nil {
+	if err := st.writeSynced(b); err != nil {
 		return err
 	}
 	if err := st.files.SyncDir(st.dir); err != nil {
-		return st.fail(err)
+		return st.failWith(err)
 	}
 
 	return nil
@@ -317,37 +318,38 @@
 	if err != nil {
 		return nil, err
 	}
-	endRecord(dst[at:])
+	finishRecord(dst[at:])
 
 	return dst, nil
 }
 
-func (st *Store) fail(err error) error {
-	st.broken = writeError(st.dir, err)
+func (st *Store) failWith(err error) error {
+	st.failure = fileError(st.dir, err)
 
-	return st.broken
+	return st.failure
 }
 
-func (st *Store) write(b []byte) error {
-	n, err := st.current.Write(b)
+func (st *Store) writeSynced(b []byte) error {
+	n, err := st.currentFile.Write(b)
 	if err == nil && n < len(b) {
 		err = io.ErrShortWrite
 	}
 	if err != nil {
-		return st.fail(err)
+		return st.failWith(err)
 	}
-	if err := st.current.Sync(); err != nil {
-		return st.fail(err)
+	if err := st.currentFile.Sync(); err != nil {
+		return st.failWith(err)
 	}
-	st.size += n
+	st.currentBytes += n
 
 	return nil
 }
 
-// Save stores what rd asks for with one sync. After an error the store refuses all further work.
+// Save stores the snapshot of rd, then its hard state and entries with one sync. After an
+// error, all further writes fail.
 func (st *Store) Save(rd *consensus.Ready) error {
-	if st.broken != nil {
-		return st.broken
+	if st.failure != nil {
+		return st.failure
 	}
 	if rd.Snapshot != nil {
 		if err := st.SaveSnapshot(*rd.Snapshot, true); err != nil {
@@ -359,38 +361,38 @@
 	}
 
 	var err error
-	b := st.buf[:0]
+	b := st.encodeBuffer[:0]
 	if rd.HardState != nil {
-		st.hs = *rd.HardState
-		if b, err = appendCBOR(b, recordHardState, st.hs); err != nil {
-			return st.fail(err)
+		st.hardState = *rd.HardState
+		if b, err = appendCBOR(b, recordHardState, st.hardState); err != nil {
+			return st.failWith(err)
 		}
 	}
 	sg := &st.segments[len(st.segments)-1]
 	for i := range rd.Entries {
 		if b, err = appendCBOR(b, recordEntry, &rd.Entries[i]); err != nil {
-			return st.fail(err)
+			return st.failWith(err)
 		}
-		sg.last = max(sg.last, rd.Entries[i].Index)
+		sg.lastIndex = max(sg.lastIndex, rd.Entries[i].Index)
 	}
-	st.buf = b
-	if err := st.write(b); err != nil {
+	st.encodeBuffer = b
+	if err := st.writeSynced(b); err != nil {
 		return err
 	}
-	if st.size > segmentBytes {
+	if st.currentBytes > maxSegmentBytes {
 		return st.startSegment()
 	}
 
 	return nil
 }
 
-// SaveSnapshot stores sn. A received snapshot replaces the log as a whole.
+// SaveSnapshot stores sn. A snapshot received from the leader replaces the entire log.
 func (st *Store) SaveSnapshot(sn consensus.Snapshot, received bool) error {
-	if st.broken != nil {
-		return st.broken
+	if st.failure != nil {
+		return st.failure
 	}
 	if err := st.WriteSnapshot(sn); err != nil {
-		st.broken = err
+		st.failure = err
 
 		return err
 	}
@@ -398,45 +400,46 @@
 	return st.AdoptSnapshot(sn, received)
 }
 
-// WriteSnapshot writes sn beside the stored one. It may run beside all other calls;
-// AdoptSnapshot or DropSnapshot must follow.
+// WriteSnapshot writes sn next to the stored snapshot. It may run concurrently with all other
+// calls. The caller must then call AdoptSnapshot or DropSnapshot.
 func (st *Store) WriteSnapshot(sn consensus.Snapshot) error {
 	h, err := cbor.Marshal(fileHeader{Format: FormatVersion, Group: st.group})
 	if err != nil {
-		return writeError(st.dir, err)
+		return fileError(st.dir, err)
 	}
 	b, err := appendCBOR(appendRecord(nil, recordHeader, h), recordEntry, withoutData(sn))
 	if err != nil {
-		return writeError(st.dir, err)
+		return fileError(st.dir, err)
 	}
 	parts := [][]byte{b}
-	for part := range slices.Chunk(sn.Data, dataBytes) {
-		parts = append(parts, recordOf(recordData, part), part)
+	for part := range slices.Chunk(sn.Data, maxDataRecordBytes) {
+		parts = append(parts, recordPrefix(recordSnapshotData, part), part)
 	}
-	parts = append(parts, appendRecord(nil, recordEnd, binary.LittleEndian.AppendUint64(nil, uint64(len(sn.Data)))))
+	parts = append(parts, appendRecord(nil, recordSnapshotEnd, binary.LittleEndian.AppendUint64(nil, uint64(len(sn.Data)))))
 	if err := st.files.WriteAtomic(st.snapshotPath(sn.Index), parts...); err != nil {
-		return writeError(st.dir, err)
+		return fileError(st.dir, err)
 	}
 
 	return nil
 }
 
-// DropSnapshot removes a written snapshot that a newer one has overtaken.
+// DropSnapshot removes a written snapshot that is not adopted because a newer one is stored.
 func (st *Store) DropSnapshot(index uint64) error {
-	if st.broken != nil || index == st.snapshot.Index {
-		return st.broken
+	if st.failure != nil || index == st.snapshot.Index {
+		return st.failure
 	}
 	if err := st.files.Remove(st.snapshotPath(index)); err != nil {
-		return st.fail(err)
+		return st.failWith(err)
 	}
 
-	return st.syncDirOrFail()
+	return st.syncFolder()
 }
 
-// AdoptSnapshot makes a written snapshot the stored one and removes what it covers.
+// AdoptSnapshot makes a written snapshot the stored one and removes the older snapshot and
+// the log segments that it covers.
 func (st *Store) AdoptSnapshot(sn consensus.Snapshot, received bool) error {
-	if st.broken != nil {
-		return st.broken
+	if st.failure != nil {
+		return st.failure
 	}
 	old := st.snapshot
 	st.snapshot = withoutData(sn)
@@ -447,49 +450,50 @@
 	}
 	if old.Index > 0 && old.Index != sn.Index {
 		if err := st.files.Remove(st.snapshotPath(old.Index)); err != nil {
-			return st.fail(err)
+			return st.failWith(err)
 		}
 	}
 
-	return st.dropSegments(received)
+	return st.removeCoveredSegments(received)
 }
 
-// dropSegments removes the segments that the snapshot covers, oldest first.
-func (st *Store) dropSegments(all bool) error {
-	for len(st.segments) > 1 && (all || st.segments[0].last <= st.snapshot.Index) {
+// removeCoveredSegments removes the segments that the snapshot covers, oldest first. If
+// all is set, it removes all segments but the current one.
+func (st *Store) removeCoveredSegments(all bool) error {
+	for len(st.segments) > 1 && (all || st.segments[0].lastIndex <= st.snapshot.Index) {
 		if err := st.files.Remove(filepath.Join(st.dir, st.segments[0].name)); err != nil {
-			return st.fail(err)
+			return st.failWith(err)
 		}
 		st.segments = st.segments[1:]
 	}
 
-	return st.syncDirOrFail()
+	return st.syncFolder()
 }
 
-func (st *Store) syncDirOrFail() error {
+func (st *Store) syncFolder() error {
 	if err := st.files.SyncDir(st.dir); err != nil {
-		return st.fail(err)
+		return st.failWith(err)
 	}
 
 	return nil
 }
 
-// LatestSnapshot reads the stored snapshot, and returns false if there is none. One
-// that cannot be read ends all further work.
+// LatestSnapshot reads the stored snapshot, and returns false if there is none. If the
+// snapshot cannot be read, all further writes fail.
 func (st *Store) LatestSnapshot() (consensus.Snapshot, bool) {
-	if st.snapshot.Index == 0 || st.broken != nil {
+	if st.snapshot.Index == 0 || st.failure != nil {
 		return consensus.Snapshot{}, false
 	}
 	path := st.snapshotPath(st.snapshot.Index)
 	b, err := st.files.Read(path)
 	if err != nil {
-		_ = st.fail(err) // the next call returns it
+		_ = st.failWith(err) // the next write returns the error
 
 		return consensus.Snapshot{}, false
 	}
 	sn, err := decodeSnapshot(path, b)
 	if err != nil {
-		st.broken = err
+		st.failure = err
 
 		return consensus.Snapshot{}, false
 	}
@@ -501,8 +505,8 @@
 	return filepath.Join(st.dir, fmt.Sprintf("snapshot-%016d", index))
 }
 
-// withoutData returns what is kept of a snapshot in memory: its data is read from
-// the disk when a replica lacks it.
+// withoutData returns the metadata of a snapshot, which stays in memory. The data is read
+// from the disk when a replica needs the snapshot.
 func withoutData(sn consensus.Snapshot) consensus.Snapshot {
 	sn.Data = nil
 
@@ -510,4 +514,4 @@
 }
 
 // Close closes the current segment.
-func (st *Store) Close() error { return st.current.Close() }
+func (st *Store) Close() error { return st.currentFile.Close() }
