--- a/internal/dispatch/course_test.go
+++ b/internal/dispatch/course_test.go
@@ -12,16 +12,16 @@
 var _ = ginkgo.Describe("the course of a job", func() {
 	ginkgo.It("tells what its slowest item waited for", func() {
 		at := time.Now()
-		js := &jobState{submitted: at, course: course{runs: map[string]int{"complete": 10, "moved": 1}}}
+		js := &jobState{submitted: at, timeline: timeline{runs: map[string]int{"complete": 10, "moved": 1}}}
 		for i := range 10 {
-			t := &task{job: js, item: job.Item{ID: string(rune('a' + i))}, runs: 1, server: "s", firstBegan: at.Add(time.Millisecond)}
-			t.wholeAt = at.Add(time.Duration(i+1) * 100 * time.Millisecond)
+			t := &task{job: js, item: job.Item{ID: string(rune('a' + i))}, runs: 1, server: "s", firstStartedAt: at.Add(time.Millisecond)}
+			t.completedAt = at.Add(time.Duration(i+1) * 100 * time.Millisecond)
 			if i == 9 {
-				t.runs, t.firstBegan = 2, at.Add(800*time.Millisecond)
+				t.runs, t.firstStartedAt = 2, at.Add(800*time.Millisecond)
 			}
-			js.course.note(t, t.wholeAt.Add(50*time.Millisecond))
+			js.timeline.addListed(t, t.completedAt.Add(50*time.Millisecond))
 		}
-		fl := js.course.fields()
+		fl := js.timeline.fields()
 		Expect(fl["listed"]).To(Equal(10))
 		Expect(fl["listedMs"]).To(Equal([]int64{650, 1050, 1050}))
 		Expect(fl["beganMs"]).To(Equal([]int64{1, 800, 800}))
@@ -32,6 +32,6 @@
 	})
 
 	ginkgo.It("of a job without results is empty", func() {
-		Expect((&course{}).fields()).To(HaveKeyWithValue("listed", 0))
+		Expect((&timeline{}).fields()).To(HaveKeyWithValue("listed", 0))
 	})
 })
--- a/internal/dispatch/demand.go
+++ b/internal/dispatch/demand.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// demandHalf is the time after which generated events count half as much as demand:
+	// demandHalfLife is the time after which generated events count half as much as demand:
 	// a few steps of a trainer.
-	demandHalf = 15 * time.Second
+	demandHalfLife = 15 * time.Second
 )
 
 // Demand returns how many events were generated lately for each model.
@@ -17,15 +17,15 @@
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 
-	dr.age()
+	dr.decayDemand()
 
 	return maps.Clone(dr.demand)
 }
 
-// age lets demand fade. The caller holds dr.mu.
-func (dr *Driver) age() {
+// decayDemand lets demand fade. The caller holds dr.mu.
+func (dr *Driver) decayDemand() {
 	now := time.Now()
-	f := math.Exp2(-now.Sub(dr.demandAt).Seconds() / demandHalf.Seconds())
+	f := math.Exp2(-now.Sub(dr.demandAt).Seconds() / demandHalfLife.Seconds())
 	dr.demandAt = now
 	for model := range dr.demand {
 		dr.demand[model] *= f
--- a/internal/dispatch/driver.go
+++ b/internal/dispatch/driver.go
@@ -23,10 +23,10 @@
 )
 
 const (
-	// idlePeriod is how often the driver looks for what became due without an event.
-	idlePeriod = 100 * time.Millisecond
-	// maxTried is the number of backend servers that an item remembers to avoid.
-	maxTried = 2
+	// reconcilePeriod is how often the driver looks for what became due without an event.
+	reconcilePeriod = 100 * time.Millisecond
+	// maxFailedServers is the number of backend servers that an item remembers to avoid.
+	maxFailedServers = 2
 )
 
 // Config builds a Driver.
@@ -52,7 +52,7 @@
 	jobs     map[string]*jobState
 	revision uint64 // of the ledger, as it was read last
 	running  map[string]int
-	paces    *paces
+	paces    *paceTracker
 	slow     []string   // backend servers that are slow now
 	lagging  []string   // sound ones of a slower kind
 	progress []job.Part // to be committed
@@ -68,7 +68,7 @@
 // New returns a driver.
 func New(cfg Config) *Driver {
 	return &Driver{
-		cfg: cfg, wake: make(chan struct{}, 1), jobs: map[string]*jobState{}, running: map[string]int{}, paces: newPaces(),
+		cfg: cfg, wake: make(chan struct{}, 1), jobs: map[string]*jobState{}, running: map[string]int{}, paces: newPaceTracker(),
 		demand: map[string]float64{}, commit: func(ctx context.Context, pr job.Progress) error {
 			return cfg.Group.ProposeLocal(ctx, machine.KindNoteProgress, pr, nil)
 		},
@@ -108,18 +108,18 @@
 	dr.mu.Unlock()
 	for ctx.Err() == nil {
 		applied := dr.cfg.Group.Applied()
-		dr.turn()
+		dr.reconcile()
 		select {
 		case <-applied:
 		case <-dr.wake:
-		case <-time.After(idlePeriod):
+		case <-time.After(reconcilePeriod):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// turn follows the ledger and starts what can run now.
-func (dr *Driver) turn() {
+// reconcile follows the ledger and starts what can run now.
+func (dr *Driver) reconcile() {
 	st := dr.cfg.Group.Status()
 	if !st.IsSettled {
 		// The ledger may lack what the last leader committed.
@@ -135,11 +135,11 @@
 		dr.term, dr.revision = st.Term, 0
 		dr.cfg.Log.WithField("term", st.Term).Info("items are driven here")
 	}
-	dr.follow()
-	dr.judge()
+	dr.syncLedger()
+	dr.classifyServers()
 	dr.place()
-	dr.move()
-	dr.flush()
+	dr.moveRuns()
+	dr.flushProgress()
 }
 
 func (dr *Driver) stop() {
@@ -168,8 +168,8 @@
 	}
 }
 
-// follow reads what has changed in the ledger: new jobs, ended ones, listed items.
-func (dr *Driver) follow() {
+// syncLedger reads what has changed in the ledger: new jobs, ended ones, listed items.
+func (dr *Driver) syncLedger() {
 	dr.cfg.Group.Read(func(ma *machine.Machine) {
 		le := ma.Jobs()
 		if le.Revision() == dr.revision && dr.revision != 0 {
@@ -180,7 +180,7 @@
 			js := dr.jobs[id]
 			switch {
 			case !jo.IsOpen() && js != nil:
-				dr.cfg.Log.WithFields(js.course.fields()).WithFields(log.Fields{"job": id, "model": js.model, "unlisted": len(js.tasks)}).
+				dr.cfg.Log.WithFields(js.timeline.fields()).WithFields(log.Fields{"job": id, "model": js.model, "unlisted": len(js.tasks)}).
 					Info("job driven to its end")
 				js.cancelAll()
 				delete(dr.jobs, id)
@@ -189,7 +189,7 @@
 			case jo.IsOpen():
 				for _, re := range jo.Results {
 					if t := js.tasks[re.Item]; t != nil {
-						js.course.note(t, time.Now())
+						js.timeline.addListed(t, time.Now())
 						delete(js.tasks, re.Item)
 					}
 				}
@@ -209,16 +209,16 @@
 	at := time.UnixMilli(jo.SubmittedMs)
 	js := &jobState{
 		id: sp.ID, workspace: sp.Workspace, host: sp.Host, model: sp.Model, minVersion: sp.MinVersion, submitted: at,
-		tasks: map[int]*task{}, course: course{runs: map[string]int{}},
+		tasks: map[int]*task{}, timeline: timeline{runs: map[string]int{}},
 	}
 	if sp.MaxQueue > 0 {
-		js.giveUpAt = at.Add(time.Duration(sp.MaxQueue) * time.Millisecond)
+		js.queueDeadline = at.Add(time.Duration(sp.MaxQueue) * time.Millisecond)
 	}
 	for i := range sp.Items {
 		if !jo.Listed[i] {
-			t := &task{job: js, index: i, item: sp.Items[i], waitsFrom: time.Now()}
+			t := &task{job: js, index: i, item: sp.Items[i], waitingSince: time.Now()}
 			if pa, ok := jo.Partial[i]; ok {
-				t.text = textOf(&pa)
+				t.generated = newGeneratedText(&pa)
 			}
 			js.tasks[i] = t
 		}
@@ -256,7 +256,7 @@
 	now := time.Now()
 	full := map[string]bool{} // services and versions without room in this turn
 	for _, t := range dr.waitingTasks(now) {
-		if !t.job.giveUpAt.IsZero() && now.After(t.job.giveUpAt) {
+		if !t.job.queueDeadline.IsZero() && now.After(t.job.queueDeadline) {
 			dr.finish(t, job.Result{Item: t.index, State: job.Aborted}, "it waited too long")
 
 			continue
@@ -283,7 +283,7 @@
 		Service: service, Model: t.job.model, MinVersion: t.job.minVersion, Prefix: t.job.model + "/" + t.item.Group, Tokens: t.item.Tokens,
 	}
 	last := -1
-	for _, exclude := range [][]string{slices.Concat(t.tried, dr.slow, dr.lagging), slices.Concat(t.tried, dr.slow), t.tried, nil} {
+	for _, exclude := range [][]string{slices.Concat(t.failedServers, dr.slow, dr.lagging), slices.Concat(t.failedServers, dr.slow), t.failedServers, nil} {
 		if len(exclude) == last {
 			continue // nobody is let in who was left out before
 		}
@@ -296,26 +296,26 @@
 	return nil
 }
 
-// keepPeriod is how often the progress of an item is committed: what the loss of
+// progressPeriod is how often the progress of an item is committed: what the loss of
 // the driver costs it at most.
-const keepPeriod = 400 * time.Millisecond
+const progressPeriod = 400 * time.Millisecond
 
-// keep hands over what was generated of a run since the last time.
-func (dr *Driver) keep(t *task, te *text) {
+// recordProgress hands over what was generated of a run since the last time.
+func (dr *Driver) recordProgress(t *task, te *generatedText) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 
-	if dr.jobs[t.job.id] != t.job || t.phase != running || t.isUnkept {
+	if dr.jobs[t.job.id] != t.job || t.phase != running || t.isProgressStopped {
 		return
 	}
-	dr.progress = append(dr.progress, job.Part{Job: t.job.id, Item: t.index, After: te.kept, First: !te.hasKept, Text: job.Partial{
-		Events: slices.Clone(te.events[te.keptEvents:]), Last: te.last, Versions: slices.Clone(te.versions), Term: dr.term,
+	dr.progress = append(dr.progress, job.Part{Job: t.job.id, Item: t.index, After: te.proposed, First: !te.hasProposed, Text: job.Partial{
+		Events: slices.Clone(te.events[te.proposedEvents:]), Last: te.lastEvent, Versions: slices.Clone(te.versions), Term: dr.term,
 	}})
-	te.kept, te.keptEvents, te.hasKept = te.last, len(te.events), true
+	te.proposed, te.proposedEvents, te.hasProposed = te.lastEvent, len(te.events), true
 }
 
-// flush commits the progress that was handed over, all in one entry.
-func (dr *Driver) flush() {
+// flushProgress commits the progress that was handed over, all in one entry.
+func (dr *Driver) flushProgress() {
 	if len(dr.progress) == 0 || dr.isFlushing {
 		return
 	}
@@ -331,59 +331,59 @@
 		dr.mu.Lock()
 		dr.isFlushing = false
 		if err != nil && dr.term == term {
-			dr.unkeep(parts)
+			dr.stopProgress(parts)
 		}
 		dr.mu.Unlock()
 		dr.Wake()
 	}()
 }
 
-// unkeep ends the progress of items of which a part may be lost: a later part could
+// stopProgress ends the progress of items of which a part may be lost: a later part could
 // follow on events that it does not belong to. After the loss of this driver they
 // go on from further back.
-func (dr *Driver) unkeep(lost []job.Part) {
+func (dr *Driver) stopProgress(lost []job.Part) {
 	isLost := func(pa job.Part) bool {
 		return slices.ContainsFunc(lost, func(lo job.Part) bool { return lo.Job == pa.Job && lo.Item == pa.Item })
 	}
 	dr.progress = slices.DeleteFunc(dr.progress, isLost)
 	for _, pa := range lost {
 		if js := dr.jobs[pa.Job]; js != nil && js.tasks[pa.Item] != nil {
-			js.tasks[pa.Item].isUnkept = true
+			js.tasks[pa.Item].isProgressStopped = true
 		}
 	}
 }
 
-// judge looks which backend servers are slow.
-func (dr *Driver) judge() {
-	slow, lagging := dr.paces.judge(time.Now())
+// classifyServers looks which backend servers are slow.
+func (dr *Driver) classifyServers() {
+	slow, lagging := dr.paces.classify(time.Now())
 	if !slices.Equal(slow, dr.slow) {
 		dr.cfg.Log.WithFields(log.Fields{"slow": slow, "before": dr.slow, "lagging": lagging}).Info("slow backend servers")
 	}
 	dr.slow, dr.lagging = slow, lagging
 }
 
-// movesPerTurn bounds how many runs are moved at once, so that they do not all
+// maxMovesPerPass bounds how many runs are moved at once, so that they do not all
 // meet at the same backend servers before their load is known.
-const movesPerTurn = 8
+const maxMovesPerPass = 8
 
-// longRun is how long a run must have lasted to be moved from a sound backend
+// minLongRun is how long a run must have lasted to be moved from a sound backend
 // server to a faster one: few texts are that long, and a trainer waits for them.
-const longRun = 1500 * time.Millisecond
+const minLongRun = 1500 * time.Millisecond
 
-// move takes runs away from slow backend servers, and long ones from the slower
+// moveRuns takes runs away from slow backend servers, and long ones from the slower
 // kind, as far as fast ones take them. A run goes on after its last event, so little
 // is lost.
-func (dr *Driver) move() {
+func (dr *Driver) moveRuns() {
 	if len(dr.slow) == 0 && len(dr.lagging) == 0 {
 		return
 	}
 	var stuck []*task
 	for _, js := range dr.jobs {
 		for _, t := range js.tasks {
-			if t.phase != running || t.move == nil {
+			if t.phase != running || t.cancelForMove == nil {
 				continue
 			}
-			isLong := time.Since(t.began) > longRun && slices.Contains(dr.lagging, t.server)
+			isLong := time.Since(t.startedAt) > minLongRun && slices.Contains(dr.lagging, t.server)
 			if isLong || slices.Contains(dr.slow, t.server) {
 				stuck = append(stuck, t)
 			}
@@ -392,34 +392,34 @@
 	slices.SortFunc(stuck, func(a, b *task) int {
 		return cmp.Or(a.job.submitted.Compare(b.job.submitted), cmp.Compare(b.item.Expected, a.item.Expected), cmp.Compare(a.index, b.index))
 	})
-	for _, t := range stuck[:min(len(stuck), movesPerTurn)] {
+	for _, t := range stuck[:min(len(stuck), maxMovesPerPass)] {
 		// The place is taken before the run is ended: other turns come before it has.
-		t.next = dr.cfg.Balancer.Acquire(&balance.Request{
+		t.nextGrant = dr.cfg.Balancer.Acquire(&balance.Request{
 			Service: t.service, Model: t.job.model, MinVersion: t.job.minVersion, Prefix: t.job.model + "/" + t.item.Group, Tokens: t.item.Tokens,
-			Exclude: slices.Concat(t.tried, dr.slow, dr.lagging),
+			Exclude: slices.Concat(t.failedServers, dr.slow, dr.lagging),
 		})
-		if t.next == nil {
+		if t.nextGrant == nil {
 			continue
 		}
-		t.move()
-		t.move = nil
+		t.cancelForMove()
+		t.cancelForMove = nil
 	}
 }
 
 // start runs a task at a backend server.
 func (dr *Driver) start(t *task, ro *routing.Route, gr *balance.Grant) {
-	if !t.text.fits(t.job.minVersion, ro.IsSingleVersion) || (ro.IsSingleVersion && len(t.text.versions) > 0) {
-		t.text = text{}
+	if !t.generated.meetsVersionRules(t.job.minVersion, ro.IsSingleVersion) || (ro.IsSingleVersion && len(t.generated.versions) > 0) {
+		t.generated = generatedText{}
 	}
 	ctx, cancel := context.WithCancelCause(dr.ctx)
 	t.phase, t.server, t.service = running, gr.Record().ID, gr.Record().Service
 	t.cancel = func() { cancel(nil) }
-	t.move, t.began = func() { cancel(errSlow) }, time.Now()
+	t.cancelForMove, t.startedAt = func() { cancel(errSlow) }, time.Now()
 	if t.runs++; t.runs == 1 {
-		t.firstBegan = t.began
+		t.firstStartedAt = t.startedAt
 	}
 	dr.running[gr.Record().ID]++
-	te := t.text
+	te := t.generated
 	te.events, te.versions = slices.Clone(te.events), slices.Clone(te.versions)
 	began := len(te.events)
 	dr.wg.Add(1)
@@ -429,10 +429,10 @@
 		oc := dr.run(ctx, t, ro, gr, &te)
 		dr.mu.Lock()
 		dr.running[gr.Record().ID]--
-		dr.age()
+		dr.decayDemand()
 		dr.demand[t.job.model] += float64(max(len(te.events)-began, 0))
 		dr.mu.Unlock()
-		dr.ran(t, ro, gr, &te, oc)
+		dr.handleOutcome(t, ro, gr, &te, oc)
 		dr.Wake()
 	}()
 }
@@ -443,15 +443,15 @@
 	dr.wg.Add(1)
 	go func() {
 		defer dr.wg.Done()
-		dr.list(dr.ctx, t, re, why)
+		dr.commitResult(dr.ctx, t, re, why)
 	}()
 }
 
-// listRetry is the pause before a result that could not be committed is proposed again.
-const listRetry = 50 * time.Millisecond
+// commitRetryPause is the pause before a result that could not be committed is proposed again.
+const commitRetryPause = 50 * time.Millisecond
 
-// list commits a result, again and again while this process leads.
-func (dr *Driver) list(ctx context.Context, t *task, re job.Result, why string) {
+// commitResult commits a result, again and again while this process leads.
+func (dr *Driver) commitResult(ctx context.Context, t *task, re job.Result, why string) {
 	fl := log.Fields{
 		"job": t.job.id, "item": t.item.ID, "group": t.item.Group, "completed": re.State == job.Completed,
 		"versions": re.Versions, "bytes": len(re.Text), "ms": time.Since(t.job.submitted).Milliseconds(),
@@ -472,7 +472,7 @@
 			return // the next leader runs the item again
 		}
 		select {
-		case <-time.After(listRetry):
+		case <-time.After(commitRetryPause):
 		case <-ctx.Done():
 		}
 	}
--- a/internal/dispatch/move_test.go
+++ b/internal/dispatch/move_test.go
@@ -45,40 +45,40 @@
 			}},
 		})
 		dr.ctx, dr.term, dr.slow = context.Background(), 1, []string{"slow"}
-		js = &jobState{id: "j", model: "m", tasks: map[int]*task{}, course: course{runs: map[string]int{}}}
+		js = &jobState{id: "j", model: "m", tasks: map[int]*task{}, timeline: timeline{runs: map[string]int{}}}
 		dr.jobs["j"] = js
 		ended = 0
 		for i := range 8 {
 			js.tasks[i] = &task{
-				job: js, index: i, item: job.Item{ID: fmt.Sprint(i)}, phase: running, server: "slow", service: "s", began: time.Now(),
-				move: func() { ended++ },
+				job: js, index: i, item: job.Item{ID: fmt.Sprint(i)}, phase: running, server: "slow", service: "s", startedAt: time.Now(),
+				cancelForMove: func() { ended++ },
 			}
 		}
 	})
-	look := func() {
+	moveOnce := func() {
 		dr.mu.Lock()
 		defer dr.mu.Unlock()
-		dr.move()
+		dr.moveRuns()
 	}
 
 	ginkgo.It("are ended only as far as others have taken them", func() {
 		for range 5 {
-			look()
+			moveOnce()
 		}
 		Expect(ended).To(Equal(free))
 	})
 
 	ginkgo.It("go on at the place that was taken for them", func() {
-		look()
+		moveOnce()
 		for _, t := range js.tasks {
-			if t.next == nil {
+			if t.nextGrant == nil {
 				continue
 			}
-			dr.ran(t, &routing.Route{MaxAttempts: 1}, t.next, &text{}, moved)
+			dr.handleOutcome(t, &routing.Route{MaxAttempts: 1}, t.nextGrant, &generatedText{}, moved)
 			dr.mu.Lock()
 			Expect(t.phase).To(Equal(running))
 			Expect(t.server).To(Equal("fast"))
-			Expect(t.next).To(BeNil())
+			Expect(t.nextGrant).To(BeNil())
 			t.cancel()
 			dr.mu.Unlock()
 		}
@@ -86,16 +86,16 @@
 	})
 
 	ginkgo.It("that end meanwhile leave that place to others", func() {
-		look()
+		moveOnce()
 		for _, t := range js.tasks {
-			if t.next != nil {
-				dr.ran(t, &routing.Route{MaxAttempts: 1}, t.next, &text{}, cancelled)
+			if t.nextGrant != nil {
+				dr.handleOutcome(t, &routing.Route{MaxAttempts: 1}, t.nextGrant, &generatedText{}, cancelled)
 			}
 		}
-		room := 0
+		freeSlots := 0
 		for ba.Acquire(&balance.Request{Service: "s", Model: "m", Exclude: []string{"slow"}}) != nil {
-			room++
+			freeSlots++
 		}
-		Expect(room).To(Equal(free))
+		Expect(freeSlots).To(Equal(free))
 	})
 })
--- a/internal/dispatch/pace.go
+++ b/internal/dispatch/pace.go
@@ -7,44 +7,44 @@
 )
 
 const (
-	// paceWeight of a new interval in the average of a backend server: with eight
+	// paceSmoothing of a new interval in the average of a backend server: with eight
 	// runs at once the average follows a change within a few tenths of a second.
-	paceWeight = 0.1
-	// paceMemory is how long a backend server that generates nothing is still judged
+	paceSmoothing = 0.1
+	// paceRetention is how long a backend server that generates nothing is still judged
 	// by what it did last: the trouble may be over. After that its own pace counts.
-	paceMemory = 8 * time.Second
-	// kindMemory is how long its own pace is kept.
-	kindMemory = 10 * time.Minute
+	paceRetention = 8 * time.Second
+	// baselineRetention is how long its own pace is kept.
+	baselineRetention = 10 * time.Minute
 	// slowFactor times the usual pace makes a backend server slow. Sound ones of a
 	// deployment differ by about a third.
 	slowFactor = 1.6
 	// lagFactor times the pace of the fast ones makes a sound backend server one of
 	// the slower kind, which gets what the fast ones have no room for.
 	lagFactor = 1.15
-	// minPaced backend servers must be known before one is called slow.
-	minPaced = 3
+	// minServers backend servers must be known before one is called slow.
+	minServers = 3
 	// minSamples of a backend server must be known before it is judged.
 	minSamples = 8
 )
 
-// paces knows how fast each backend server generates events, from the runs of this
+// paceTracker knows how fast each backend server generates events, from the runs of this
 // process. It is safe for concurrent use.
-type paces struct {
+type paceTracker struct {
 	mu      sync.Mutex
 	servers map[string]*pace
 }
 
 type pace struct {
-	interval float64 // seconds between two events of a run, averaged
-	own      float64 // shortest average so far: what it does without trouble
-	samples  int
-	at       time.Time // of the last sample
+	interval  float64 // seconds between two events of a run, averaged
+	baseline  float64 // shortest average so far: what it does without trouble
+	samples   int
+	sampledAt time.Time // of the last sample
 }
 
-func newPaces() *paces { return &paces{servers: map[string]*pace{}} }
+func newPaceTracker() *paceTracker { return &paceTracker{servers: map[string]*pace{}} }
 
-// note takes the time between two events of one run.
-func (pa *paces) note(server string, d time.Duration, at time.Time) {
+// record takes the time between two events of one run.
+func (pa *paceTracker) record(server string, d time.Duration, at time.Time) {
 	pa.mu.Lock()
 	defer pa.mu.Unlock()
 
@@ -52,36 +52,36 @@
 	if pc == nil {
 		pc = &pace{interval: d.Seconds()}
 		pa.servers[server] = pc
-	} else if at.Sub(pc.at) > paceMemory && pc.own > 0 {
-		pc.interval = pc.own
+	} else if at.Sub(pc.sampledAt) > paceRetention && pc.baseline > 0 {
+		pc.interval = pc.baseline
 	}
-	pc.interval += paceWeight * (d.Seconds() - pc.interval)
+	pc.interval += paceSmoothing * (d.Seconds() - pc.interval)
 	pc.samples++
-	pc.at = at
-	if pc.samples >= minSamples && (pc.own == 0 || pc.interval < pc.own) {
-		pc.own = pc.interval
+	pc.sampledAt = at
+	if pc.samples >= minSamples && (pc.baseline == 0 || pc.interval < pc.baseline) {
+		pc.baseline = pc.interval
 	}
 }
 
 // expected returns the seconds between two events that a run would see now.
 func (pc *pace) expected(now time.Time) float64 {
-	if now.Sub(pc.at) > paceMemory {
-		return pc.own
+	if now.Sub(pc.sampledAt) > paceRetention {
+		return pc.baseline
 	}
 
 	return pc.interval
 }
 
-// judge returns the backend servers that are much slower than the usual one, which
+// classify returns the backend servers that are much slower than the usual one, which
 // is the median of those that generate, and those that are sound but slower than
 // the fast quarter.
-func (pa *paces) judge(now time.Time) (slow, lagging []string) {
+func (pa *paceTracker) classify(now time.Time) (slow, lagging []string) {
 	pa.mu.Lock()
 	defer pa.mu.Unlock()
 
 	var known []float64
 	for server, pc := range pa.servers {
-		if now.Sub(pc.at) > kindMemory {
+		if now.Sub(pc.sampledAt) > baselineRetention {
 			delete(pa.servers, server)
 
 			continue
@@ -90,7 +90,7 @@
 			known = append(known, pc.expected(now))
 		}
 	}
-	if len(known) < minPaced {
+	if len(known) < minServers {
 		return nil, nil
 	}
 	slices.Sort(known)
@@ -99,7 +99,7 @@
 	for server, pc := range pa.servers {
 		switch {
 		case pc.samples < minSamples:
-		case pc.expected(now) > slowFactor*usual && now.Sub(pc.at) <= paceMemory:
+		case pc.expected(now) > slowFactor*usual && now.Sub(pc.sampledAt) <= paceRetention:
 			slow = append(slow, server)
 		case pc.expected(now) > lagFactor*fast:
 			lagging = append(lagging, server)
--- a/internal/dispatch/pace_test.go
+++ b/internal/dispatch/pace_test.go
@@ -12,17 +12,17 @@
 
 func TestSuite(t *testing.T) { suite.Run(t, "dispatch") }
 
-func slowOf(pa *paces, at time.Time) []string {
-	slow, _ := pa.judge(at)
+func slowOf(pa *paceTracker, at time.Time) []string {
+	slow, _ := pa.classify(at)
 
 	return slow
 }
 
 var _ = ginkgo.Describe("backend servers of which some turn slow", func() {
 	at := time.Unix(1000, 0)
-	feed := func(pa *paces, server string, d time.Duration, n int) {
+	feed := func(pa *paceTracker, server string, d time.Duration, n int) {
 		for range n {
-			pa.note(server, d, at)
+			pa.record(server, d, at)
 		}
 	}
 
@@ -55,18 +55,18 @@
 			},
 			{"too few to judge", map[string]time.Duration{"a": 37 * time.Millisecond, "c": 110 * time.Millisecond}, nil, nil},
 		} {
-			pa := newPaces()
+			pa := newPaceTracker()
 			for server, d := range tc.intervals {
 				feed(pa, server, d, 40)
 			}
-			slow, lagging := pa.judge(at)
+			slow, lagging := pa.classify(at)
 			Expect(slow).To(Equal(tc.want), tc.name)
 			Expect(lagging).To(Equal(tc.lagging), tc.name)
 		}
 	})
 
 	ginkgo.It("are noticed within half a second of eight runs, and forgiven once they generate as before", func() {
-		pa := newPaces()
+		pa := newPaceTracker()
 		for _, server := range []string{"a", "b", "c"} {
 			feed(pa, server, 37*time.Millisecond, 100)
 		}
@@ -77,7 +77,7 @@
 	})
 
 	ginkgo.It("keep their place as ones of the slower kind while they are left out", func() {
-		pa := newPaces()
+		pa := newPaceTracker()
 		for server, d := range map[string]time.Duration{"a": 37, "b": 37, "c": 37, "slowerKind": 49, "troubled": 37} {
 			feed(pa, server, d*time.Millisecond, 100)
 		}
@@ -85,20 +85,20 @@
 		later := at.Add(time.Minute)
 		for _, server := range []string{"a", "b", "c"} {
 			for range 100 {
-				pa.note(server, 37*time.Millisecond, later)
+				pa.record(server, 37*time.Millisecond, later)
 			}
 		}
-		slow, lagging := pa.judge(later)
+		slow, lagging := pa.classify(later)
 		Expect(slow).To(BeEmpty())
 		Expect(lagging).To(Equal([]string{"slowerKind"}))
 	})
 
 	ginkgo.It("are tried again after a while without runs", func() {
-		pa := newPaces()
+		pa := newPaceTracker()
 		for _, server := range []string{"a", "b", "c"} {
 			feed(pa, server, 37*time.Millisecond, 100)
 		}
 		feed(pa, "c", 200*time.Millisecond, 100)
-		Expect(slowOf(pa, at.Add(paceMemory+time.Millisecond))).To(BeEmpty())
+		Expect(slowOf(pa, at.Add(paceRetention+time.Millisecond))).To(BeEmpty())
 	})
 })
--- a/internal/dispatch/progress_test.go
+++ b/internal/dispatch/progress_test.go
@@ -39,7 +39,7 @@
 		dr.jobs["j"] = js
 	})
 	ginkgo.AfterEach(func() { dr.wg.Wait() })
-	told := func() []job.Progress {
+	proposals := func() []job.Progress {
 		mu.Lock()
 		defer mu.Unlock()
 
@@ -48,9 +48,9 @@
 	flush := func() {
 		dr.mu.Lock()
 		defer dr.mu.Unlock()
-		dr.flush()
+		dr.flushProgress()
 	}
-	ended := func() bool {
+	flushed := func() bool {
 		dr.mu.Lock()
 		defer dr.mu.Unlock()
 
@@ -58,44 +58,44 @@
 	}
 
 	ginkgo.It("is proposed in order, one proposal at a time", func() {
-		te := &text{}
+		te := &generatedText{}
 		te.add(1, "a", 1)
-		dr.keep(js.tasks[0], te)
+		dr.recordProgress(js.tasks[0], te)
 		flush()
 		te.add(2, "b", 1)
-		dr.keep(js.tasks[0], te)
+		dr.recordProgress(js.tasks[0], te)
 		flush()
-		Eventually(told).Should(HaveLen(1))
-		Consistently(told, "50ms").Should(HaveLen(1))
+		Eventually(proposals).Should(HaveLen(1))
+		Consistently(proposals, "50ms").Should(HaveLen(1))
 		answer <- nil
-		Eventually(ended).Should(BeTrue())
+		Eventually(flushed).Should(BeTrue())
 		flush()
 		answer <- nil
-		Eventually(told).Should(HaveLen(2))
-		Expect(told()[1].Parts[0].After).To(Equal(uint64(1)))
+		Eventually(proposals).Should(HaveLen(2))
+		Expect(proposals()[1].Parts[0].After).To(Equal(uint64(1)))
 	})
 
 	ginkgo.It("of an item ends with a lost part, that of others goes on", func() {
-		lost, other := &text{}, &text{}
+		lost, other := &generatedText{}, &generatedText{}
 		lost.add(1, "a", 1)
-		dr.keep(js.tasks[0], lost)
+		dr.recordProgress(js.tasks[0], lost)
 		flush()
-		Eventually(told).Should(HaveLen(1))
+		Eventually(proposals).Should(HaveLen(1))
 		lost.add(2, "b", 1)
-		dr.keep(js.tasks[0], lost) // waits while the first part is on its way
+		dr.recordProgress(js.tasks[0], lost) // waits while the first part is on its way
 		answer <- errors.New("lost")
-		Eventually(ended).Should(BeTrue())
+		Eventually(flushed).Should(BeTrue())
 		lost.add(3, "c", 1)
-		dr.keep(js.tasks[0], lost)
+		dr.recordProgress(js.tasks[0], lost)
 		other.add(1, "x", 1)
-		dr.keep(js.tasks[1], other)
+		dr.recordProgress(js.tasks[1], other)
 		flush()
 		answer <- nil
-		Eventually(told).Should(HaveLen(2))
-		Expect(told()[1].Parts).To(HaveLen(1))
-		Expect(told()[1].Parts[0].Item).To(Equal(1))
+		Eventually(proposals).Should(HaveLen(2))
+		Expect(proposals()[1].Parts).To(HaveLen(1))
+		Expect(proposals()[1].Parts[0].Item).To(Equal(1))
 		time.Sleep(10 * time.Millisecond)
 		flush()
-		Expect(told()).To(HaveLen(2))
+		Expect(proposals()).To(HaveLen(2))
 	})
 })
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	// headTimeout is how long a backend server may take to its first event; engines
+	// firstEventTimeout is how long a backend server may take to its first event; engines
 	// read a prompt in milliseconds, and get no more requests than they have slots.
-	headTimeout = 1500 * time.Millisecond
-	// gapTimeout is the longest pause between two events before the run is moved:
+	firstEventTimeout = 1500 * time.Millisecond
+	// eventGapTimeout is the longest pause between two events before the run is moved:
 	// several times the pause that makes a stream late.
-	gapTimeout = 800 * time.Millisecond
-	// itemTimeLeft is what a backend server is told that it may take. A run that is
+	eventGapTimeout = 800 * time.Millisecond
+	// itemTimeLimit is what a backend server is told that it may take. A run that is
 	// not wanted any more is cut by closing its connection.
-	itemTimeLeft = 30 * time.Second
-	// retryAtOnce and retryLater are the pauses before an item is placed again.
-	retryAtOnce = 10 * time.Millisecond
-	retryLater  = 250 * time.Millisecond
-	// retryMax bounds the pause of an item that breaks off again and again without
+	itemTimeLimit = 30 * time.Second
+	// minRetryPause and retryLater are the pauses before an item is placed again.
+	minRetryPause   = 10 * time.Millisecond
+	scoreRetryPause = 250 * time.Millisecond
+	// maxRetryPause bounds the pause of an item that breaks off again and again without
 	// getting on; it doubles each time, maxBroken times at most.
-	retryMax  = time.Second
-	maxBroken = 8
+	maxRetryPause       = time.Second
+	maxBackoffDoublings = 8
 	// rewardTimeout bounds one call for a score, several times its usual work.
 	rewardTimeout = time.Second
 	// maxErrorBytes of an answer that reports a failure are read, to keep its connection.
@@ -43,25 +43,25 @@
 type outcome uint8
 
 const (
-	complete   outcome = iota // the text is whole
-	brokenOff                 // it goes on elsewhere
-	refused                   // it has not run there
-	serverFail                // the backend server says that it failed
-	impossible                // it can never be done
-	cancelled                 // nobody wants it any more
-	moved                     // it is taken away from a slow backend server
+	complete     outcome = iota // the text is whole
+	brokenOff                   // it goes on elsewhere
+	refused                     // it has not run there
+	serverFailed                // the backend server says that it failed
+	impossible                  // it can never be done
+	cancelled                   // nobody wants it any more
+	moved                       // it is taken away from a slow backend server
 )
 
 // run runs a task at one backend server, from where its text ends.
-func (dr *Driver) run(ctx context.Context, t *task, ro *routing.Route, gr *balance.Grant, te *text) outcome {
+func (dr *Driver) run(ctx context.Context, t *task, ro *routing.Route, gr *balance.Grant, te *generatedText) outcome {
 	rec := gr.Record()
-	began, from := time.Now(), te.last
+	began, from := time.Now(), te.lastEvent
 	grantOutcome, load := balance.Failed, (*backend.Load)(nil)
 	defer func() { gr.Release(grantOutcome, load) }()
 
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watch := time.AfterFunc(headTimeout, func() { cancel(errSilent) })
+	watch := time.AfterFunc(firstEventTimeout, func() { cancel(errSilent) })
 	defer watch.Stop()
 
 	oc, err := dr.exchange(ctx, t, ro, gr, te, watch, &load)
@@ -78,7 +78,7 @@
 		oc, grantOutcome = cancelled, balance.Unused
 	}
 	fl := log.Fields{
-		"job": t.job.id, "item": t.item.ID, "server": rec.ID, "outcome": oc.String(), "fromEvent": from, "lastEvent": te.last,
+		"job": t.job.id, "item": t.item.ID, "server": rec.ID, "outcome": oc.String(), "fromEvent": from, "lastEvent": te.lastEvent,
 		"believedVersion": rec.Version(t.job.model), "versions": te.versions, "ms": time.Since(began).Milliseconds(),
 	}
 	if err != nil {
@@ -102,12 +102,12 @@
 
 // exchange sends the item and takes its events.
 func (dr *Driver) exchange(
-	ctx context.Context, t *task, ro *routing.Route, gr *balance.Grant, te *text, watch *time.Timer, load **backend.Load,
+	ctx context.Context, t *task, ro *routing.Route, gr *balance.Grant, te *generatedText, watch *time.Timer, load **backend.Load,
 ) (outcome, error) {
 	rec := gr.Record()
 	an, err := dr.cfg.Client.Send(ctx, rec.Address, &backend.Call{
 		ID: t.item.ID, Method: http.MethodPost, Host: t.job.host, Target: t.item.Path, Header: headerOf(&t.item), Body: t.item.Body,
-		Instance: rec.ID, Workspace: t.job.workspace, TimeLeft: itemTimeLeft, Priority: -1, ResumeAfter: te.last,
+		Instance: rec.ID, Workspace: t.job.workspace, TimeLeft: itemTimeLimit, Priority: -1, ResumeAfter: te.lastEvent,
 	})
 	if err != nil {
 		return brokenOff, err
@@ -126,17 +126,17 @@
 	}
 	if ro.IsSingleVersion && len(te.versions) > 0 && te.versions[0] != version {
 		begun := te.versions[0]
-		*te = text{}
+		*te = generatedText{}
 
 		return brokenOff, result.New(result.NoEligibleVersion, "the text was begun under version %d, not %d", begun, version)
 	}
 
 	next := dr.cfg.Client.Events(an.Body)
-	lastAt, keptAt := time.Time{}, time.Now()
+	lastAt, progressAt := time.Time{}, time.Now()
 	for {
 		ev, err := next()
 		if errors.Is(err, io.EOF) {
-			if te.last == 0 {
+			if te.lastEvent == 0 {
 				return brokenOff, result.New(result.StreamCut, "the stream ended before its first event")
 			}
 
@@ -145,27 +145,27 @@
 		if err != nil {
 			return brokenOff, err
 		}
-		watch.Reset(gapTimeout)
+		watch.Reset(eventGapTimeout)
 		now := time.Now()
 		if !lastAt.IsZero() {
-			dr.paces.note(rec.ID, now.Sub(lastAt), now)
+			dr.paces.record(rec.ID, now.Sub(lastAt), now)
 		}
 		lastAt = now
 		if ev.Version > 0 {
 			version = ev.Version
 		}
-		if te.last > 0 && ev.Number != te.last+1 {
-			return brokenOff, result.New(result.BackendAnswerBroken, "event %d follows event %d", ev.Number, te.last)
+		if te.lastEvent > 0 && ev.Number != te.lastEvent+1 {
+			return brokenOff, result.New(result.BackendAnswerBroken, "event %d follows event %d", ev.Number, te.lastEvent)
 		}
 		if ro.IsSingleVersion && len(te.versions) > 0 && te.versions[0] != version {
-			*te = text{}
+			*te = generatedText{}
 
 			return brokenOff, result.New(result.NoEligibleVersion, "the version changed to %d in the middle of the text", version)
 		}
 		te.add(ev.Number, ev.Data, version)
-		if now.Sub(keptAt) > keepPeriod {
-			dr.keep(t, te)
-			keptAt = now
+		if now.Sub(progressAt) > progressPeriod {
+			dr.recordProgress(t, te)
+			progressAt = now
 		}
 	}
 }
@@ -178,20 +178,20 @@
 	case an.Status == http.StatusUnprocessableEntity:
 		return impossible
 	case an.Status == http.StatusInternalServerError:
-		return serverFail
+		return serverFailed
 	}
 
 	return brokenOff
 }
 
-// ran decides what follows a run.
-func (dr *Driver) ran(t *task, ro *routing.Route, gr *balance.Grant, te *text, oc outcome) {
+// handleOutcome decides what follows a run.
+func (dr *Driver) handleOutcome(t *task, ro *routing.Route, gr *balance.Grant, te *generatedText, oc outcome) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 
-	t.cancel, t.move = nil, nil
-	next := t.next
-	t.next = nil
+	t.cancel, t.cancelForMove = nil, nil
+	next := t.nextGrant
+	t.nextGrant = nil
 	defer func() {
 		if next != nil {
 			next.Release(balance.Unused, nil)
@@ -200,41 +200,41 @@
 	if oc == cancelled || dr.jobs[t.job.id] != t.job {
 		return
 	}
-	t.job.course.runs[oc.String()]++
-	from := t.text.last
-	t.text = *te
+	t.job.timeline.runs[oc.String()]++
+	from := t.generated.lastEvent
+	t.generated = *te
 	avoid := func() {
-		t.tried = append(t.tried, gr.Record().ID)
-		if len(t.tried) > maxTried {
-			t.tried = t.tried[1:]
+		t.failedServers = append(t.failedServers, gr.Record().ID)
+		if len(t.failedServers) > maxFailedServers {
+			t.failedServers = t.failedServers[1:]
 		}
 	}
 	again := func(pause time.Duration) {
-		t.phase, t.notBefore, t.waitsFrom = waiting, time.Now().Add(pause), time.Now()
+		t.phase, t.notBefore, t.waitingSince = waiting, time.Now().Add(pause), time.Now()
 		dr.cfg.Meter.Retried(oc.String(), true)
 	}
 	switch oc {
 	case complete:
-		t.tried, t.wholeAt = nil, time.Now()
+		t.failedServers, t.completedAt = nil, time.Now()
 		if t.item.Reward == nil {
 			dr.finish(t, dr.resultOf(t, ""), "")
 
 			return
 		}
-		dr.startReward(t)
+		dr.startScoring(t)
 	case impossible:
 		dr.finish(t, job.Result{Item: t.index, State: job.Aborted}, "it can never be done")
-	case serverFail:
-		if t.failures++; t.failures >= max(ro.MaxAttempts, 1) {
+	case serverFailed:
+		if t.serverFailures++; t.serverFailures >= max(ro.MaxAttempts, 1) {
 			dr.finish(t, job.Result{Item: t.index, State: job.Aborted}, "backend servers failed it too often")
 
 			return
 		}
 		avoid()
-		again(retryAtOnce)
+		again(minRetryPause)
 	case moved:
 		if next == nil {
-			again(retryAtOnce)
+			again(minRetryPause)
 
 			return
 		}
@@ -242,42 +242,42 @@
 		dr.start(t, ro, next)
 		next = nil
 	case refused:
-		again(retryAtOnce)
+		again(minRetryPause)
 	default:
 		avoid()
-		if te.last > from {
-			t.broken = 0
+		if te.lastEvent > from {
+			t.brokenRuns = 0
 		}
-		again(min(retryAtOnce<<t.broken, retryMax))
-		t.broken = min(t.broken+1, maxBroken)
+		again(min(minRetryPause<<t.brokenRuns, maxRetryPause))
+		t.brokenRuns = min(t.brokenRuns+1, maxBackoffDoublings)
 	}
 }
 
 func (dr *Driver) resultOf(t *task, score string) job.Result {
-	return job.Result{Item: t.index, State: job.Completed, Text: t.text.String(), Versions: t.text.versions, Score: score}
+	return job.Result{Item: t.index, State: job.Completed, Text: t.generated.String(), Versions: t.generated.versions, Score: score}
 }
 
-// startReward asks for the score of a complete text. The caller holds dr.mu.
-func (dr *Driver) startReward(t *task) {
+// startScoring asks for the score of a complete text. The caller holds dr.mu.
+func (dr *Driver) startScoring(t *task) {
 	ctx, cancel := context.WithCancel(dr.ctx)
-	t.phase, t.cancel = rewarding, cancel
+	t.phase, t.cancel = scoring, cancel
 	dr.wg.Add(1)
 	go func() {
 		defer dr.wg.Done()
 		defer cancel()
-		dr.reward(ctx, t)
+		dr.fetchScore(ctx, t)
 	}()
 }
 
-// reward asks for the score until it has one, or too many backend servers failed.
-func (dr *Driver) reward(ctx context.Context, t *task) {
+// fetchScore asks for the score until it has one, or too many backend servers failed.
+func (dr *Driver) fetchScore(ctx context.Context, t *task) {
 	rw := t.item.Reward
 	var tried []string
 	for ctx.Err() == nil {
-		score, server, oc, limit := dr.rewardOnce(ctx, rw, tried)
+		score, server, oc, limit := dr.requestScore(ctx, rw, tried)
 		if server != "" {
 			tried = append(tried, server)
-			if len(tried) > maxTried {
+			if len(tried) > maxFailedServers {
 				tried = tried[1:]
 			}
 		}
@@ -285,34 +285,34 @@
 		case ctx.Err() != nil:
 			return
 		case oc == complete:
-			dr.list(ctx, t, dr.resultOf(t, score), "")
+			dr.commitResult(ctx, t, dr.resultOf(t, score), "")
 
 			return
-		case oc == serverFail:
-			if t.rewardFails++; t.rewardFails >= limit {
-				dr.list(ctx, t, job.Result{Item: t.index, State: job.Aborted}, "its score failed too often")
+		case oc == serverFailed:
+			if t.rewardFailures++; t.rewardFailures >= limit {
+				dr.commitResult(ctx, t, job.Result{Item: t.index, State: job.Aborted}, "its score failed too often")
 
 				return
 			}
 		case oc == refused:
 			select {
-			case <-time.After(retryLater):
+			case <-time.After(scoreRetryPause):
 			case <-ctx.Done():
 			}
 		}
 	}
 }
 
-// rewardOnce sends one call for a score. limit is the number of failures after
+// requestScore sends one call for a score. limit is the number of failures after
 // which there is none.
-func (dr *Driver) rewardOnce(ctx context.Context, rw *job.Reward, tried []string) (score, server string, oc outcome, limit int) {
+func (dr *Driver) requestScore(ctx context.Context, rw *job.Reward, tried []string) (score, server string, oc outcome, limit int) {
 	ta := dr.cfg.View().Table
 	ro := ta.Match(rw.Host, rw.Path)
 	if ro == nil {
 		return "", "", refused, 1
 	}
 	limit = max(ro.MaxAttempts, 1)
-	rq := &balance.Request{Service: ro.PickTarget(dr.cfg.Random()), Exclude: tried, Extra: rewardExtra}
+	rq := &balance.Request{Service: ro.PickTarget(dr.cfg.Random()), Exclude: tried, Extra: rewardQueueSlots}
 	gr := dr.cfg.Balancer.Acquire(rq)
 	if gr == nil {
 		rq.Exclude = nil
@@ -341,7 +341,7 @@
 		case an.IsNotRun:
 			oc, grantOutcome = refused, balance.Busy
 		case an.Status >= 500:
-			oc = serverFail
+			oc = serverFailed
 		case err == nil && an.Status < 300 && an.Stamp != "":
 			oc, grantOutcome, score = complete, balance.Succeeded, an.Stamp
 		}
@@ -356,6 +356,6 @@
 	return score, rec.ID, oc, limit
 }
 
-// rewardExtra lets the calls for scores queue a little at backend servers, which
+// rewardQueueSlots lets the calls for scores queue a little at backend servers, which
 // takes less time than asking again.
-const rewardExtra = 6
+const rewardQueueSlots = 6
