--- a/internal/dispatch/course.go
+++ b/internal/dispatch/course.go
@@ -8,23 +8,23 @@
 	"github.com/apex/log"
 )
 
-// timeline is what became of the items of a job while this process drove it. It is
-// logged when the job ends, to tell what a late job waited for.
+// timeline records when the items of a job progressed while this process executed
+// them. It is logged when the job ends and shows what delayed a late job.
 type timeline struct {
-	items []itemTimeline // listed ones, in their order
+	items []itemTimeline // listed items, in the order of their results
 	runs  map[string]int
 }
 
-// itemTimeline holds the times of one listed item, from the submission of its job.
+// itemTimeline holds the times of one listed item, since the submission of its job.
 type itemTimeline struct {
 	id                         string
 	started, completed, listed time.Duration // first run, text complete, result committed
 	runs                       int
 	events                     int
-	lastServer                 string // backend server of the last run
+	lastServer                 string // ID of the backend server of the last run
 }
 
-// addListed takes a listed item.
+// addListed adds an item whose result was listed at the given time.
 func (tl *timeline) addListed(t *task, at time.Time) {
 	since := func(u time.Time) time.Duration {
 		if u.IsZero() {
@@ -38,8 +38,8 @@
 	})
 }
 
-// fields describes the course: when parts of the items were listed, how long items
-// waited for their first run and for their score, and the slowest one.
+// fields returns the timeline as log fields: quantiles of the times until items were
+// listed, until their first run and for their score, and the slowest item.
 func (tl *timeline) fields() log.Fields {
 	fl := log.Fields{"listed": len(tl.items), "runs": tl.runs}
 	if len(tl.items) == 0 {
@@ -54,7 +54,7 @@
 
 		return []int64{ds[len(ds)/2].Milliseconds(), ds[len(ds)*9/10].Milliseconds(), ds[len(ds)-1].Milliseconds()}
 	}
-	fl["listedMs"] = quantiles(func(it *itemTimeline) time.Duration { return it.listed }) // half, nine tenths, all
+	fl["listedMs"] = quantiles(func(it *itemTimeline) time.Duration { return it.listed }) // median, 90th percentile, maximum
 	fl["beganMs"] = quantiles(func(it *itemTimeline) time.Duration { return it.started })
 	fl["scoreMs"] = quantiles(func(it *itemTimeline) time.Duration { return it.listed - it.completed })
 	slowest := slices.MaxFunc(tl.items, func(a, b itemTimeline) int { return cmp.Compare(a.listed, b.listed) })
--- a/internal/dispatch/course_test.go
+++ b/internal/dispatch/course_test.go
@@ -9,8 +9,8 @@
 	"github.com/tamarackbay/tamarackbay/internal/job"
 )
 
-var _ = ginkgo.Describe("the course of a job", func() {
-	ginkgo.It("tells what its slowest item waited for", func() {
+var _ = ginkgo.Describe("the timeline of a job", func() {
+	ginkgo.It("reports quantiles and the slowest item", func() {
 		at := time.Now()
 		js := &jobState{submitted: at, timeline: timeline{runs: map[string]int{"complete": 10, "moved": 1}}}
 		for i := range 10 {
@@ -31,7 +31,7 @@
 		Expect(fl["slowest"]).To(HaveKeyWithValue("runs", 2))
 	})
 
-	ginkgo.It("of a job without results is empty", func() {
+	ginkgo.It("reports zero listed items for a job without results", func() {
 		Expect((&timeline{}).fields()).To(HaveKeyWithValue("listed", 0))
 	})
 })
--- a/internal/dispatch/demand.go
+++ b/internal/dispatch/demand.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// demandHalfLife is the time after which generated events count half as much as demand:
-	// a few steps of a trainer.
+	// demandHalfLife is the time after which generated events count half as demand: a
+	// few steps of a trainer.
 	demandHalfLife = 15 * time.Second
 )
 
-// Demand returns how many events were generated lately for each model.
+// Demand returns the recently generated events of each model, weighted by their age.
 func (dr *Driver) Demand() map[string]float64 {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -22,7 +22,7 @@
 	return maps.Clone(dr.demand)
 }
 
-// decayDemand lets demand fade. The caller holds dr.mu.
+// decayDemand decays the demand by the time since the last call. The caller holds dr.mu.
 func (dr *Driver) decayDemand() {
 	now := time.Now()
 	f := math.Exp2(-now.Sub(dr.demandAt).Seconds() / demandHalfLife.Seconds())
--- a/internal/dispatch/driver.go
+++ b/internal/dispatch/driver.go
@@ -1,6 +1,7 @@
-// Package dispatch drives the items of batch jobs while its store leads: it places
-// each at a backend server, goes on where one broke off, asks for the score and
-// commits the result. One process drives all items of a group.
+// Package dispatch executes the items of batch jobs while its store is the leader of
+// the store group. It places each item at a backend server, resumes broken runs after
+// their last event, requests the score and commits the result. One process executes
+// all items of a group.
 package dispatch
 
 import (
@@ -23,13 +24,13 @@
 )
 
 const (
-	// reconcilePeriod is how often the driver looks for what became due without an event.
+	// reconcilePeriod is how often the driver checks for due work when no event wakes it.
 	reconcilePeriod = 100 * time.Millisecond
-	// maxFailedServers is the number of backend servers that an item remembers to avoid.
+	// maxFailedServers is how many of the last failed backend servers an item avoids.
 	maxFailedServers = 2
 )
 
-// Config builds a Driver.
+// Config holds the dependencies of a Driver.
 type Config struct {
 	Group    *group.Group
 	View     func() *feed.View
@@ -41,26 +42,26 @@
 	Log      log.Interface
 }
 
-// Driver drives the items of all open jobs.
+// Driver executes the items of all open jobs.
 type Driver struct {
 	cfg  Config
 	wake chan struct{}
 
 	mu       sync.Mutex
-	ctx      context.Context // of Run, nil before it
-	term     uint64          // in which this process drives, 0 while it does not
+	ctx      context.Context // context of Run, nil before Run is called
+	term     uint64          // term in which this process is the driver, 0 while it isn't
 	jobs     map[string]*jobState
-	revision uint64 // of the ledger, as it was read last
+	revision uint64 // ledger revision at the last read, 0 to force a read
 	running  map[string]int
 	paces    *paceTracker
-	slow     []string   // backend servers that are slow now
-	lagging  []string   // sound ones of a slower kind
-	progress []job.Part // to be committed
+	slow     []string   // backend servers that are much slower than usual now
+	lagging  []string   // healthy backend servers that are always slower than the fast ones
+	progress []job.Part // parts queued for the next commit
 	commit   func(ctx context.Context, pr job.Progress) error
-	// isFlushing holds while progress is being committed; the next waits for it, since
-	// parts of one item must be applied in order.
+	// isFlushing is set while a commit of progress is in flight. The next commit waits
+	// for it, since the parts of one item must be applied in order.
 	isFlushing bool
-	demand     map[string]float64 // events generated lately, by model
+	demand     map[string]float64 // recently generated events by model, decaying
 	demandAt   time.Time
 	wg         sync.WaitGroup
 }
@@ -75,7 +76,7 @@
 	}
 }
 
-// Wake makes the driver look at once.
+// Wake triggers a pass of the driver without waiting for reconcilePeriod.
 func (dr *Driver) Wake() {
 	select {
 	case dr.wake <- struct{}{}:
@@ -83,7 +84,7 @@
 	}
 }
 
-// Running returns how many items run at each backend server.
+// Running returns the number of items running at each backend server, by its ID.
 func (dr *Driver) Running() map[string]int {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -98,7 +99,7 @@
 	return out
 }
 
-// Run drives whenever this process leads, until ctx ends.
+// Run executes items whenever this process is the leader, until ctx ends.
 func (dr *Driver) Run(ctx context.Context) {
 	defer dr.wg.Wait()
 	defer dr.stop()
@@ -118,11 +119,11 @@
 	}
 }
 
-// reconcile follows the ledger and starts what can run now.
+// reconcile reads the changes of the ledger and starts the tasks that can run now.
 func (dr *Driver) reconcile() {
 	st := dr.cfg.Group.Status()
 	if !st.IsSettled {
-		// The ledger may lack what the last leader committed.
+		// The ledger may not yet contain all commits of the last leader.
 		dr.stop()
 
 		return
@@ -168,7 +169,7 @@
 	}
 }
 
-// syncLedger reads what has changed in the ledger: new jobs, ended ones, listed items.
+// syncLedger takes over the changes of the ledger: new jobs, ended jobs, listed items.
 func (dr *Driver) syncLedger() {
 	dr.cfg.Group.Read(func(ma *machine.Machine) {
 		le := ma.Jobs()
@@ -181,7 +182,7 @@
 			switch {
 			case !jo.IsOpen() && js != nil:
 				dr.cfg.Log.WithFields(js.timeline.fields()).WithFields(log.Fields{"job": id, "model": js.model, "unlisted": len(js.tasks)}).
-					Info("job driven to its end")
+					Info("timeline of an ended job")
 				js.cancelAll()
 				delete(dr.jobs, id)
 			case jo.IsOpen() && js == nil:
@@ -227,9 +228,9 @@
 	return js
 }
 
-// waitingTasks returns the tasks that want a backend server, in the order in which
-// trainers gain most: the oldest job first, and in it the longest text first, since
-// a trainer waits for nearly all groups and the longest texts decide when.
+// waitingTasks returns the tasks that are due for a backend server, in order of
+// placement: the oldest job first, and within a job the longest expected text first.
+// A trainer waits for nearly all groups, so the longest texts determine the duration.
 func (dr *Driver) waitingTasks(now time.Time) []*task {
 	var out []*task
 	for _, js := range dr.jobs {
@@ -247,23 +248,23 @@
 	return out
 }
 
-// place starts waiting tasks as long as backend servers have room.
+// place starts waiting tasks while backend servers have free slots.
 func (dr *Driver) place() {
 	ta := dr.cfg.View().Table
 	if ta == nil {
 		return
 	}
 	now := time.Now()
-	full := map[string]bool{} // services and versions without room in this turn
+	full := map[string]bool{} // service and job pairs without a free slot in this pass
 	for _, t := range dr.waitingTasks(now) {
 		if !t.job.queueDeadline.IsZero() && now.After(t.job.queueDeadline) {
-			dr.finish(t, job.Result{Item: t.index, State: job.Aborted}, "it waited too long")
+			dr.finish(t, job.Result{Item: t.index, State: job.Aborted}, "its queue deadline passed")
 
 			continue
 		}
 		ro := ta.Match(t.job.host, t.item.Path)
 		if ro == nil {
-			continue // its route may come back until the item is given up
+			continue // the route may be configured again before the queue deadline
 		}
 		service := ro.PickTarget(dr.cfg.Random())
 		if key := service + "@" + t.job.id; full[key] {
@@ -276,8 +277,8 @@
 	}
 }
 
-// acquire picks a backend server: one of the slower kind only if no fast one has
-// room, then a slow one, then one that failed the item before.
+// acquire reserves a slot at a backend server, in order of preference: a fast one, a
+// lagging one, a slow one, and last one that failed the item before.
 func (dr *Driver) acquire(service string, t *task) *balance.Grant {
 	rq := &balance.Request{
 		Service: service, Model: t.job.model, MinVersion: t.job.minVersion, Prefix: t.job.model + "/" + t.item.Group, Tokens: t.item.Tokens,
@@ -285,7 +286,7 @@
 	last := -1
 	for _, exclude := range [][]string{slices.Concat(t.failedServers, dr.slow, dr.lagging), slices.Concat(t.failedServers, dr.slow), t.failedServers, nil} {
 		if len(exclude) == last {
-			continue // nobody is let in who was left out before
+			continue // same exclusions as in the last attempt
 		}
 		last, rq.Exclude = len(exclude), exclude
 		if gr := dr.cfg.Balancer.Acquire(rq); gr != nil {
@@ -296,11 +297,11 @@
 	return nil
 }
 
-// progressPeriod is how often the progress of an item is committed: what the loss of
-// the driver costs it at most.
+// progressPeriod is how often the progress of an item is committed. It bounds the
+// work that an item loses with its driver.
 const progressPeriod = 400 * time.Millisecond
 
-// recordProgress hands over what was generated of a run since the last time.
+// recordProgress queues the events that a run generated since its last call.
 func (dr *Driver) recordProgress(t *task, te *generatedText) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -314,7 +315,7 @@
 	te.proposed, te.proposedEvents, te.hasProposed = te.lastEvent, len(te.events), true
 }
 
-// flushProgress commits the progress that was handed over, all in one entry.
+// flushProgress commits all queued progress in one log entry.
 func (dr *Driver) flushProgress() {
 	if len(dr.progress) == 0 || dr.isFlushing {
 		return
@@ -326,7 +327,7 @@
 		defer dr.wg.Done()
 		err := dr.commit(dr.ctx, job.Progress{Parts: parts})
 		if err != nil {
-			dr.cfg.Log.WithError(err).WithField("parts", len(parts)).Warn("progress not committed")
+			dr.cfg.Log.WithError(err).WithField("parts", len(parts)).Warn("progress of running items not committed")
 		}
 		dr.mu.Lock()
 		dr.isFlushing = false
@@ -338,9 +339,9 @@
 	}()
 }
 
-// stopProgress ends the progress of items of which a part may be lost: a later part could
-// follow on events that it does not belong to. After the loss of this driver they
-// go on from further back.
+// stopProgress stops committing progress of items of which a part may be lost: a later
+// part could be appended to events that it doesn't belong to. If this driver is lost,
+// these items resume from an earlier event.
 func (dr *Driver) stopProgress(lost []job.Part) {
 	isLost := func(pa job.Part) bool {
 		return slices.ContainsFunc(lost, func(lo job.Part) bool { return lo.Job == pa.Job && lo.Item == pa.Item })
@@ -353,7 +354,7 @@
 	}
 }
 
-// classifyServers looks which backend servers are slow.
+// classifyServers updates which backend servers are slow or lagging.
 func (dr *Driver) classifyServers() {
 	slow, lagging := dr.paces.classify(time.Now())
 	if !slices.Equal(slow, dr.slow) {
@@ -362,17 +363,17 @@
 	dr.slow, dr.lagging = slow, lagging
 }
 
-// maxMovesPerPass bounds how many runs are moved at once, so that they do not all
-// meet at the same backend servers before their load is known.
+// maxMovesPerPass bounds how many runs are moved in one pass, so that they do not all
+// go to the same backend servers before their new load is known.
 const maxMovesPerPass = 8
 
-// minLongRun is how long a run must have lasted to be moved from a sound backend
-// server to a faster one: few texts are that long, and a trainer waits for them.
+// minLongRun is the age from which a run is moved from a lagging backend server to a
+// faster one: few texts take that long, and a trainer waits for them.
 const minLongRun = 1500 * time.Millisecond
 
-// moveRuns takes runs away from slow backend servers, and long ones from the slower
-// kind, as far as fast ones take them. A run goes on after its last event, so little
-// is lost.
+// moveRuns moves runs away from slow backend servers, and long runs away from lagging
+// ones, as far as fast ones have free slots. A moved run resumes after its last event,
+// so little work is lost.
 func (dr *Driver) moveRuns() {
 	if len(dr.slow) == 0 && len(dr.lagging) == 0 {
 		return
@@ -393,7 +394,7 @@
 		return cmp.Or(a.job.submitted.Compare(b.job.submitted), cmp.Compare(b.item.Expected, a.item.Expected), cmp.Compare(a.index, b.index))
 	})
 	for _, t := range stuck[:min(len(stuck), maxMovesPerPass)] {
-		// The place is taken before the run is ended: other turns come before it has.
+		// Reserve the slot before the run is cancelled: other passes happen before it ends.
 		t.nextGrant = dr.cfg.Balancer.Acquire(&balance.Request{
 			Service: t.service, Model: t.job.model, MinVersion: t.job.minVersion, Prefix: t.job.model + "/" + t.item.Group, Tokens: t.item.Tokens,
 			Exclude: slices.Concat(t.failedServers, dr.slow, dr.lagging),
@@ -437,7 +438,7 @@
 	}()
 }
 
-// finish commits the result of a task. The caller holds dr.mu.
+// finish commits the result of a task in the background. The caller holds dr.mu.
 func (dr *Driver) finish(t *task, re job.Result, why string) {
 	t.phase = listing
 	dr.wg.Add(1)
@@ -450,7 +451,7 @@
 // commitRetryPause is the pause before a result that could not be committed is proposed again.
 const commitRetryPause = 50 * time.Millisecond
 
-// commitResult commits a result, again and again while this process leads.
+// commitResult commits a result and retries while this process is the leader.
 func (dr *Driver) commitResult(ctx context.Context, t *task, re job.Result, why string) {
 	fl := log.Fields{
 		"job": t.job.id, "item": t.item.ID, "group": t.item.Group, "completed": re.State == job.Completed,
@@ -467,9 +468,9 @@
 
 			return
 		}
-		dr.cfg.Log.WithError(err).WithFields(fl).Warn("result not committed")
+		dr.cfg.Log.WithError(err).WithFields(fl).Warn("result of the item not committed")
 		if !dr.cfg.Group.IsLeader() {
-			return // the next leader runs the item again
+			return // the next leader executes the item again
 		}
 		select {
 		case <-time.After(commitRetryPause):
@@ -478,7 +479,7 @@
 	}
 }
 
-// Measure sets the gauges of what is driven here.
+// Measure sets the gauges of the jobs and items that this process executes.
 func (dr *Driver) Measure(me *meter.Meter) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
--- a/internal/dispatch/move_test.go
+++ b/internal/dispatch/move_test.go
@@ -17,8 +17,9 @@
 	"github.com/tamarackbay/tamarackbay/internal/routing"
 )
 
-// pattern of load: an engine full of runs turns slow while the others have few free
-// slots, and the driver looks at it many times before the moved runs have ended.
+// Guards against more cancelled runs than reserved slots: an engine with all slots in
+// use slows down, the others have few free slots, and several passes of the driver
+// happen before the cancelled runs have ended.
 var _ = ginkgo.Describe("runs at a slow engine", func() {
 	var dr *Driver
 	var js *jobState
@@ -35,7 +36,7 @@
 			})
 		}
 		ba.Sync(records)
-		start = start.Add(-time.Hour) // beyond the slow start of newcomers
+		start = start.Add(-time.Hour) // past the slow start of new backend servers
 		dr = New(Config{
 			Balancer: ba, Log: logging.Discard(), Meter: meter.New(),
 			Client: &backend.Client{Send: func(ctx context.Context, _ string, _ *backend.Call) (*backend.Answer, error) {
@@ -61,14 +62,14 @@
 		dr.moveRuns()
 	}
 
-	ginkgo.It("are ended only as far as others have taken them", func() {
+	ginkgo.It("are cancelled only up to the free slots of other engines", func() {
 		for range 5 {
 			moveOnce()
 		}
 		Expect(ended).To(Equal(free))
 	})
 
-	ginkgo.It("go on at the place that was taken for them", func() {
+	ginkgo.It("resume at the slot that was reserved for them", func() {
 		moveOnce()
 		for _, t := range js.tasks {
 			if t.nextGrant == nil {
@@ -85,7 +86,7 @@
 		dr.wg.Wait()
 	})
 
-	ginkgo.It("that end meanwhile leave that place to others", func() {
+	ginkgo.It("release the reserved slot if they end before the move", func() {
 		moveOnce()
 		for _, t := range js.tasks {
 			if t.nextGrant != nil {
--- a/internal/dispatch/pace.go
+++ b/internal/dispatch/pace.go
@@ -7,43 +7,45 @@
 )
 
 const (
-	// paceSmoothing of a new interval in the average of a backend server: with eight
-	// runs at once the average follows a change within a few tenths of a second.
+	// paceSmoothing is the weight of a new interval in the moving average of a backend
+	// server. With eight concurrent runs, the average follows a change within a few
+	// tenths of a second.
 	paceSmoothing = 0.1
-	// paceRetention is how long a backend server that generates nothing is still judged
-	// by what it did last: the trouble may be over. After that its own pace counts.
+	// paceRetention is how long the last average of a backend server that generates
+	// nothing is used. After that its baseline is used, as the cause may have gone.
 	paceRetention = 8 * time.Second
-	// baselineRetention is how long its own pace is kept.
+	// baselineRetention is how long the baseline of such a backend server is retained.
 	baselineRetention = 10 * time.Minute
-	// slowFactor times the usual pace makes a backend server slow. Sound ones of a
-	// deployment differ by about a third.
+	// slowFactor is the ratio to the median interval above which a backend server is
+	// slow. Healthy backend servers of a deployment differ by about a third.
 	slowFactor = 1.6
-	// lagFactor times the pace of the fast ones makes a sound backend server one of
-	// the slower kind, which gets what the fast ones have no room for.
+	// lagFactor is the ratio to the interval of the fast quarter above which a healthy
+	// backend server is lagging: it gets the work for which fast ones have no free slot.
 	lagFactor = 1.15
-	// minServers backend servers must be known before one is called slow.
+	// minServers is how many backend servers need enough samples before any is classified.
 	minServers = 3
-	// minSamples of a backend server must be known before it is judged.
+	// minSamples is how many intervals of a backend server are needed to classify it.
 	minSamples = 8
 )
 
-// paceTracker knows how fast each backend server generates events, from the runs of this
-// process. It is safe for concurrent use.
+// paceTracker measures how fast each backend server generates events in the runs of
+// this process. It is safe for concurrent use.
 type paceTracker struct {
 	mu      sync.Mutex
 	servers map[string]*pace
 }
 
+// pace holds the measured intervals of one backend server.
 type pace struct {
-	interval  float64 // seconds between two events of a run, averaged
-	baseline  float64 // shortest average so far: what it does without trouble
+	interval  float64 // moving average of the seconds between two events of a run
+	baseline  float64 // shortest average so far, taken as its undisturbed interval in seconds; 0 if unknown
 	samples   int
-	sampledAt time.Time // of the last sample
+	sampledAt time.Time // time of the last sample
 }
 
 func newPaceTracker() *paceTracker { return &paceTracker{servers: map[string]*pace{}} }
 
-// record takes the time between two events of one run.
+// record adds the time between two events of one run.
 func (pa *paceTracker) record(server string, d time.Duration, at time.Time) {
 	pa.mu.Lock()
 	defer pa.mu.Unlock()
@@ -63,7 +65,7 @@
 	}
 }
 
-// expected returns the seconds between two events that a run would see now.
+// expected returns the seconds between two events that a run can expect now.
 func (pc *pace) expected(now time.Time) float64 {
 	if now.Sub(pc.sampledAt) > paceRetention {
 		return pc.baseline
@@ -72,9 +74,8 @@
 	return pc.interval
 }
 
-// classify returns the backend servers that are much slower than the usual one, which
-// is the median of those that generate, and those that are sound but slower than
-// the fast quarter.
+// classify returns the slow backend servers, which are much slower than the median,
+// and the lagging ones, which are healthy but slower than the fast quarter.
 func (pa *paceTracker) classify(now time.Time) (slow, lagging []string) {
 	pa.mu.Lock()
 	defer pa.mu.Unlock()
--- a/internal/dispatch/pace_test.go
+++ b/internal/dispatch/pace_test.go
@@ -18,7 +18,7 @@
 	return slow
 }
 
-var _ = ginkgo.Describe("backend servers of which some turn slow", func() {
+var _ = ginkgo.Describe("classification of backend servers by pace", func() {
 	at := time.Unix(1000, 0)
 	feed := func(pa *paceTracker, server string, d time.Duration, n int) {
 		for range n {
@@ -26,14 +26,14 @@
 		}
 	}
 
-	ginkgo.It("are told apart from those that are only a little slower", func() {
+	ginkgo.It("distinguishes slow backend servers from lagging ones", func() {
 		for _, tc := range []struct {
 			name      string
 			intervals map[string]time.Duration
 			want      []string
 			lagging   []string
 		}{
-			{"all alike", map[string]time.Duration{"a": 37 * time.Millisecond, "b": 37 * time.Millisecond, "c": 38 * time.Millisecond}, nil, nil},
+			{"all equally fast", map[string]time.Duration{"a": 37 * time.Millisecond, "b": 37 * time.Millisecond, "c": 38 * time.Millisecond}, nil, nil},
 			{
 				"one of three a third slower, as on a mixed set of engines",
 				map[string]time.Duration{"a": 37 * time.Millisecond, "b": 37 * time.Millisecond, "c": 49 * time.Millisecond},
@@ -41,7 +41,7 @@
 				[]string{"c"},
 			},
 			{
-				"one slow and one of the slower kind",
+				"one slow and one lagging",
 				map[string]time.Duration{"a": 37 * time.Millisecond, "b": 37 * time.Millisecond, "c": 49 * time.Millisecond, "d": 110 * time.Millisecond},
 				[]string{"d"},
 				[]string{"c"},
@@ -53,7 +53,7 @@
 				[]string{"c", "d"},
 				nil,
 			},
-			{"too few to judge", map[string]time.Duration{"a": 37 * time.Millisecond, "c": 110 * time.Millisecond}, nil, nil},
+			{"too few to classify", map[string]time.Duration{"a": 37 * time.Millisecond, "c": 110 * time.Millisecond}, nil, nil},
 		} {
 			pa := newPaceTracker()
 			for server, d := range tc.intervals {
@@ -65,18 +65,18 @@
 		}
 	})
 
-	ginkgo.It("are noticed within half a second of eight runs, and forgiven once they generate as before", func() {
+	ginkgo.It("detects a slowdown within half a second of eight runs, and the recovery", func() {
 		pa := newPaceTracker()
 		for _, server := range []string{"a", "b", "c"} {
 			feed(pa, server, 37*time.Millisecond, 100)
 		}
-		feed(pa, "c", 110*time.Millisecond, 36) // eight runs at 9 events a second each
+		feed(pa, "c", 110*time.Millisecond, 36) // half a second of eight runs with 9 events per second each
 		Expect(slowOf(pa, at)).To(Equal([]string{"c"}))
 		feed(pa, "c", 37*time.Millisecond, 60)
 		Expect(slowOf(pa, at)).To(BeEmpty())
 	})
 
-	ginkgo.It("keep their place as ones of the slower kind while they are left out", func() {
+	ginkgo.It("keeps lagging backend servers classified while they get no runs", func() {
 		pa := newPaceTracker()
 		for server, d := range map[string]time.Duration{"a": 37, "b": 37, "c": 37, "slowerKind": 49, "troubled": 37} {
 			feed(pa, server, d*time.Millisecond, 100)
@@ -93,7 +93,7 @@
 		Expect(lagging).To(Equal([]string{"slowerKind"}))
 	})
 
-	ginkgo.It("are tried again after a while without runs", func() {
+	ginkgo.It("no longer classifies a backend server as slow after paceRetention without runs", func() {
 		pa := newPaceTracker()
 		for _, server := range []string{"a", "b", "c"} {
 			feed(pa, server, 37*time.Millisecond, 100)
--- a/internal/dispatch/progress_test.go
+++ b/internal/dispatch/progress_test.go
@@ -13,8 +13,8 @@
 	"github.com/tamarackbay/tamarackbay/internal/logging"
 )
 
-// The rules of spec/progress.pml: parts are proposed in order, and after a lost one
-// no further part of the same item is.
+// Checks the rules modelled in spec/progress.pml: the parts of an item are proposed in
+// order, and none is proposed after one that may be lost.
 var _ = ginkgo.Describe("progress of items", func() {
 	var dr *Driver
 	var js *jobState
@@ -75,14 +75,14 @@
 		Expect(proposals()[1].Parts[0].After).To(Equal(uint64(1)))
 	})
 
-	ginkgo.It("of an item ends with a lost part, that of others goes on", func() {
+	ginkgo.It("stops for an item after a lost part and continues for the others", func() {
 		lost, other := &generatedText{}, &generatedText{}
 		lost.add(1, "a", 1)
 		dr.recordProgress(js.tasks[0], lost)
 		flush()
 		Eventually(proposals).Should(HaveLen(1))
 		lost.add(2, "b", 1)
-		dr.recordProgress(js.tasks[0], lost) // waits while the first part is on its way
+		dr.recordProgress(js.tasks[0], lost) // queued while the first part is in flight
 		answer <- errors.New("lost")
 		Eventually(flushed).Should(BeTrue())
 		lost.add(3, "c", 1)
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -17,42 +17,44 @@
 )
 
 const (
-	// firstEventTimeout is how long a backend server may take to its first event; engines
-	// read a prompt in milliseconds, and get no more requests than they have slots.
+	// firstEventTimeout is how long a backend server may take until its first event.
+	// Engines read a prompt in milliseconds and get no more requests than they have slots.
 	firstEventTimeout = 1500 * time.Millisecond
-	// eventGapTimeout is the longest pause between two events before the run is moved:
-	// several times the pause that makes a stream late.
+	// eventGapTimeout is the longest pause between two events before the run is broken
+	// off and placed again: several times the pause that makes a stream late.
 	eventGapTimeout = 800 * time.Millisecond
-	// itemTimeLimit is what a backend server is told that it may take. A run that is
-	// not wanted any more is cut by closing its connection.
+	// itemTimeLimit is the time limit sent to the backend server with an item. A run
+	// that is no longer needed is ended by closing its connection.
 	itemTimeLimit = 30 * time.Second
-	// minRetryPause and retryLater are the pauses before an item is placed again.
+	// minRetryPause is the shortest pause before an item is placed again, scoreRetryPause
+	// the pause before a refused score request is repeated.
 	minRetryPause   = 10 * time.Millisecond
 	scoreRetryPause = 250 * time.Millisecond
-	// maxRetryPause bounds the pause of an item that breaks off again and again without
-	// getting on; it doubles each time, maxBroken times at most.
+	// maxRetryPause bounds the back-off of an item whose runs keep breaking off without
+	// a new event. The pause doubles each time, at most maxBackoffDoublings times.
 	maxRetryPause       = time.Second
 	maxBackoffDoublings = 8
-	// rewardTimeout bounds one call for a score, several times its usual work.
+	// rewardTimeout bounds one request for a score: several times its usual duration.
 	rewardTimeout = time.Second
-	// maxErrorBytes of an answer that reports a failure are read, to keep its connection.
+	// maxErrorBytes is how much of a failure's answer is read so that its connection
+	// can be reused.
 	maxErrorBytes = 64 << 10
 )
 
-// outcome of a run.
+// outcome is the way in which a run or a score request ended.
 type outcome uint8
 
 const (
-	complete     outcome = iota // the text is whole
-	brokenOff                   // it goes on elsewhere
-	refused                     // it has not run there
-	serverFailed                // the backend server says that it failed
-	impossible                  // it can never be done
-	cancelled                   // nobody wants it any more
-	moved                       // it is taken away from a slow backend server
+	complete     outcome = iota // the text or score is complete
+	brokenOff                   // ended early; resumes at another backend server
+	refused                     // not executed by the backend server
+	serverFailed                // the backend server reported its own failure
+	impossible                  // the item can't be executed by any backend server
+	cancelled                   // no longer needed: the job or the leadership ended
+	moved                       // cancelled at a slow backend server to resume at a faster one
 )
 
-// run runs a task at one backend server, from where its text ends.
+// run executes a task at one backend server, resuming after the last event of te.
 func (dr *Driver) run(ctx context.Context, t *task, ro *routing.Route, gr *balance.Grant, te *generatedText) outcome {
 	rec := gr.Record()
 	began, from := time.Now(), te.lastEvent
@@ -86,21 +88,21 @@
 	}
 	dr.cfg.Meter.Count("item.run." + oc.String())
 	dr.cfg.Meter.Time("item.run", time.Since(began))
-	dr.cfg.Log.WithFields(fl).Info("item ran")
+	dr.cfg.Log.WithFields(fl).Info("run of item ended")
 
 	return oc
 }
 
 var (
-	errSilent = errors.New("dispatch: the backend server is silent")
-	errSlow   = errors.New("dispatch: the backend server is slow")
+	errSilent = errors.New("dispatch: no event from the backend server within the time limit")
+	errSlow   = errors.New("dispatch: run moved away from a slow backend server")
 )
 
 func (oc outcome) String() string {
 	return [...]string{"complete", "brokenOff", "refused", "serverFailed", "impossible", "cancelled", "moved"}[oc]
 }
 
-// exchange sends the item and takes its events.
+// exchange sends the item to the backend server and appends its events to te.
 func (dr *Driver) exchange(
 	ctx context.Context, t *task, ro *routing.Route, gr *balance.Grant, te *generatedText, watch *time.Timer, load **backend.Load,
 ) (outcome, error) {
@@ -116,19 +118,19 @@
 
 	*load = an.Load
 	if an.IsNotRun || an.Status >= http.StatusMultipleChoices || an.Stamp == "" {
-		_, _ = io.Copy(io.Discard, io.LimitReader(an.Body, maxErrorBytes)) // keeps the connection
+		_, _ = io.Copy(io.Discard, io.LimitReader(an.Body, maxErrorBytes)) // so that the connection can be reused
 
-		return outcomeOf(an), result.New(result.BackendRefused, "status %d, not run: %v", an.Status, an.IsNotRun)
+		return outcomeOf(an), result.New(result.BackendRefused, "backend server answered with status %d, not executed: %v", an.Status, an.IsNotRun)
 	}
 	version := an.Version
 	if version < t.job.minVersion {
-		return refused, result.New(result.NoEligibleVersion, "version %d is older than %d", version, t.job.minVersion)
+		return refused, result.New(result.NoEligibleVersion, "weight version %d is older than the job's minimum %d", version, t.job.minVersion)
 	}
 	if ro.IsSingleVersion && len(te.versions) > 0 && te.versions[0] != version {
 		begun := te.versions[0]
 		*te = generatedText{}
 
-		return brokenOff, result.New(result.NoEligibleVersion, "the text was begun under version %d, not %d", begun, version)
+		return brokenOff, result.New(result.NoEligibleVersion, "the text was begun with weight version %d, the backend server has %d", begun, version)
 	}
 
 	next := dr.cfg.Client.Events(an.Body)
@@ -137,7 +139,7 @@
 		ev, err := next()
 		if errors.Is(err, io.EOF) {
 			if te.lastEvent == 0 {
-				return brokenOff, result.New(result.StreamCut, "the stream ended before its first event")
+				return brokenOff, result.New(result.StreamCut, "the backend server ended the stream before its first event")
 			}
 
 			return complete, nil
@@ -155,12 +157,12 @@
 			version = ev.Version
 		}
 		if te.lastEvent > 0 && ev.Number != te.lastEvent+1 {
-			return brokenOff, result.New(result.BackendAnswerBroken, "event %d follows event %d", ev.Number, te.lastEvent)
+			return brokenOff, result.New(result.BackendAnswerBroken, "the backend server sent event %d after event %d", ev.Number, te.lastEvent)
 		}
 		if ro.IsSingleVersion && len(te.versions) > 0 && te.versions[0] != version {
 			*te = generatedText{}
 
-			return brokenOff, result.New(result.NoEligibleVersion, "the version changed to %d in the middle of the text", version)
+			return brokenOff, result.New(result.NoEligibleVersion, "the weight version changed to %d within the text of a single-version route", version)
 		}
 		te.add(ev.Number, ev.Data, version)
 		if now.Sub(progressAt) > progressPeriod {
@@ -170,7 +172,7 @@
 	}
 }
 
-// outcomeOf judges an answer that is not a stream.
+// outcomeOf maps an answer that is not a stream of events to an outcome.
 func outcomeOf(an *backend.Answer) outcome {
 	switch {
 	case an.IsNotRun:
@@ -184,7 +186,8 @@
 	return brokenOff
 }
 
-// handleOutcome decides what follows a run.
+// handleOutcome updates a task after a run: it commits the result, requests the score,
+// or schedules another run.
 func (dr *Driver) handleOutcome(t *task, ro *routing.Route, gr *balance.Grant, te *generatedText, oc outcome) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -223,10 +226,10 @@
 		}
 		dr.startScoring(t)
 	case impossible:
-		dr.finish(t, job.Result{Item: t.index, State: job.Aborted}, "it can never be done")
+		dr.finish(t, job.Result{Item: t.index, State: job.Aborted}, "a backend server answered that the item can't be executed")
 	case serverFailed:
 		if t.serverFailures++; t.serverFailures >= max(ro.MaxAttempts, 1) {
-			dr.finish(t, job.Result{Item: t.index, State: job.Aborted}, "backend servers failed it too often")
+			dr.finish(t, job.Result{Item: t.index, State: job.Aborted}, "failures of backend servers reached the route's maximum attempts")
 
 			return
 		}
@@ -257,7 +260,8 @@
 	return job.Result{Item: t.index, State: job.Completed, Text: t.generated.String(), Versions: t.generated.versions, Score: score}
 }
 
-// startScoring asks for the score of a complete text. The caller holds dr.mu.
+// startScoring requests the score of a complete text in the background. The caller
+// holds dr.mu.
 func (dr *Driver) startScoring(t *task) {
 	ctx, cancel := context.WithCancel(dr.ctx)
 	t.phase, t.cancel = scoring, cancel
@@ -269,7 +273,8 @@
 	}()
 }
 
-// fetchScore asks for the score until it has one, or too many backend servers failed.
+// fetchScore requests the score until it receives one or backend servers failed too
+// often, and commits the result.
 func (dr *Driver) fetchScore(ctx context.Context, t *task) {
 	rw := t.item.Reward
 	var tried []string
@@ -290,7 +295,7 @@
 			return
 		case oc == serverFailed:
 			if t.rewardFailures++; t.rewardFailures >= limit {
-				dr.commitResult(ctx, t, job.Result{Item: t.index, State: job.Aborted}, "its score failed too often")
+				dr.commitResult(ctx, t, job.Result{Item: t.index, State: job.Aborted}, "failed score requests reached the route's maximum attempts")
 
 				return
 			}
@@ -303,8 +308,8 @@
 	}
 }
 
-// requestScore sends one call for a score. limit is the number of failures after
-// which there is none.
+// requestScore sends one request for a score. limit is the number of failures after
+// which the item is aborted.
 func (dr *Driver) requestScore(ctx context.Context, rw *job.Reward, tried []string) (score, server string, oc outcome, limit int) {
 	ta := dr.cfg.View().Table
 	ro := ta.Match(rw.Host, rw.Path)
@@ -351,11 +356,11 @@
 		fl["error"] = err.Error()
 	}
 	dr.cfg.Meter.Count("reward." + oc.String())
-	dr.cfg.Log.WithFields(fl).Info("score asked")
+	dr.cfg.Log.WithFields(fl).Info("score request ended")
 
 	return score, rec.ID, oc, limit
 }
 
-// rewardQueueSlots lets the calls for scores queue a little at backend servers, which
-// takes less time than asking again.
+// rewardQueueSlots is how many score requests a backend server may receive beyond its
+// slots. Queueing there takes less time than retrying.
 const rewardQueueSlots = 6
--- a/internal/dispatch/task.go
+++ b/internal/dispatch/task.go
@@ -11,43 +11,43 @@
 	"github.com/tamarackbay/tamarackbay/internal/job"
 )
 
-// phase of a task.
+// phase is the state of a task.
 type phase uint8
 
 const (
-	waiting phase = iota // for a backend server
-	running              // at a backend server
-	scoring              // the text is complete, its score is asked for
+	waiting phase = iota // queued for a backend server
+	running              // generating at a backend server
+	scoring              // text complete, score requested
 	listing              // the result is being committed
 )
 
-// task is one item that is not listed yet.
+// task is the execution state of an item whose result is not listed yet.
 type task struct {
 	job   *jobState
 	index int
-	item  job.Item // its slices are never changed
+	item  job.Item // its slices are read-only
 	phase phase
 
 	generated         generatedText
 	notBefore         time.Time
-	waitingSince      time.Time // since when it waits for a backend server
-	failedServers     []string  // backend servers that failed it, the last ones
-	serverFailures    int       // answers that say the backend server failed
-	brokenRuns        int       // runs in a row that broke off and brought nothing
+	waitingSince      time.Time // when its current wait for a backend server began
+	failedServers     []string  // IDs of the backend servers of its last failed runs, at most maxFailedServers
+	serverFailures    int       // answers in which a backend server reported its own failure
+	brokenRuns        int       // consecutive broken runs without a new event; sets the back-off
 	rewardFailures    int
-	isProgressStopped bool // a part of its progress may be lost, no further one is committed
+	isProgressStopped bool // a part of its progress may be lost, so no further part is committed
 	runs              int
-	firstStartedAt    time.Time          // of its first run by this driver
-	completedAt       time.Time          // when its text was complete
-	server            string             // where it runs
-	startedAt         time.Time          // of that run
-	service           string             // of that backend server
-	cancel            context.CancelFunc // ends what runs, nil for nothing
-	cancelForMove     func()             // ends the run so that it goes on elsewhere, nil for nothing
-	nextGrant         *balance.Grant     // where it goes on then
+	firstStartedAt    time.Time          // start of its first run by this driver
+	completedAt       time.Time          // when its text became complete
+	server            string             // ID of the backend server of its current run
+	startedAt         time.Time          // start of that run
+	service           string             // service to which that backend server belongs
+	cancel            context.CancelFunc // cancels the current run or score request, nil if there is none
+	cancelForMove     func()             // cancels the current run so that it continues elsewhere, nil if it can't be moved
+	nextGrant         *balance.Grant     // slot reserved for the moved run at another backend server
 }
 
-// jobState is an open job.
+// jobState is an open job with its unlisted items.
 type jobState struct {
 	id            string
 	workspace     string
@@ -55,31 +55,31 @@
 	model         string
 	minVersion    uint64
 	submitted     time.Time
-	queueDeadline time.Time // zero for never
+	queueDeadline time.Time // items still waiting after it are aborted; zero for no limit
 	tasks         map[int]*task
 	timeline      timeline
 }
 
-// generatedText is what was generated of an item so far.
+// generatedText is the text generated for an item so far.
 type generatedText struct {
-	events    []string // data of each
+	events    []string // data of each event
 	lastEvent uint64   // number of the last event, 0 for none
-	versions  []uint64 // that wrote it, ascending
+	versions  []uint64 // weight versions that wrote it, ascending
 
-	// What is committed of it: the number of its last event and how many there are.
-	proposed       uint64
-	proposedEvents int
-	hasProposed    bool // this driver has told of it
+	// The part already queued for commit.
+	proposed       uint64 // number of its last event, 0 for none
+	proposedEvents int    // number of its events
+	hasProposed    bool   // this driver has queued a part of it
 }
 
-// newGeneratedText returns the text that a former driver left.
+// newGeneratedText returns the text that a former driver committed.
 func newGeneratedText(pa *job.Partial) generatedText {
 	return generatedText{
 		events: slices.Clone(pa.Events), lastEvent: pa.Last, versions: slices.Clone(pa.Versions), proposed: pa.Last, proposedEvents: len(pa.Events),
 	}
 }
 
-// add appends an event that a version wrote.
+// add appends an event that a weight version wrote.
 func (te *generatedText) add(number uint64, data string, version uint64) {
 	te.events = append(te.events, data)
 	te.lastEvent = number
@@ -88,7 +88,8 @@
 	}
 }
 
-// meetsVersionRules reports whether the text may be part of a result.
+// meetsVersionRules reports whether the text may be part of a result: no version is
+// older than minVersion, and there is only one if isSingle is set.
 func (te *generatedText) meetsVersionRules(minVersion uint64, isSingle bool) bool {
 	if len(te.versions) == 0 {
 		return true
