--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -24,14 +24,14 @@
 	return le
 }
 
-func done(i int, text string) job.Result {
+func completed(i int, text string) job.Result {
 	return job.Result{Item: i, State: job.Completed, Text: text}
 }
 
 var _ = ginkgo.Describe("the ledger of batch jobs", func() {
 	ginkgo.It("takes a job once, and never for another workspace", func() {
 		le := newLedger()
-		le.List(job.List{Job: "j", Results: []job.Result{done(1, "x")}})
+		le.List(job.List{Job: "j", Results: []job.Result{completed(1, "x")}})
 		Expect(le.Submit(job.Submit{Spec: job.Spec{ID: "j", Workspace: "w"}}, 2000)).To(Succeed())
 		jo, err := le.Get("j", "w")
 		Expect(err).NotTo(HaveOccurred())
@@ -47,9 +47,9 @@
 			results []job.Result
 			added   int
 		}{
-			{[]job.Result{done(1, "one")}, 1},
-			{[]job.Result{done(1, "another"), done(0, "zero")}, 1},
-			{[]job.Result{done(7, "no such item"), done(-1, "nor this")}, 0},
+			{[]job.Result{completed(1, "one")}, 1},
+			{[]job.Result{completed(1, "another"), completed(0, "zero")}, 1},
+			{[]job.Result{completed(7, "no such item"), completed(-1, "nor this")}, 0},
 			{[]job.Result{{Item: 0, State: job.Aborted}}, 0},
 		} {
 			Expect(le.List(job.List{Job: "j", Results: tc.results})).To(Equal(tc.added))
@@ -67,12 +67,12 @@
 		le := newLedger()
 		Expect(le.End(job.End{Job: "j", Workspace: "w"}, 2000)).To(Succeed())
 		Expect(le.End(job.End{Job: "j", Workspace: "w"}, 3000)).To(Succeed())
-		Expect(le.List(job.List{Job: "j", Results: []job.Result{done(0, "late")}})).To(BeZero())
-		keep := job.KeepFor.Milliseconds()
-		Expect(le.Submit(job.Submit{Spec: job.Spec{ID: "k", Workspace: "w"}}, 1000+keep)).To(Succeed())
+		Expect(le.List(job.List{Job: "j", Results: []job.Result{completed(0, "late")}})).To(BeZero())
+		keepMs := job.KeepFor.Milliseconds()
+		Expect(le.Submit(job.Submit{Spec: job.Spec{ID: "k", Workspace: "w"}}, 1000+keepMs)).To(Succeed())
 		_, err := le.Get("j", "w")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(le.Submit(job.Submit{Spec: job.Spec{ID: "l", Workspace: "w"}}, 1001+keep)).To(Succeed())
+		Expect(le.Submit(job.Submit{Spec: job.Spec{ID: "l", Workspace: "w"}}, 1001+keepMs)).To(Succeed())
 		_, err = le.Get("j", "w")
 		Expect(result.Is(err, result.UnknownStep)).To(BeTrue())
 	})
@@ -82,7 +82,7 @@
 		jo, err := le.Get("j", "w")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(jo.Body("b")).To(Equal([]byte("B")))
-		le.List(job.List{Job: "j", Results: []job.Result{done(1, "x")}})
+		le.List(job.List{Job: "j", Results: []job.Result{completed(1, "x")}})
 		_, err = jo.Body("b")
 		Expect(result.Is(err, result.UnknownObject)).To(BeTrue())
 		Expect(jo.Body("c")).To(Equal([]byte("C")))
@@ -102,7 +102,7 @@
 		Expect(jo.Partial[0]).To(Equal(job.Partial{Events: []string{"e1", "e2", "e3"}, Last: 3}))
 		part(0, 1, "f1") // begun anew
 		Expect(jo.Partial[0].Events).To(Equal([]string{"f1"}))
-		le.List(job.List{Job: "j", Results: []job.Result{done(0, "x")}})
+		le.List(job.List{Job: "j", Results: []job.Result{completed(0, "x")}})
 		part(1, 2, "f2")
 		Expect(jo.Partial).NotTo(HaveKey(0))
 	})
@@ -112,7 +112,7 @@
 		note := func(term, after, last uint64, first bool, events ...string) {
 			le.Note(job.Progress{Parts: []job.Part{{Job: "j", Item: 0, After: after, First: first, Text: job.Partial{Events: events, Last: last, Term: term}}}})
 		}
-		held := func() []string {
+		recorded := func() []string {
 			jo, err := le.Get("j", "w")
 			Expect(err).NotTo(HaveOccurred())
 
@@ -123,13 +123,13 @@
 		note(1, 2, 3, false, "a3")
 		note(2, 2, 3, true, "b3")
 		note(2, 3, 4, false, "b4")
-		Expect(held()).To(Equal([]string{"a1", "a2", "a3"}))
+		Expect(recorded()).To(Equal([]string{"a1", "a2", "a3"}))
 		// The driver of term 3 finds three events and goes on; what older drivers send late is left out.
 		note(3, 3, 4, true, "c4")
 		note(2, 4, 5, false, "b5")
 		note(1, 0, 1, true, "a1")
 		note(3, 4, 5, false, "c5")
-		Expect(held()).To(Equal([]string{"a1", "a2", "a3", "c4", "c5"}))
+		Expect(recorded()).To(Equal([]string{"a1", "a2", "a3", "c4", "c5"}))
 	})
 
 	ginkgo.It("is never larger than its estimate when it is encoded", func() {
@@ -156,7 +156,7 @@
 	ginkgo.It("fills a page up to its bytes, but always gives one result", func() {
 		big := string(make([]byte, job.MaxPageBytes))
 		le := newLedger()
-		le.List(job.List{Job: "j", Results: []job.Result{done(0, big), done(1, "x"), done(2, "y")}})
+		le.List(job.List{Job: "j", Results: []job.Result{completed(0, big), completed(1, "x"), completed(2, "y")}})
 		jo, err := le.Get("j", "w")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(jo.Page(0).Next).To(Equal(1))
