--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -1,6 +1,6 @@
 // Package job holds the ledger of batch jobs: which items a job has, which results
-// are listed at which position, and whether the job has ended. A position, once
-// listed, never changes. It is a part of the replicated state of the job stores.
+// are listed at which position, and whether the job has ended. A listed position
+// never changes. The ledger is part of the replicated state of the job stores.
 package job
 
 import (
@@ -17,7 +17,7 @@
 	Value string `cbor:"2,keyasint"`
 }
 
-// Reward is the call that scores a text once it is complete.
+// Reward is the request that scores the complete text of an item.
 type Reward struct {
 	ID   string `cbor:"1,keyasint"`
 	Host string `cbor:"2,keyasint"`
@@ -31,10 +31,10 @@
 	Path    string   `cbor:"2,keyasint"`
 	Headers []Header `cbor:"3,keyasint"`
 	Body    []byte   `cbor:"4,keyasint"`
-	Tokens  int      `cbor:"5,keyasint"` // prompt and the most that may be generated
+	Tokens  int      `cbor:"5,keyasint"` // prompt tokens plus the maximum to be generated
 	Group   string   `cbor:"6,keyasint"` // items of a group share their prompt
 	Reward  *Reward  `cbor:"7,keyasint"`
-	// Expected is the client's guess of the tokens to be generated, 0 where it makes none.
+	// Expected is the client's estimate of the tokens to be generated, 0 for none.
 	Expected int `cbor:"8,keyasint"`
 }
 
@@ -46,13 +46,13 @@
 	Step           uint64 `cbor:"4,keyasint"`
 	Model          string `cbor:"5,keyasint"`
 	MinVersion     uint64 `cbor:"6,keyasint"` // oldest weight version that may write its texts
-	TargetGroups   int    `cbor:"7,keyasint"` // complete groups that the trainer waits for
+	TargetGroups   int    `cbor:"7,keyasint"` // number of complete groups that the trainer waits for
 	Items          []Item `cbor:"8,keyasint"`
 	ResultDeadline int64  `cbor:"9,keyasint"`  // milliseconds from the submission
-	MaxQueue       int64  `cbor:"10,keyasint"` // milliseconds after which an item may be given up, 0 for never
+	MaxQueue       int64  `cbor:"10,keyasint"` // milliseconds from the submission after which a waiting item may be aborted, 0 for never
 }
 
-// State of a listed result.
+// State is the state of a listed result.
 type State uint8
 
 // States of a result.
@@ -70,41 +70,42 @@
 	Score    string   `cbor:"5,keyasint"`
 }
 
-// Job is a job with what is listed of it.
+// Job is a submitted job with its listed results and its progress.
 type Job struct {
 	Spec        Spec     `cbor:"1,keyasint"`
-	SubmittedMs int64    `cbor:"2,keyasint"` // Unix milliseconds, of the leader that took it
-	EndedMs     int64    `cbor:"3,keyasint"` // 0 while it is open
-	Results     []Result `cbor:"4,keyasint"` // by position
-	Listed      []bool   `cbor:"5,keyasint"` // by item
-	// Partial holds what was generated so far of items that take long, by item: the
-	// next driver goes on from there.
+	SubmittedMs int64    `cbor:"2,keyasint"` // Unix milliseconds by the clock of the leader that accepted it
+	EndedMs     int64    `cbor:"3,keyasint"` // Unix milliseconds, 0 while it is open
+	Results     []Result `cbor:"4,keyasint"` // by position, in the order in which they were listed
+	Listed      []bool   `cbor:"5,keyasint"` // by item: whether its result is listed
+	// Partial holds the text generated so far of unlisted items, by item. The next
+	// driver resumes from there.
 	Partial map[int]Partial `cbor:"6,keyasint,omitempty"`
 }
 
-// Partial is the beginning of a text.
+// Partial is the committed beginning of an item's text.
 type Partial struct {
-	Events   []string `cbor:"1,keyasint"` // data of each
+	Events   []string `cbor:"1,keyasint"` // data of each event
 	Last     uint64   `cbor:"2,keyasint"` // number of the last event
 	Versions []uint64 `cbor:"3,keyasint"` // weight versions that wrote it, ascending
-	Term     uint64   `cbor:"4,keyasint"` // of the driver that told its end
+	Term     uint64   `cbor:"4,keyasint"` // term of the driver that reported the last event
 }
 
-// IsOpen reports whether the job has not been ended.
+// IsOpen reports whether the job has not ended yet.
 func (jo *Job) IsOpen() bool { return jo.EndedMs == 0 }
 
-// Submit adds a job.
+// Submit is the command that adds a job.
 type Submit struct {
 	Spec Spec `cbor:"1,keyasint"`
 }
 
-// List adds results of a job at its next positions.
+// List is the command that adds results of a job at its next positions.
 type List struct {
 	Job     string   `cbor:"1,keyasint"`
 	Results []Result `cbor:"2,keyasint"`
 }
 
-// Progress notes what was generated of items since their last progress.
+// Progress is the command that records what was generated of items since their last
+// recorded progress.
 type Progress struct {
 	Parts []Part `cbor:"1,keyasint"`
 }
@@ -113,14 +114,14 @@
 type Part struct {
 	Job   string  `cbor:"1,keyasint"`
 	Item  int     `cbor:"2,keyasint"`
-	After uint64  `cbor:"3,keyasint"` // number of the event before it, 0 for a text begun anew
-	Text  Partial `cbor:"4,keyasint"` // further events; its versions are those of the whole text
-	First bool    `cbor:"5,keyasint"` // the driver of this term tells of the item for the first time
+	After uint64  `cbor:"3,keyasint"` // number of the event before this part, 0 if the text restarts
+	Text  Partial `cbor:"4,keyasint"` // the further events; its versions are those of the complete text so far
+	First bool    `cbor:"5,keyasint"` // first part of the item that the driver of this term reports
 }
 
-// follows reports whether the part goes on where the text held ends. Events of two
-// runs must not be mixed, even where their numbers fit: a driver goes on from what
-// it found, and only if that is still all there is.
+// follows reports whether the part continues the recorded text. Events of two runs
+// must not be mixed, even if their numbers are consecutive: a new driver resumes after
+// the text that it read, and its first part is valid only if that text is unchanged.
 func (pa *Part) follows(old *Partial) bool {
 	switch {
 	case pa.After == 0:
@@ -132,7 +133,7 @@
 	return pa.Text.Term == old.Term || (pa.First && pa.Text.Term > old.Term)
 }
 
-// End ends a job.
+// End is the command that ends a job.
 type End struct {
 	Job       string `cbor:"1,keyasint"`
 	Workspace string `cbor:"2,keyasint"`
@@ -141,11 +142,12 @@
 // Ledger holds all jobs of a group.
 type Ledger struct {
 	jobs     map[string]*Job
-	revision uint64 // rises with each change
+	revision uint64 // increases with each change except progress
 }
 
-// KeepFor is how long an ended job stays readable, counted from its submission. It
-// is above the 120 s for which the platform's clients may read a job.
+// KeepFor is how long an ended job stays readable at least, counted from its
+// submission. It is longer than the 120 s for which the platform's clients may read
+// a job.
 const KeepFor = 150 * time.Second
 
 // NewLedger returns the ledger that holds jobs.
@@ -157,16 +159,16 @@
 	return &Ledger{jobs: jobs}
 }
 
-// Jobs returns all jobs by ID. They must not be changed.
+// Jobs returns all jobs by ID. The caller must not change them.
 func (le *Ledger) Jobs() map[string]*Job { return le.jobs }
 
-// Freeze returns the jobs as they are now, for another goroutine to read while the
-// ledger changes. Texts and bodies are shared, so it takes little time.
+// Freeze returns a snapshot of the jobs that another goroutine may read while the
+// ledger changes. Texts and bodies are shared with the ledger, so it is cheap.
 func (le *Ledger) Freeze() map[string]*Job {
 	out := make(map[string]*Job, len(le.jobs))
 	for id, jo := range le.jobs {
 		if !jo.IsOpen() {
-			out[id] = jo // never changes again
+			out[id] = jo // an ended job never changes
 
 			continue
 		}
@@ -180,13 +182,13 @@
 }
 
 const (
-	// jobOverhead and itemOverhead are above what the fields of a job and an item take
-	// in an encoding beside their texts and bodies.
+	// jobOverhead and itemOverhead are upper bounds, in bytes, for the encoded fields
+	// of a job and an item without their texts and bodies.
 	jobOverhead  = 512
 	itemOverhead = 256
 )
 
-// EncodedBytes estimates the size of jobs in an encoding, from above.
+// EncodedBytes returns an upper estimate of the encoded size of jobs.
 func EncodedBytes(jobs map[string]*Job) int {
 	n := 0
 	for _, jo := range jobs {
@@ -215,15 +217,16 @@
 	return n
 }
 
-// Revision rises with each change.
+// Revision returns a number that increases with each change except progress.
 func (le *Ledger) Revision() uint64 { return le.revision }
 
-// Submit adds a job, once for each ID.
+// Submit adds a job unless a job with its ID exists. It is idempotent within a
+// workspace.
 func (le *Ledger) Submit(su Submit, atMs int64) error {
 	le.expire(atMs)
 	if jo, ok := le.jobs[su.Spec.ID]; ok {
 		if jo.Spec.Workspace != su.Spec.Workspace {
-			return result.New(result.StepConflict, "job %s: its ID belongs to another workspace", su.Spec.ID)
+			return result.New(result.StepConflict, "job %s: this ID is in use by another workspace", su.Spec.ID)
 		}
 
 		return nil
@@ -244,8 +247,8 @@
 	return jo, nil
 }
 
-// List adds results. An item that is listed already keeps its first result, and an
-// ended job takes none.
+// List adds results and returns how many were added. An item that is already listed
+// keeps its first result, and an ended job accepts none.
 func (le *Ledger) List(li List) (added int) {
 	jo, ok := le.jobs[li.Job]
 	if !ok || !jo.IsOpen() {
@@ -256,7 +259,7 @@
 			continue
 		}
 		jo.Listed[re.Item] = true
-		// Only the item's name and group matter from now on.
+		// Only the ID and group of a listed item are still needed.
 		it := &jo.Spec.Items[re.Item]
 		it.Headers, it.Body, it.Reward = nil, nil, nil
 		delete(jo.Partial, re.Item)
@@ -270,7 +273,7 @@
 	return added
 }
 
-// Note takes progress. What does not follow on the text held here is left out.
+// Note records progress. Parts that do not continue the recorded text are ignored.
 func (le *Ledger) Note(pr Progress) {
 	for _, pa := range pr.Parts {
 		jo, ok := le.jobs[pa.Job]
@@ -292,7 +295,7 @@
 	}
 }
 
-// End ends a job. Ending it again changes nothing.
+// End ends a job. It is idempotent.
 func (le *Ledger) End(en End, atMs int64) error {
 	jo, err := le.Get(en.Job, en.Workspace)
 	if err != nil {
@@ -308,7 +311,8 @@
 	return nil
 }
 
-// expire drops ended jobs that nobody may read any more.
+// expire removes ended jobs after KeepFor since their submission, but not before half
+// of it has passed since their end.
 func (le *Ledger) expire(atMs int64) {
 	for id, jo := range le.jobs {
 		if !jo.IsOpen() && atMs-jo.SubmittedMs > KeepFor.Milliseconds() && atMs-jo.EndedMs > KeepFor.Milliseconds()/2 {
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -29,7 +29,7 @@
 }
 
 var _ = ginkgo.Describe("the ledger of batch jobs", func() {
-	ginkgo.It("takes a job once, and never for another workspace", func() {
+	ginkgo.It("accepts a job once and rejects its ID from another workspace", func() {
 		le := newLedger()
 		le.List(job.List{Job: "j", Results: []job.Result{completed(1, "x")}})
 		Expect(le.Submit(job.Submit{Spec: job.Spec{ID: "j", Workspace: "w"}}, 2000)).To(Succeed())
@@ -41,7 +41,7 @@
 		Expect(result.Is(err, result.UnknownStep)).To(BeTrue())
 	})
 
-	ginkgo.It("keeps each position and its first result", func() {
+	ginkgo.It("keeps the first result of an item and its position", func() {
 		le := newLedger()
 		for _, tc := range []struct {
 			results []job.Result
@@ -63,7 +63,7 @@
 		Expect(jo.Page(2).Results).To(BeEmpty())
 	})
 
-	ginkgo.It("lists nothing more once a job has ended, and keeps it readable for a while", func() {
+	ginkgo.It("lists no results of an ended job and keeps it readable for KeepFor", func() {
 		le := newLedger()
 		Expect(le.End(job.End{Job: "j", Workspace: "w"}, 2000)).To(Succeed())
 		Expect(le.End(job.End{Job: "j", Workspace: "w"}, 3000)).To(Succeed())
@@ -77,7 +77,7 @@
 		Expect(result.Is(err, result.UnknownStep)).To(BeTrue())
 	})
 
-	ginkgo.It("gives the body of an item until it is listed or the job has ended", func() {
+	ginkgo.It("returns the body of an item until it is listed", func() {
 		le := newLedger()
 		jo, err := le.Get("j", "w")
 		Expect(err).NotTo(HaveOccurred())
@@ -88,7 +88,7 @@
 		Expect(jo.Body("c")).To(Equal([]byte("C")))
 	})
 
-	ginkgo.It("keeps the beginning of a text for the next driver, and only what follows on", func() {
+	ginkgo.It("records progress only if it continues the recorded text or restarts it", func() {
 		le := newLedger()
 		part := func(after, last uint64, events ...string) {
 			le.Note(job.Progress{Parts: []job.Part{{Job: "j", Item: 0, After: after, Text: job.Partial{Events: events, Last: last}}}})
@@ -96,18 +96,18 @@
 		part(0, 2, "e1", "e2")
 		part(2, 3, "e3")
 		part(5, 6, "e6") // a gap
-		part(1, 2, "e2") // an old one again
+		part(1, 2, "e2") // repeated
 		jo, err := le.Get("j", "w")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(jo.Partial[0]).To(Equal(job.Partial{Events: []string{"e1", "e2", "e3"}, Last: 3}))
-		part(0, 1, "f1") // begun anew
+		part(0, 1, "f1") // restarted
 		Expect(jo.Partial[0].Events).To(Equal([]string{"f1"}))
 		le.List(job.List{Job: "j", Results: []job.Result{completed(0, "x")}})
 		part(1, 2, "f2")
 		Expect(jo.Partial).NotTo(HaveKey(0))
 	})
 
-	ginkgo.It("never joins the events of two runs whose numbers only happen to fit", func() {
+	ginkgo.It("never joins events of two runs, even if their numbers are consecutive", func() {
 		le := newLedger()
 		note := func(term, after, last uint64, first bool, events ...string) {
 			le.Note(job.Progress{Parts: []job.Part{{Job: "j", Item: 0, After: after, First: first, Text: job.Partial{Events: events, Last: last, Term: term}}}})
@@ -119,12 +119,12 @@
 			return jo.Partial[0].Events
 		}
 		note(1, 0, 2, true, "a1", "a2")
-		// The driver of term 2 begins after event 2; a part of its predecessor comes in between.
+		// The driver of term 2 resumes after event 2, but a part of its predecessor is applied first.
 		note(1, 2, 3, false, "a3")
 		note(2, 2, 3, true, "b3")
 		note(2, 3, 4, false, "b4")
 		Expect(recorded()).To(Equal([]string{"a1", "a2", "a3"}))
-		// The driver of term 3 finds three events and goes on; what older drivers send late is left out.
+		// The driver of term 3 resumes after event 3; late parts of older drivers are ignored.
 		note(3, 3, 4, true, "c4")
 		note(2, 4, 5, false, "b5")
 		note(1, 0, 1, true, "a1")
@@ -132,7 +132,7 @@
 		Expect(recorded()).To(Equal([]string{"a1", "a2", "a3", "c4", "c5"}))
 	})
 
-	ginkgo.It("is never larger than its estimate when it is encoded", func() {
+	ginkgo.It("has an encoded size between half the estimate and the estimate", func() {
 		le := newLedger()
 		items := make([]job.Item, 200)
 		for i := range items {
@@ -153,7 +153,7 @@
 		Expect(job.EncodedBytes(le.Jobs())).To(BeNumerically("<", 2*len(b)))
 	})
 
-	ginkgo.It("fills a page up to its bytes, but always gives one result", func() {
+	ginkgo.It("fills a page up to MaxPageBytes and returns at least one result", func() {
 		big := string(make([]byte, job.MaxPageBytes))
 		le := newLedger()
 		le.List(job.List{Job: "j", Results: []job.Result{completed(0, big), completed(1, "x"), completed(2, "y")}})
--- a/internal/job/read.go
+++ b/internal/job/read.go
@@ -6,35 +6,36 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// MaxPageBytes bounds the texts of one page of results.
-const MaxPageBytes = 900 << 10 // clients take 1 MB, of which the names of the fields are a part
+// MaxPageBytes bounds the bytes of the texts in one page of results.
+const MaxPageBytes = 900 << 10 // clients accept 1 MB, including the field names
 
-// Read asks for the results of a job from a position on.
+// Read is a request for the results of a job, starting at position From.
 type Read struct {
-	Key       string        `cbor:"-"` // of the caller; the gateway turns it into the workspace
+	Key       string        `cbor:"-"` // API key of the caller; the gateway maps it to the workspace
 	Workspace string        `cbor:"1,keyasint"`
 	Job       string        `cbor:"2,keyasint"`
 	From      int           `cbor:"3,keyasint"`
-	Wait      time.Duration `cbor:"4,keyasint"` // how long to wait for a first result
+	Wait      time.Duration `cbor:"4,keyasint"` // maximum wait for a first result
 }
 
-// Listed is one result as it is read.
+// Listed is a result as clients read it.
 type Listed struct {
-	Item     string   `cbor:"1,keyasint"` // ID
+	Item     string   `cbor:"1,keyasint"` // ID of the item
 	State    State    `cbor:"2,keyasint"`
 	Text     string   `cbor:"3,keyasint"`
 	Versions []uint64 `cbor:"4,keyasint"`
 	Score    string   `cbor:"5,keyasint"`
 }
 
-// Page is a part of the results.
+// Page is a range of consecutive results.
 type Page struct {
-	Total   int      `cbor:"1,keyasint"` // items of the job
-	Next    int      `cbor:"2,keyasint"` // position after the last result here
+	Total   int      `cbor:"1,keyasint"` // number of items of the job
+	Next    int      `cbor:"2,keyasint"` // position after the last result of this page
 	Results []Listed `cbor:"3,keyasint"`
 }
 
-// Page returns the results from a position on, at least one if there is one.
+// Page returns results from a position on, up to MaxPageBytes but at least one if
+// there is one.
 func (jo *Job) Page(from int) *Page {
 	pa := &Page{Total: len(jo.Spec.Items), Next: from, Results: []Listed{}}
 	size := 0
@@ -53,7 +54,7 @@
 	return pa
 }
 
-// Body returns the body of an item that is not listed, while the job is open.
+// Body returns the request body of an item that is not listed yet.
 func (jo *Job) Body(item string) ([]byte, error) {
 	for i := range jo.Spec.Items {
 		if jo.Spec.Items[i].ID == item && !jo.Listed[i] {
@@ -61,5 +62,5 @@
 		}
 	}
 
-	return nil, result.New(result.UnknownObject, "job %s: no item %q waits", jo.Spec.ID, item)
+	return nil, result.New(result.UnknownObject, "job %s has no unlisted item %q", jo.Spec.ID, item)
 }
