--- a/internal/jobstore/jobstore.go
+++ b/internal/jobstore/jobstore.go
@@ -53,19 +53,19 @@
 
 // Store is a running process that stores batch jobs.
 type Store struct {
-	cfg      Config
-	group    *group.Group
-	links    *peer.Links
-	follower *feed.Follower
-	balancer *balance.Balancer
-	driver   *dispatch.Driver
-	status   chan struct{} // has an element after each change of the status
+	cfg           Config
+	group         *group.Group
+	links         *peer.Links
+	follower      *feed.Follower
+	balancer      *balance.Balancer
+	driver        *dispatch.Driver
+	statusChanged chan struct{} // has an element after each change of the status
 }
 
 // New loads the replica's identity. Handlers may be served before Run.
 func New(cfg Config) (*Store, error) {
 	no := cfg.Settings
-	st := &Store{cfg: cfg, status: make(chan struct{}, 1), links: peer.NewLinks(context.Background(), cfg.Peer)}
+	st := &Store{cfg: cfg, statusChanged: make(chan struct{}, 1), links: peer.NewLinks(context.Background(), cfg.Peer)}
 	st.follower = feed.NewFollower(feed.Config{Links: st.links, Seeds: cfg.Controllers, Own: no.PeerAddress, Log: cfg.Log})
 	var err error
 	st.group, err = group.New(group.Config{
@@ -126,7 +126,7 @@
 
 func (st *Store) onStatus(group.Status) {
 	select {
-	case st.status <- struct{}{}:
+	case st.statusChanged <- struct{}{}:
 	default:
 	}
 }
@@ -140,7 +140,7 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() { st.follower.Run(ctx) })
-	wg.Go(func() { st.announceDuty(ctx) })
+	wg.Go(func() { st.announceLoop(ctx) })
 	wg.Go(func() { st.driver.Run(ctx) })
 	wg.Go(func() {
 		st.follower.EachView(ctx, func(vi *feed.View) {
@@ -157,12 +157,12 @@
 // StopDuties gives the lead away before the process stops.
 func (st *Store) StopDuties(ctx context.Context) { st.group.TransferLeadership(ctx) }
 
-// announceDuty tells every controller of this store.
-func (st *Store) announceDuty(ctx context.Context) {
+// announceLoop tells every controller of this store.
+func (st *Store) announceLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		st.announce(ctx)
 		select {
-		case <-st.status:
+		case <-st.statusChanged:
 		case <-time.After(announcePeriod):
 		case <-ctx.Done():
 		}
@@ -284,14 +284,14 @@
 		}
 
 		// Wakes for any commit; the barrier follows only when this job has grown.
-		if err := st.awaitGrowth(ctx, rd, changed, left); err != nil {
+		if err := st.awaitResults(ctx, rd, changed, left); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// awaitGrowth waits until the job has results beyond the position, or until left is over.
-func (st *Store) awaitGrowth(ctx context.Context, rd *job.Read, changed <-chan struct{}, left time.Duration) error {
+// awaitResults waits until the job has results beyond the position, or until left is over.
+func (st *Store) awaitResults(ctx context.Context, rd *job.Read, changed <-chan struct{}, left time.Duration) error {
 	timer := time.NewTimer(left)
 	defer timer.Stop()
 
@@ -304,12 +304,12 @@
 			return result.New(result.DeadlinePassed, "jobstore: the reader has gone")
 		}
 		changed = st.group.Applied()
-		grown := false
+		hasResults := false
 		st.group.Read(func(ma *machine.Machine) {
 			jo, err := ma.Jobs().Get(rd.Job, rd.Workspace)
-			grown = err != nil || len(jo.Results) > rd.From
+			hasResults = err != nil || len(jo.Results) > rd.From
 		})
-		if grown {
+		if hasResults {
 			return nil
 		}
 	}
