--- a/internal/jobgate/jobgate.go
+++ b/internal/jobgate/jobgate.go
@@ -30,9 +30,9 @@
 const (
 	// callTimeout bounds one call to a store: a few commits on a slow disk.
 	callTimeout = 900 * time.Millisecond
-	// patience bounds all calls for one request of a client. A new leader is there
+	// requestTimeout bounds all calls for one request of a client. A new leader is there
 	// within about two seconds.
-	patience = 2500 * time.Millisecond
+	requestTimeout = 2500 * time.Millisecond
 	// retryPause is kept between two calls, unless another leader becomes known.
 	retryPause = 60 * time.Millisecond
 	// retryAfter is told to clients while no store leads.
@@ -83,9 +83,9 @@
 			sp.Workspace = ws.Name
 		}
 		sp.ResultDeadline, sp.MaxQueue = ro.ResultDeadline.Milliseconds(), ro.MaxQueue.Milliseconds()
-		err = ga.call(ctx, MethodSubmit, &job.Submit{Spec: *sp}, nil, true)
+		err = ga.callStores(ctx, MethodSubmit, &job.Submit{Spec: *sp}, nil, true)
 	}
-	ga.tell("job submitted", sp.ID, sp.Workspace, err, log.Fields{
+	ga.logOutcome("job submitted", sp.ID, sp.Workspace, err, log.Fields{
 		"items": len(sp.Items), "step": sp.Step, "model": sp.Model, "minVersion": sp.MinVersion, "targetGroups": sp.TargetGroups,
 	})
 
@@ -97,9 +97,9 @@
 	var pa job.Page
 	err := ga.identify(rd.Key, &rd.Workspace)
 	if err == nil {
-		err = ga.call(ctx, MethodRead, rd, &pa, false)
+		err = ga.callStores(ctx, MethodRead, rd, &pa, false)
 	}
-	ga.tell("job read", rd.Job, rd.Workspace, err, log.Fields{"from": rd.From, "next": pa.Next, "total": pa.Total})
+	ga.logOutcome("job read", rd.Job, rd.Workspace, err, log.Fields{"from": rd.From, "next": pa.Next, "total": pa.Total})
 
 	return &pa, err
 }
@@ -109,9 +109,9 @@
 	rq, body := BodyRequest{Job: id, Item: item}, []byte(nil)
 	err := ga.identify(key, &rq.Workspace)
 	if err == nil {
-		err = ga.call(ctx, MethodBody, &rq, &body, false)
+		err = ga.callStores(ctx, MethodBody, &rq, &body, false)
 	}
-	ga.tell("item read", id, rq.Workspace, err, log.Fields{"item": item, "bytes": len(body)})
+	ga.logOutcome("item read", id, rq.Workspace, err, log.Fields{"item": item, "bytes": len(body)})
 
 	return body, err
 }
@@ -121,9 +121,9 @@
 	en := job.End{Job: id}
 	err := ga.identify(key, &en.Workspace)
 	if err == nil {
-		err = ga.call(ctx, MethodEnd, &en, nil, false)
+		err = ga.callStores(ctx, MethodEnd, &en, nil, false)
 	}
-	ga.tell("job ended", id, en.Workspace, err, log.Fields{})
+	ga.logOutcome("job ended", id, en.Workspace, err, log.Fields{})
 
 	return err
 }
@@ -137,39 +137,39 @@
 	return err
 }
 
-func (ga *Gate) tell(what, id, workspace string, err error, fl log.Fields) {
+func (ga *Gate) logOutcome(msg, id, workspace string, err error, fl log.Fields) {
 	fl["job"], fl["workspace"] = id, workspace
 	if err == nil {
-		ga.cfg.Log.WithFields(fl).Info(what)
+		ga.cfg.Log.WithFields(fl).Info(msg)
 
 		return
 	}
 	ga.cfg.Meter.Refused(err)
 	fl["error"] = err.Error()
-	ga.cfg.Log.WithFields(fl).Warn(what)
+	ga.cfg.Log.WithFields(fl).Warn(msg)
 }
 
-// call asks the store that leads, and goes on with the others until one answers.
-// Where the call changes something, a failure after it was sent says that the
+// callStores asks the store that leads, and goes on with the others until one answers.
+// Where the callStores changes something, a failure after it was sent says that the
 // outcome is not known.
-func (ga *Gate) call(ctx context.Context, method string, in, out any, changes bool) error {
+func (ga *Gate) callStores(ctx context.Context, method string, in, out any, isWrite bool) error {
 	b, err := cbor.Marshal(in)
 	if err != nil {
 		return result.New(result.Internal, "jobgate: %v", err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 
 	var last error = result.New(result.NoLeader, "jobgate: no store leads").After(retryAfter)
-	mayHave := false
-	for turn := 0; ; turn++ {
+	mayHaveRun := false
+	for try := 0; ; try++ {
 		changed := ga.cfg.Changed()
-		if st, ok := ga.choose(turn); ok {
+		if st, ok := ga.pickStore(try); ok {
 			err := ga.callStore(ctx, st, method, b, out)
-			if err == nil || !isElsewhere(err) {
+			if err == nil || !canRetryElsewhere(err) {
 				return err
 			}
-			mayHave = mayHave || result.From(err).Execution != result.NotRun
+			mayHaveRun = mayHaveRun || result.From(err).Execution != result.NotRun
 			last = err
 		}
 		select {
@@ -177,7 +177,7 @@
 		case <-time.After(retryPause):
 		case <-ctx.Done():
 			er := result.From(last)
-			if changes && mayHave {
+			if isWrite && mayHaveRun {
 				return er.With(result.Unknown)
 			}
 
@@ -186,17 +186,17 @@
 	}
 }
 
-// choose returns the store to ask: the leader first, then every store in turn.
-func (ga *Gate) choose(turn int) (feed.Store, bool) {
+// pickStore returns the store to ask: the leader first, then every store in turn.
+func (ga *Gate) pickStore(try int) (feed.Store, bool) {
 	vi := ga.cfg.View()
-	if st, ok := vi.Leader(); ok && turn%2 == 0 {
+	if st, ok := vi.Leader(); ok && try%2 == 0 {
 		return st, true
 	}
 	if len(vi.Stores) == 0 {
 		return feed.Store{}, false
 	}
 
-	return vi.Stores[(turn/2)%len(vi.Stores)], true
+	return vi.Stores[(try/2)%len(vi.Stores)], true
 }
 
 func (ga *Gate) callStore(ctx context.Context, st feed.Store, method string, b []byte, out any) error {
@@ -225,8 +225,8 @@
 // the platform's clients ask for.
 const maxReadWait = time.Second
 
-// isElsewhere reports whether another store may do better.
-func isElsewhere(err error) bool {
+// canRetryElsewhere reports whether another store may do better.
+func canRetryElsewhere(err error) bool {
 	switch result.From(err).Code {
 	case result.NotLeader, result.NoLeader, result.BackendUnreachable, result.StreamCut, result.GroupTimeout,
 		result.ShuttingDown, result.DeadlinePassed:
