--- a/internal/jobstore/jobstore.go
+++ b/internal/jobstore/jobstore.go
@@ -1,5 +1,6 @@
-// Package jobstore runs a process that stores batch jobs: a replica of the store
-// group, the calls of gateways, and, while it leads, the driver of items.
+// Package jobstore runs a process that stores batch jobs. It consists of a replica of
+// the store group, the handlers for calls from gateways, and the driver that executes
+// items while this replica is the leader.
 package jobstore
 
 import (
@@ -33,19 +34,20 @@
 )
 
 const (
-	// announcePeriod is how often a store tells the controllers of itself.
-	announcePeriod  = 500 * time.Millisecond
+	// announcePeriod is how often a store announces itself to the controllers.
+	announcePeriod = 500 * time.Millisecond
+	// announceTimeout bounds the calls of one announcement.
 	announceTimeout = 500 * time.Millisecond
 )
 
-// Config builds a Store.
+// Config holds the settings and dependencies of a Store.
 type Config struct {
 	Settings    *settings.Node
-	Controllers func() []string // peer addresses of the settings, which may change
+	Controllers func() []string // peer addresses from the settings, which may change
 	Files       storage.Files
 	Peer        peer.Config
 	Client      *backend.Client
-	Now         func() time.Duration // goes on while the process is suspended
+	Now         func() time.Duration // monotonic; continues while the process is suspended
 	WallMs      func() int64
 	Meter       *meter.Meter
 	Log         log.Interface
@@ -59,10 +61,11 @@
 	follower      *feed.Follower
 	balancer      *balance.Balancer
 	driver        *dispatch.Driver
-	statusChanged chan struct{} // has an element after each change of the status
+	statusChanged chan struct{} // holds an element after a change of the group's status
 }
 
-// New loads the replica's identity. Handlers may be served before Run.
+// New returns a store and loads the identity of its replica. Its handlers may be
+// served before Run is called.
 func New(cfg Config) (*Store, error) {
 	no := cfg.Settings
 	st := &Store{cfg: cfg, statusChanged: make(chan struct{}, 1), links: peer.NewLinks(context.Background(), cfg.Peer)}
@@ -88,8 +91,8 @@
 	return st, nil
 }
 
-// schedulerChoices is high enough that every backend server of a large deployment
-// is looked at: one process places all items.
+// schedulerChoices is high enough that every backend server of a large deployment is
+// a candidate for each item, as one process places all items.
 const schedulerChoices = 256
 
 func (st *Store) addresses() []string {
@@ -131,7 +134,7 @@
 	}
 }
 
-// Run takes part in the store group until ctx ends.
+// Run runs the replica, its announcements and the driver until ctx ends.
 func (st *Store) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer st.links.Close()
@@ -154,10 +157,11 @@
 	return err
 }
 
-// StopDuties gives the lead away before the process stops.
+// StopDuties transfers the leadership before the process stops.
 func (st *Store) StopDuties(ctx context.Context) { st.group.TransferLeadership(ctx) }
 
-// announceLoop tells every controller of this store.
+// announceLoop announces this store to every controller, periodically and after each
+// change of its status.
 func (st *Store) announceLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		st.announce(ctx)
@@ -184,7 +188,7 @@
 	}
 	b, err := cbor.Marshal(an)
 	if err != nil {
-		st.cfg.Log.WithError(err).Error("announcement not encoded")
+		st.cfg.Log.WithError(err).Error("announcement to the controllers not encoded")
 
 		return
 	}
@@ -194,14 +198,14 @@
 	var wg sync.WaitGroup
 	for _, a := range st.follower.Controllers() {
 		wg.Go(func() {
-			// A controller that does not hear it hears the next one; a lost session is told by its link.
+			// A missed announcement is covered by the next one, and the link reports a lost session.
 			_ = st.links.Call(ctx, a, controller.MethodAnnounce, &wire.Payload{Record: b}, &wire.Empty{})
 		})
 	}
 	wg.Wait()
 }
 
-// Handlers returns the calls that other own processes may make.
+// Handlers returns the handlers for calls from other processes of this system.
 func (st *Store) Handlers() peer.Mux {
 	mux := st.group.Handlers()
 	mux[jobgate.MethodSubmit] = handle(st, func(ctx context.Context, su *job.Submit) (any, error) {
@@ -226,7 +230,8 @@
 	return mux
 }
 
-// handle decodes the record of a call, runs it at the leader and encodes its answer.
+// handle returns a handler that decodes the record of a call, calls f if this store is
+// the leader, and encodes the answer.
 func handle[T any](st *Store, f func(ctx context.Context, in *T) (any, error)) peer.Handler {
 	return func(ctx context.Context, sm *peer.Stream) error {
 		var in T
@@ -234,7 +239,7 @@
 			return err
 		}
 		if !st.group.IsLeader() {
-			return result.New(result.NotLeader, "jobstore: this store does not lead")
+			return result.New(result.NotLeader, "jobstore: this store is not the leader of the store group")
 		}
 		out, err := f(ctx, &in)
 		if err != nil {
@@ -242,14 +247,14 @@
 		}
 		b, err := cbor.Marshal(out)
 		if err != nil {
-			return result.New(result.Internal, "jobstore: %v", err)
+			return result.New(result.Internal, "jobstore: encode the answer: %v", err)
 		}
 
 		return sm.Reply(&wire.Payload{Record: b})
 	}
 }
 
-// barrierTimeout bounds the confirmation that this store still leads.
+// barrierTimeout bounds the confirmation that this store is still the leader.
 const barrierTimeout = 700 * time.Millisecond
 
 func (st *Store) barrier(ctx context.Context) error {
@@ -259,7 +264,8 @@
 	return st.group.Barrier(ctx)
 }
 
-// read returns results, and waits for a first one if there is none yet.
+// read returns results of a job. If there are none yet, it waits up to rd.Wait for the
+// first one.
 func (st *Store) read(ctx context.Context, rd *job.Read) (any, error) {
 	deadline := time.Now().Add(rd.Wait)
 	for {
@@ -283,14 +289,16 @@
 			return pa, nil
 		}
 
-		// Wakes for any commit; the barrier follows only when this job has grown.
+		// Any commit wakes awaitResults, but the barrier runs again only after this job has
+		// new results.
 		if err := st.awaitResults(ctx, rd, changed, left); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// awaitResults waits until the job has results beyond the position, or until left is over.
+// awaitResults waits until the job has results beyond the position or can't be read,
+// or until the time left has passed.
 func (st *Store) awaitResults(ctx context.Context, rd *job.Read, changed <-chan struct{}, left time.Duration) error {
 	timer := time.NewTimer(left)
 	defer timer.Stop()
@@ -301,7 +309,7 @@
 		case <-timer.C:
 			return nil
 		case <-ctx.Done():
-			return result.New(result.DeadlinePassed, "jobstore: the reader has gone")
+			return result.New(result.DeadlinePassed, "jobstore: the reader cancelled or its deadline passed while waiting for results")
 		}
 		changed = st.group.Applied()
 		hasResults := false
@@ -333,7 +341,7 @@
 	return b, err
 }
 
-// Group returns the replica.
+// Group returns the replica of the store group.
 func (st *Store) Group() *group.Group { return st.group }
 
 // Measure sets the gauges of this process.
