--- a/internal/jobgate/jobgate.go
+++ b/internal/jobgate/jobgate.go
@@ -1,5 +1,5 @@
-// Package jobgate passes what clients ask about batch jobs on to the store that
-// leads, and says truly whether a job was taken.
+// Package jobgate forwards requests of clients about batch jobs to the leader of the
+// store group. It never reports a job as accepted or as rejected unless that is known.
 package jobgate
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// Methods of calls to stores.
+// Names of the methods that stores serve to gateways.
 const (
 	MethodSubmit = "job.submit"
 	MethodRead   = "job.read"
@@ -28,18 +28,18 @@
 )
 
 const (
-	// callTimeout bounds one call to a store: a few commits on a slow disk.
+	// callTimeout bounds one call to a store. It covers a few commits on a slow disk.
 	callTimeout = 900 * time.Millisecond
-	// requestTimeout bounds all calls for one request of a client. A new leader is there
-	// within about two seconds.
+	// requestTimeout bounds all calls for one request of a client. It is longer than
+	// the election of a new leader, which takes about two seconds.
 	requestTimeout = 2500 * time.Millisecond
-	// retryPause is kept between two calls, unless another leader becomes known.
+	// retryPause is the pause between two calls, cut short by a change of the view.
 	retryPause = 60 * time.Millisecond
-	// retryAfter is told to clients while no store leads.
+	// retryAfter is the retry delay reported to clients while there is no leader.
 	retryAfter = 500 * time.Millisecond
 )
 
-// Config builds a Gate.
+// Config holds the dependencies of a Gate.
 type Config struct {
 	Ingress *ingress.Ingress // identifies callers
 	Table   func() *routing.Table
@@ -50,20 +50,20 @@
 	Log     log.Interface
 }
 
-// Gate is safe for concurrent use.
+// Gate forwards requests of clients to stores. It is safe for concurrent use.
 type Gate struct{ cfg Config }
 
 // New returns a gate.
 func New(cfg Config) *Gate { return &Gate{cfg: cfg} }
 
-// BodyRequest asks for the body of an item that is not listed.
+// BodyRequest requests the body of an item whose result is not listed yet.
 type BodyRequest struct {
 	Workspace string `cbor:"1,keyasint"`
 	Job       string `cbor:"2,keyasint"`
 	Item      string `cbor:"3,keyasint"`
 }
 
-// IsBatch reports whether requests of host and path submit batch jobs.
+// IsBatch reports whether requests to host and path submit batch jobs.
 func (ga *Gate) IsBatch(host, path string) bool {
 	ta := ga.cfg.Table()
 	if ta == nil {
@@ -74,8 +74,8 @@
 	return ro != nil && ro.Kind == routing.Batch
 }
 
-// Submit takes a batch job. Once it returns nil, the job outlives the loss of any
-// VM that the deployment tolerates.
+// Submit submits a batch job. After it has returned nil, the job survives every loss
+// of VMs that the deployment tolerates.
 func (ga *Gate) Submit(ctx context.Context, path, key string, sp *job.Spec) error {
 	ro, ws, err := ga.cfg.Ingress.Admit(sp.Host, path, key)
 	if err == nil {
@@ -85,33 +85,33 @@
 		sp.ResultDeadline, sp.MaxQueue = ro.ResultDeadline.Milliseconds(), ro.MaxQueue.Milliseconds()
 		err = ga.callStores(ctx, MethodSubmit, &job.Submit{Spec: *sp}, nil, true)
 	}
-	ga.logOutcome("job submitted", sp.ID, sp.Workspace, err, log.Fields{
+	ga.logOutcome("request to submit a job", sp.ID, sp.Workspace, err, log.Fields{
 		"items": len(sp.Items), "step": sp.Step, "model": sp.Model, "minVersion": sp.MinVersion, "targetGroups": sp.TargetGroups,
 	})
 
 	return err
 }
 
-// Read returns results of a job.
+// Read returns a page of the results of a job.
 func (ga *Gate) Read(ctx context.Context, rd *job.Read) (*job.Page, error) {
 	var pa job.Page
 	err := ga.identify(rd.Key, &rd.Workspace)
 	if err == nil {
 		err = ga.callStores(ctx, MethodRead, rd, &pa, false)
 	}
-	ga.logOutcome("job read", rd.Job, rd.Workspace, err, log.Fields{"from": rd.From, "next": pa.Next, "total": pa.Total})
+	ga.logOutcome("request to read results of a job", rd.Job, rd.Workspace, err, log.Fields{"from": rd.From, "next": pa.Next, "total": pa.Total})
 
 	return &pa, err
 }
 
-// Body returns the body of an item that is not listed.
+// Body returns the body of an item whose result is not listed yet.
 func (ga *Gate) Body(ctx context.Context, key, id, item string) ([]byte, error) {
 	rq, body := BodyRequest{Job: id, Item: item}, []byte(nil)
 	err := ga.identify(key, &rq.Workspace)
 	if err == nil {
 		err = ga.callStores(ctx, MethodBody, &rq, &body, false)
 	}
-	ga.logOutcome("item read", id, rq.Workspace, err, log.Fields{"item": item, "bytes": len(body)})
+	ga.logOutcome("request to read the body of an item", id, rq.Workspace, err, log.Fields{"item": item, "bytes": len(body)})
 
 	return body, err
 }
@@ -123,7 +123,7 @@
 	if err == nil {
 		err = ga.callStores(ctx, MethodEnd, &en, nil, false)
 	}
-	ga.logOutcome("job ended", id, en.Workspace, err, log.Fields{})
+	ga.logOutcome("request to end a job", id, en.Workspace, err, log.Fields{})
 
 	return err
 }
@@ -137,6 +137,7 @@
 	return err
 }
 
+// logOutcome logs a request about a job and counts it as refused if err is not nil.
 func (ga *Gate) logOutcome(msg, id, workspace string, err error, fl log.Fields) {
 	fl["job"], fl["workspace"] = id, workspace
 	if err == nil {
@@ -149,18 +150,19 @@
 	ga.cfg.Log.WithFields(fl).Warn(msg)
 }
 
-// callStores asks the store that leads, and goes on with the others until one answers.
-// Where the callStores changes something, a failure after it was sent says that the
-// outcome is not known.
+// callStores calls the leader of the store group, and the other stores as well if the
+// leader fails or is unknown, until one answers or requestTimeout has passed. If
+// isWrite is set and a store may have executed a failed call, the error says that its
+// outcome is unknown.
 func (ga *Gate) callStores(ctx context.Context, method string, in, out any, isWrite bool) error {
 	b, err := cbor.Marshal(in)
 	if err != nil {
-		return result.New(result.Internal, "jobgate: %v", err)
+		return result.New(result.Internal, "jobgate: encode the request: %v", err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 
-	var last error = result.New(result.NoLeader, "jobgate: no store leads").After(retryAfter)
+	var last error = result.New(result.NoLeader, "jobgate: the store group has no known leader").After(retryAfter)
 	mayHaveRun := false
 	for try := 0; ; try++ {
 		changed := ga.cfg.Changed()
@@ -186,7 +188,8 @@
 	}
 }
 
-// pickStore returns the store to ask: the leader first, then every store in turn.
+// pickStore returns the store for a try, counted from 0: the last known leader on even
+// tries, and the stores one after another on odd ones or if no leader is known.
 func (ga *Gate) pickStore(try int) (feed.Store, bool) {
 	vi := ga.cfg.View()
 	if st, ok := vi.Leader(); ok && try%2 == 0 {
@@ -215,17 +218,17 @@
 		return nil
 	}
 	if err := cbor.Unmarshal(rep.GetRecord(), out); err != nil {
-		return result.New(result.Internal, "jobgate: %v", err)
+		return result.New(result.Internal, "jobgate: decode the answer of the store: %v", err)
 	}
 
 	return nil
 }
 
-// maxReadWait bounds how long a read waits for its first result: the longest that
-// the platform's clients ask for.
+// maxReadWait is the longest wait for a first result that the platform's clients
+// request. callTimeout is extended by it for reads.
 const maxReadWait = time.Second
 
-// canRetryElsewhere reports whether another store may do better.
+// canRetryElsewhere reports whether another store may succeed after this error.
 func canRetryElsewhere(err error) bool {
 	switch result.From(err).Code {
 	case result.NotLeader, result.NoLeader, result.BackendUnreachable, result.StreamCut, result.GroupTimeout,
