--- a/internal/dispatch/driver.go
+++ b/internal/dispatch/driver.go
@@ -1,6 +1,7 @@
-// Package dispatch drives the items of batch jobs while its store leads: it places
-// each at a backend server, goes on where one broke off, asks for the score and
-// commits the result. One process drives all items of a group.
+// Package dispatch executes the items of batch jobs while its store is the leader of
+// the store group. It places each item at a backend server, resumes broken runs after
+// their last event, requests the score and commits the result. One process executes
+// all items of a group.
 package dispatch
 
 import (
@@ -23,13 +24,13 @@
 )
 
 const (
-	// idlePeriod is how often the driver looks for what became due without an event.
-	idlePeriod = 100 * time.Millisecond
-	// maxTried is the number of backend servers that an item remembers to avoid.
-	maxTried = 2
+	// reconcilePeriod is how often the driver checks for due work when no event wakes it.
+	reconcilePeriod = 100 * time.Millisecond
+	// maxFailedServers is how many of the last failed backend servers an item avoids.
+	maxFailedServers = 2
 )
 
-// Config builds a Driver.
+// Config holds the dependencies of a Driver.
 type Config struct {
 	Group    *group.Group
 	View     func() *feed.View
@@ -41,26 +42,26 @@
 	Log      log.Interface
 }
 
-// Driver drives the items of all open jobs.
+// Driver executes the items of all open jobs.
 type Driver struct {
 	cfg  Config
 	wake chan struct{}
 
 	mu       sync.Mutex
-	ctx      context.Context // of Run, nil before it
-	term     uint64          // in which this process drives, 0 while it does not
+	ctx      context.Context // context of Run, nil before Run is called
+	term     uint64          // term in which this process is the driver, 0 while it isn't
 	jobs     map[string]*jobState
-	revision uint64 // of the ledger, as it was read last
+	revision uint64 // ledger revision at the last read, 0 to force a read
 	running  map[string]int
-	paces    *paces
-	slow     []string   // backend servers that are slow now
-	lagging  []string   // sound ones of a slower kind
-	progress []job.Part // to be committed
+	paces    *paceTracker
+	slow     []string   // backend servers that are much slower than usual now
+	lagging  []string   // healthy backend servers that are always slower than the fast ones
+	progress []job.Part // parts queued for the next commit
 	commit   func(ctx context.Context, pr job.Progress) error
-	// isFlushing holds while progress is being committed; the next waits for it, since
-	// parts of one item must be applied in order.
+	// isFlushing is set while a commit of progress is in flight. The next commit waits
+	// for it, since the parts of one item must be applied in order.
 	isFlushing bool
-	demand     map[string]float64 // events generated lately, by model
+	demand     map[string]float64 // recently generated events by model, decaying
 	demandAt   time.Time
 	wg         sync.WaitGroup
 }
@@ -68,14 +69,14 @@
 // New returns a driver.
 func New(cfg Config) *Driver {
 	return &Driver{
-		cfg: cfg, wake: make(chan struct{}, 1), jobs: map[string]*jobState{}, running: map[string]int{}, paces: newPaces(),
+		cfg: cfg, wake: make(chan struct{}, 1), jobs: map[string]*jobState{}, running: map[string]int{}, paces: newPaceTracker(),
 		demand: map[string]float64{}, commit: func(ctx context.Context, pr job.Progress) error {
 			return cfg.Group.ProposeLocal(ctx, machine.KindNoteProgress, pr, nil)
 		},
 	}
 }
 
-// Wake makes the driver look at once.
+// Wake triggers a pass of the driver without waiting for reconcilePeriod.
 func (dr *Driver) Wake() {
 	select {
 	case dr.wake <- struct{}{}:
@@ -83,7 +84,7 @@
 	}
 }
 
-// Running returns how many items run at each backend server.
+// Running returns the number of items running at each backend server, by its ID.
 func (dr *Driver) Running() map[string]int {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -98,7 +99,7 @@
 	return out
 }
 
-// Run drives whenever this process leads, until ctx ends.
+// Run executes items whenever this process is the leader, until ctx ends.
 func (dr *Driver) Run(ctx context.Context) {
 	defer dr.wg.Wait()
 	defer dr.stop()
@@ -108,21 +109,21 @@
 	dr.mu.Unlock()
 	for ctx.Err() == nil {
 		applied := dr.cfg.Group.Applied()
-		dr.turn()
+		dr.reconcile()
 		select {
 		case <-applied:
 		case <-dr.wake:
-		case <-time.After(idlePeriod):
+		case <-time.After(reconcilePeriod):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// turn follows the ledger and starts what can run now.
-func (dr *Driver) turn() {
+// reconcile reads the changes of the ledger and starts the tasks that can run now.
+func (dr *Driver) reconcile() {
 	st := dr.cfg.Group.Status()
 	if !st.IsSettled {
-		// The ledger may lack what the last leader committed.
+		// The ledger may not yet contain all commits of the last leader.
 		dr.stop()
 
 		return
@@ -135,11 +136,11 @@
 		dr.term, dr.revision = st.Term, 0
 		dr.cfg.Log.WithField("term", st.Term).Info("items are driven here")
 	}
-	dr.follow()
-	dr.judge()
+	dr.syncLedger()
+	dr.classifyServers()
 	dr.place()
-	dr.move()
-	dr.flush()
+	dr.moveRuns()
+	dr.flushProgress()
 }
 
 func (dr *Driver) stop() {
@@ -168,8 +169,8 @@
 	}
 }
 
-// follow reads what has changed in the ledger: new jobs, ended ones, listed items.
-func (dr *Driver) follow() {
+// syncLedger takes over the changes of the ledger: new jobs, ended jobs, listed items.
+func (dr *Driver) syncLedger() {
 	dr.cfg.Group.Read(func(ma *machine.Machine) {
 		le := ma.Jobs()
 		if le.Revision() == dr.revision && dr.revision != 0 {
@@ -180,8 +181,8 @@
 			js := dr.jobs[id]
 			switch {
 			case !jo.IsOpen() && js != nil:
-				dr.cfg.Log.WithFields(js.course.fields()).WithFields(log.Fields{"job": id, "model": js.model, "unlisted": len(js.tasks)}).
-					Info("job driven to its end")
+				dr.cfg.Log.WithFields(js.timeline.fields()).WithFields(log.Fields{"job": id, "model": js.model, "unlisted": len(js.tasks)}).
+					Info("timeline of an ended job")
 				js.cancelAll()
 				delete(dr.jobs, id)
 			case jo.IsOpen() && js == nil:
@@ -189,7 +190,7 @@
 			case jo.IsOpen():
 				for _, re := range jo.Results {
 					if t := js.tasks[re.Item]; t != nil {
-						js.course.note(t, time.Now())
+						js.timeline.addListed(t, time.Now())
 						delete(js.tasks, re.Item)
 					}
 				}
@@ -209,16 +210,16 @@
 	at := time.UnixMilli(jo.SubmittedMs)
 	js := &jobState{
 		id: sp.ID, workspace: sp.Workspace, host: sp.Host, model: sp.Model, minVersion: sp.MinVersion, submitted: at,
-		tasks: map[int]*task{}, course: course{runs: map[string]int{}},
+		tasks: map[int]*task{}, timeline: timeline{runs: map[string]int{}},
 	}
 	if sp.MaxQueue > 0 {
-		js.giveUpAt = at.Add(time.Duration(sp.MaxQueue) * time.Millisecond)
+		js.queueDeadline = at.Add(time.Duration(sp.MaxQueue) * time.Millisecond)
 	}
 	for i := range sp.Items {
 		if !jo.Listed[i] {
-			t := &task{job: js, index: i, item: sp.Items[i], waitsFrom: time.Now()}
+			t := &task{job: js, index: i, item: sp.Items[i], waitingSince: time.Now()}
 			if pa, ok := jo.Partial[i]; ok {
-				t.text = textOf(&pa)
+				t.generated = newGeneratedText(&pa)
 			}
 			js.tasks[i] = t
 		}
@@ -227,9 +228,9 @@
 	return js
 }
 
-// waitingTasks returns the tasks that want a backend server, in the order in which
-// trainers gain most: the oldest job first, and in it the longest text first, since
-// a trainer waits for nearly all groups and the longest texts decide when.
+// waitingTasks returns the tasks that are due for a backend server, in order of
+// placement: the oldest job first, and within a job the longest expected text first.
+// A trainer waits for nearly all groups, so the longest texts determine the duration.
 func (dr *Driver) waitingTasks(now time.Time) []*task {
 	var out []*task
 	for _, js := range dr.jobs {
@@ -247,23 +248,23 @@
 	return out
 }
 
-// place starts waiting tasks as long as backend servers have room.
+// place starts waiting tasks while backend servers have free slots.
 func (dr *Driver) place() {
 	ta := dr.cfg.View().Table
 	if ta == nil {
 		return
 	}
 	now := time.Now()
-	full := map[string]bool{} // services and versions without room in this turn
+	full := map[string]bool{} // service and job pairs without a free slot in this pass
 	for _, t := range dr.waitingTasks(now) {
-		if !t.job.giveUpAt.IsZero() && now.After(t.job.giveUpAt) {
-			dr.finish(t, job.Result{Item: t.index, State: job.Aborted}, "it waited too long")
+		if !t.job.queueDeadline.IsZero() && now.After(t.job.queueDeadline) {
+			dr.finish(t, job.Result{Item: t.index, State: job.Aborted}, "its queue deadline passed")
 
 			continue
 		}
 		ro := ta.Match(t.job.host, t.item.Path)
 		if ro == nil {
-			continue // its route may come back until the item is given up
+			continue // the route may be configured again before the queue deadline
 		}
 		service := ro.PickTarget(dr.cfg.Random())
 		if key := service + "@" + t.job.id; full[key] {
@@ -276,16 +277,16 @@
 	}
 }
 
-// acquire picks a backend server: one of the slower kind only if no fast one has
-// room, then a slow one, then one that failed the item before.
+// acquire reserves a slot at a backend server, in order of preference: a fast one, a
+// lagging one, a slow one, and last one that failed the item before.
 func (dr *Driver) acquire(service string, t *task) *balance.Grant {
 	rq := &balance.Request{
 		Service: service, Model: t.job.model, MinVersion: t.job.minVersion, Prefix: t.job.model + "/" + t.item.Group, Tokens: t.item.Tokens,
 	}
 	last := -1
-	for _, exclude := range [][]string{slices.Concat(t.tried, dr.slow, dr.lagging), slices.Concat(t.tried, dr.slow), t.tried, nil} {
+	for _, exclude := range [][]string{slices.Concat(t.failedServers, dr.slow, dr.lagging), slices.Concat(t.failedServers, dr.slow), t.failedServers, nil} {
 		if len(exclude) == last {
-			continue // nobody is let in who was left out before
+			continue // same exclusions as in the last attempt
 		}
 		last, rq.Exclude = len(exclude), exclude
 		if gr := dr.cfg.Balancer.Acquire(rq); gr != nil {
@@ -296,26 +297,26 @@
 	return nil
 }
 
-// keepPeriod is how often the progress of an item is committed: what the loss of
-// the driver costs it at most.
-const keepPeriod = 400 * time.Millisecond
+// progressPeriod is how often the progress of an item is committed. It bounds the
+// work that an item loses with its driver.
+const progressPeriod = 400 * time.Millisecond
 
-// keep hands over what was generated of a run since the last time.
-func (dr *Driver) keep(t *task, te *text) {
+// recordProgress queues the events that a run generated since its last call.
+func (dr *Driver) recordProgress(t *task, te *generatedText) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 
-	if dr.jobs[t.job.id] != t.job || t.phase != running || t.isUnkept {
+	if dr.jobs[t.job.id] != t.job || t.phase != running || t.isProgressStopped {
 		return
 	}
-	dr.progress = append(dr.progress, job.Part{Job: t.job.id, Item: t.index, After: te.kept, First: !te.hasKept, Text: job.Partial{
-		Events: slices.Clone(te.events[te.keptEvents:]), Last: te.last, Versions: slices.Clone(te.versions), Term: dr.term,
+	dr.progress = append(dr.progress, job.Part{Job: t.job.id, Item: t.index, After: te.proposed, First: !te.hasProposed, Text: job.Partial{
+		Events: slices.Clone(te.events[te.proposedEvents:]), Last: te.lastEvent, Versions: slices.Clone(te.versions), Term: dr.term,
 	}})
-	te.kept, te.keptEvents, te.hasKept = te.last, len(te.events), true
+	te.proposed, te.proposedEvents, te.hasProposed = te.lastEvent, len(te.events), true
 }
 
-// flush commits the progress that was handed over, all in one entry.
-func (dr *Driver) flush() {
+// flushProgress commits all queued progress in one log entry.
+func (dr *Driver) flushProgress() {
 	if len(dr.progress) == 0 || dr.isFlushing {
 		return
 	}
@@ -326,64 +327,64 @@
 		defer dr.wg.Done()
 		err := dr.commit(dr.ctx, job.Progress{Parts: parts})
 		if err != nil {
-			dr.cfg.Log.WithError(err).WithField("parts", len(parts)).Warn("progress not committed")
+			dr.cfg.Log.WithError(err).WithField("parts", len(parts)).Warn("progress of running items not committed")
 		}
 		dr.mu.Lock()
 		dr.isFlushing = false
 		if err != nil && dr.term == term {
-			dr.unkeep(parts)
+			dr.stopProgress(parts)
 		}
 		dr.mu.Unlock()
 		dr.Wake()
 	}()
 }
 
-// unkeep ends the progress of items of which a part may be lost: a later part could
-// follow on events that it does not belong to. After the loss of this driver they
-// go on from further back.
-func (dr *Driver) unkeep(lost []job.Part) {
+// stopProgress stops committing progress of items of which a part may be lost: a later
+// part could be appended to events that it doesn't belong to. If this driver is lost,
+// these items resume from an earlier event.
+func (dr *Driver) stopProgress(lost []job.Part) {
 	isLost := func(pa job.Part) bool {
 		return slices.ContainsFunc(lost, func(lo job.Part) bool { return lo.Job == pa.Job && lo.Item == pa.Item })
 	}
 	dr.progress = slices.DeleteFunc(dr.progress, isLost)
 	for _, pa := range lost {
 		if js := dr.jobs[pa.Job]; js != nil && js.tasks[pa.Item] != nil {
-			js.tasks[pa.Item].isUnkept = true
+			js.tasks[pa.Item].isProgressStopped = true
 		}
 	}
 }
 
-// judge looks which backend servers are slow.
-func (dr *Driver) judge() {
-	slow, lagging := dr.paces.judge(time.Now())
+// classifyServers updates which backend servers are slow or lagging.
+func (dr *Driver) classifyServers() {
+	slow, lagging := dr.paces.classify(time.Now())
 	if !slices.Equal(slow, dr.slow) {
 		dr.cfg.Log.WithFields(log.Fields{"slow": slow, "before": dr.slow, "lagging": lagging}).Info("slow backend servers")
 	}
 	dr.slow, dr.lagging = slow, lagging
 }
 
-// movesPerTurn bounds how many runs are moved at once, so that they do not all
-// meet at the same backend servers before their load is known.
-const movesPerTurn = 8
+// maxMovesPerPass bounds how many runs are moved in one pass, so that they do not all
+// go to the same backend servers before their new load is known.
+const maxMovesPerPass = 8
 
-// longRun is how long a run must have lasted to be moved from a sound backend
-// server to a faster one: few texts are that long, and a trainer waits for them.
-const longRun = 1500 * time.Millisecond
+// minLongRun is the age from which a run is moved from a lagging backend server to a
+// faster one: few texts take that long, and a trainer waits for them.
+const minLongRun = 1500 * time.Millisecond
 
-// move takes runs away from slow backend servers, and long ones from the slower
-// kind, as far as fast ones take them. A run goes on after its last event, so little
-// is lost.
-func (dr *Driver) move() {
+// moveRuns moves runs away from slow backend servers, and long runs away from lagging
+// ones, as far as fast ones have free slots. A moved run resumes after its last event,
+// so little work is lost.
+func (dr *Driver) moveRuns() {
 	if len(dr.slow) == 0 && len(dr.lagging) == 0 {
 		return
 	}
 	var stuck []*task
 	for _, js := range dr.jobs {
 		for _, t := range js.tasks {
-			if t.phase != running || t.move == nil {
+			if t.phase != running || t.cancelForMove == nil {
 				continue
 			}
-			isLong := time.Since(t.began) > longRun && slices.Contains(dr.lagging, t.server)
+			isLong := time.Since(t.startedAt) > minLongRun && slices.Contains(dr.lagging, t.server)
 			if isLong || slices.Contains(dr.slow, t.server) {
 				stuck = append(stuck, t)
 			}
@@ -392,34 +393,34 @@
 	slices.SortFunc(stuck, func(a, b *task) int {
 		return cmp.Or(a.job.submitted.Compare(b.job.submitted), cmp.Compare(b.item.Expected, a.item.Expected), cmp.Compare(a.index, b.index))
 	})
-	for _, t := range stuck[:min(len(stuck), movesPerTurn)] {
-		// The place is taken before the run is ended: other turns come before it has.
-		t.next = dr.cfg.Balancer.Acquire(&balance.Request{
+	for _, t := range stuck[:min(len(stuck), maxMovesPerPass)] {
+		// Reserve the slot before the run is cancelled: other passes happen before it ends.
+		t.nextGrant = dr.cfg.Balancer.Acquire(&balance.Request{
 			Service: t.service, Model: t.job.model, MinVersion: t.job.minVersion, Prefix: t.job.model + "/" + t.item.Group, Tokens: t.item.Tokens,
-			Exclude: slices.Concat(t.tried, dr.slow, dr.lagging),
+			Exclude: slices.Concat(t.failedServers, dr.slow, dr.lagging),
 		})
-		if t.next == nil {
+		if t.nextGrant == nil {
 			continue
 		}
-		t.move()
-		t.move = nil
+		t.cancelForMove()
+		t.cancelForMove = nil
 	}
 }
 
 // start runs a task at a backend server.
 func (dr *Driver) start(t *task, ro *routing.Route, gr *balance.Grant) {
-	if !t.text.fits(t.job.minVersion, ro.IsSingleVersion) || (ro.IsSingleVersion && len(t.text.versions) > 0) {
-		t.text = text{}
+	if !t.generated.meetsVersionRules(t.job.minVersion, ro.IsSingleVersion) || (ro.IsSingleVersion && len(t.generated.versions) > 0) {
+		t.generated = generatedText{}
 	}
 	ctx, cancel := context.WithCancelCause(dr.ctx)
 	t.phase, t.server, t.service = running, gr.Record().ID, gr.Record().Service
 	t.cancel = func() { cancel(nil) }
-	t.move, t.began = func() { cancel(errSlow) }, time.Now()
+	t.cancelForMove, t.startedAt = func() { cancel(errSlow) }, time.Now()
 	if t.runs++; t.runs == 1 {
-		t.firstBegan = t.began
+		t.firstStartedAt = t.startedAt
 	}
 	dr.running[gr.Record().ID]++
-	te := t.text
+	te := t.generated
 	te.events, te.versions = slices.Clone(te.events), slices.Clone(te.versions)
 	began := len(te.events)
 	dr.wg.Add(1)
@@ -429,29 +430,29 @@
 		oc := dr.run(ctx, t, ro, gr, &te)
 		dr.mu.Lock()
 		dr.running[gr.Record().ID]--
-		dr.age()
+		dr.decayDemand()
 		dr.demand[t.job.model] += float64(max(len(te.events)-began, 0))
 		dr.mu.Unlock()
-		dr.ran(t, ro, gr, &te, oc)
+		dr.handleOutcome(t, ro, gr, &te, oc)
 		dr.Wake()
 	}()
 }
 
-// finish commits the result of a task. The caller holds dr.mu.
+// finish commits the result of a task in the background. The caller holds dr.mu.
 func (dr *Driver) finish(t *task, re job.Result, why string) {
 	t.phase = listing
 	dr.wg.Add(1)
 	go func() {
 		defer dr.wg.Done()
-		dr.list(dr.ctx, t, re, why)
+		dr.commitResult(dr.ctx, t, re, why)
 	}()
 }
 
-// listRetry is the pause before a result that could not be committed is proposed again.
-const listRetry = 50 * time.Millisecond
+// commitRetryPause is the pause before a result that could not be committed is proposed again.
+const commitRetryPause = 50 * time.Millisecond
 
-// list commits a result, again and again while this process leads.
-func (dr *Driver) list(ctx context.Context, t *task, re job.Result, why string) {
+// commitResult commits a result and retries while this process is the leader.
+func (dr *Driver) commitResult(ctx context.Context, t *task, re job.Result, why string) {
 	fl := log.Fields{
 		"job": t.job.id, "item": t.item.ID, "group": t.item.Group, "completed": re.State == job.Completed,
 		"versions": re.Versions, "bytes": len(re.Text), "ms": time.Since(t.job.submitted).Milliseconds(),
@@ -467,18 +468,18 @@
 
 			return
 		}
-		dr.cfg.Log.WithError(err).WithFields(fl).Warn("result not committed")
+		dr.cfg.Log.WithError(err).WithFields(fl).Warn("result of the item not committed")
 		if !dr.cfg.Group.IsLeader() {
-			return // the next leader runs the item again
+			return // the next leader executes the item again
 		}
 		select {
-		case <-time.After(listRetry):
+		case <-time.After(commitRetryPause):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// Measure sets the gauges of what is driven here.
+// Measure sets the gauges of the jobs and items that this process executes.
 func (dr *Driver) Measure(me *meter.Meter) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
--- a/internal/dispatch/move_test.go
+++ b/internal/dispatch/move_test.go
@@ -17,8 +17,9 @@
 	"github.com/tamarackbay/tamarackbay/internal/routing"
 )
 
-// pattern of load: an engine full of runs turns slow while the others have few free
-// slots, and the driver looks at it many times before the moved runs have ended.
+// Guards against more cancelled runs than reserved slots: an engine with all slots in
+// use slows down, the others have few free slots, and several passes of the driver
+// happen before the cancelled runs have ended.
 var _ = ginkgo.Describe("runs at a slow engine", func() {
 	var dr *Driver
 	var js *jobState
@@ -35,7 +36,7 @@
 			})
 		}
 		ba.Sync(records)
-		start = start.Add(-time.Hour) // beyond the slow start of newcomers
+		start = start.Add(-time.Hour) // past the slow start of new backend servers
 		dr = New(Config{
 			Balancer: ba, Log: logging.Discard(), Meter: meter.New(),
 			Client: &backend.Client{Send: func(ctx context.Context, _ string, _ *backend.Call) (*backend.Answer, error) {
@@ -45,57 +46,57 @@
 			}},
 		})
 		dr.ctx, dr.term, dr.slow = context.Background(), 1, []string{"slow"}
-		js = &jobState{id: "j", model: "m", tasks: map[int]*task{}, course: course{runs: map[string]int{}}}
+		js = &jobState{id: "j", model: "m", tasks: map[int]*task{}, timeline: timeline{runs: map[string]int{}}}
 		dr.jobs["j"] = js
 		ended = 0
 		for i := range 8 {
 			js.tasks[i] = &task{
-				job: js, index: i, item: job.Item{ID: fmt.Sprint(i)}, phase: running, server: "slow", service: "s", began: time.Now(),
-				move: func() { ended++ },
+				job: js, index: i, item: job.Item{ID: fmt.Sprint(i)}, phase: running, server: "slow", service: "s", startedAt: time.Now(),
+				cancelForMove: func() { ended++ },
 			}
 		}
 	})
-	look := func() {
+	moveOnce := func() {
 		dr.mu.Lock()
 		defer dr.mu.Unlock()
-		dr.move()
+		dr.moveRuns()
 	}
 
-	ginkgo.It("are ended only as far as others have taken them", func() {
+	ginkgo.It("are cancelled only up to the free slots of other engines", func() {
 		for range 5 {
-			look()
+			moveOnce()
 		}
 		Expect(ended).To(Equal(free))
 	})
 
-	ginkgo.It("go on at the place that was taken for them", func() {
-		look()
+	ginkgo.It("resume at the slot that was reserved for them", func() {
+		moveOnce()
 		for _, t := range js.tasks {
-			if t.next == nil {
+			if t.nextGrant == nil {
 				continue
 			}
-			dr.ran(t, &routing.Route{MaxAttempts: 1}, t.next, &text{}, moved)
+			dr.handleOutcome(t, &routing.Route{MaxAttempts: 1}, t.nextGrant, &generatedText{}, moved)
 			dr.mu.Lock()
 			Expect(t.phase).To(Equal(running))
 			Expect(t.server).To(Equal("fast"))
-			Expect(t.next).To(BeNil())
+			Expect(t.nextGrant).To(BeNil())
 			t.cancel()
 			dr.mu.Unlock()
 		}
 		dr.wg.Wait()
 	})
 
-	ginkgo.It("that end meanwhile leave that place to others", func() {
-		look()
+	ginkgo.It("release the reserved slot if they end before the move", func() {
+		moveOnce()
 		for _, t := range js.tasks {
-			if t.next != nil {
-				dr.ran(t, &routing.Route{MaxAttempts: 1}, t.next, &text{}, cancelled)
+			if t.nextGrant != nil {
+				dr.handleOutcome(t, &routing.Route{MaxAttempts: 1}, t.nextGrant, &generatedText{}, cancelled)
 			}
 		}
-		room := 0
+		freeSlots := 0
 		for ba.Acquire(&balance.Request{Service: "s", Model: "m", Exclude: []string{"slow"}}) != nil {
-			room++
+			freeSlots++
 		}
-		Expect(room).To(Equal(free))
+		Expect(freeSlots).To(Equal(free))
 	})
 })
