--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -17,15 +17,15 @@
 	return &admission.Item{Workspace: workspace, Weight: weight, Class: class, Cost: cost, MaxQueued: 10_000}
 }
 
-func always(*admission.Item) bool { return true }
+func alwaysFits(*admission.Item) bool { return true }
 
-func none(*admission.Item) {}
+func ignoreExpired(*admission.Item) {}
 
 // serve pops n items and adds up the cost by workspace.
 func serve(q *admission.Queue, now time.Duration, n int) map[string]float64 {
 	got := map[string]float64{}
 	for range n {
-		it := q.Pop(now, always, none)
+		it := q.Pop(now, alwaysFits, ignoreExpired)
 		if it == nil {
 			return got
 		}
@@ -78,8 +78,8 @@
 		for n := range 100 {
 			Expect(q.Push(time.Duration(n)*10*time.Millisecond, item("now", 1, 0, 1))).To(Succeed())
 		}
-		Expect(q.Pop(500*time.Millisecond, always, none).Workspace).To(Equal("now"))
-		Expect(q.Pop(1100*time.Millisecond, always, none).Workspace).To(Equal("late"))
+		Expect(q.Pop(500*time.Millisecond, alwaysFits, ignoreExpired).Workspace).To(Equal("now"))
+		Expect(q.Pop(1100*time.Millisecond, alwaysFits, ignoreExpired).Workspace).To(Equal("late"))
 	})
 
 	It("refuses at once what would miss its deadline, and tells when to come back", func() {
@@ -88,7 +88,7 @@
 			Expect(q.Push(0, item("a", 1, 2, 10))).To(Succeed())
 		}
 		for n := range 200 { // 10 a millisecond
-			q.Pop(0, always, none)
+			q.Pop(0, alwaysFits, ignoreExpired)
 			q.Served(time.Duration(n)*time.Millisecond*10, 10)
 		}
 		now := 2 * time.Second
@@ -122,7 +122,7 @@
 		Expect(q.Remove(gone)).To(BeTrue())
 		Expect(q.Remove(gone)).To(BeFalse())
 		var expired []string
-		Expect(q.Pop(2*time.Second, always, func(it *admission.Item) { expired = append(expired, it.Workspace) })).To(Equal(full))
+		Expect(q.Pop(2*time.Second, alwaysFits, func(it *admission.Item) { expired = append(expired, it.Workspace) })).To(Equal(full))
 		Expect(expired).To(Equal([]string{"b"}))
 		Expect(q.Len()).To(BeZero())
 		Expect(q.Cost()).To(BeZero())
@@ -133,14 +133,14 @@
 	It("keeps workspaces to their rates, shared by the gateways", func() {
 		li := admission.NewLimiter()
 		wo := declaration.Workspace{RatePerSecond: 100, Burst: 10}
-		ok := 0
+		admitted := 0
 		for n := range 2000 {
 			if li.Enter(time.Duration(n)*time.Millisecond, "a", wo, 2) == nil {
-				ok++
+				admitted++
 				li.Leave("a")
 			}
 		}
-		Expect(ok).To(BeNumerically("~", 105, 3), "half of 100 a second for 2 s, and half of the burst")
+		Expect(admitted).To(BeNumerically("~", 105, 3), "half of 100 a second for 2 s, and half of the burst")
 	})
 
 	It("bounds the requests at once", func() {
@@ -171,7 +171,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				it := q.Pop(time.Millisecond, always, none)
+				it := q.Pop(time.Millisecond, alwaysFits, ignoreExpired)
 				q.Served(time.Millisecond, it.Cost)
 				if err := q.Push(time.Millisecond, it); err != nil {
 					b.Fatal(err)
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -10,7 +10,7 @@
 // bucket is the state of one workspace's limits on one gateway.
 type bucket struct {
 	tokens   float64
-	at       time.Duration
+	refilledAt       time.Duration
 	inFlight int
 }
 
@@ -30,7 +30,7 @@
 	gateways = max(gateways, 1)
 	b, ok := li.buckets[name]
 	if !ok {
-		b = &bucket{tokens: float64(wo.Burst) / float64(gateways), at: now}
+		b = &bucket{tokens: float64(wo.Burst) / float64(gateways), refilledAt: now}
 		li.buckets[name] = b
 	}
 	if wo.MaxInFlight > 0 && b.inFlight >= (wo.MaxInFlight+gateways-1)/gateways {
@@ -39,8 +39,8 @@
 	if wo.RatePerSecond > 0 {
 		share := wo.RatePerSecond / float64(gateways)
 		burst := max(1, float64(wo.Burst)/float64(gateways))
-		b.tokens = min(burst, b.tokens+share*(now-b.at).Seconds())
-		b.at = now
+		b.tokens = min(burst, b.tokens+share*(now-b.refilledAt).Seconds())
+		b.refilledAt = now
 		if b.tokens < 1 {
 			wait := time.Duration((1 - b.tokens) / share * float64(time.Second))
 
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -27,15 +27,15 @@
 type flow struct {
 	workspace string
 	items     []*Item
-	cost      float64 // waiting
-	pass      float64 // virtual time at which its next item is due
+	waitingCost      float64 // waiting
+	startTag      float64 // virtual time at which its next item is due
 }
 
 type class struct {
 	flows  []*flow // those with items
 	byName map[string]*flow
-	pass   float64 // virtual time of the last item served
-	cost   float64 // waiting
+	virtualTime   float64 // virtual time of the last item served
+	waitingCost   float64 // waiting
 	count  int
 }
 
@@ -61,7 +61,7 @@
 	cfg     Config
 	classes [declaration.ClassCount]class
 	count   int
-	rate    rate
+	rate    servedRate
 }
 
 // NewQueue returns an empty queue.
@@ -82,7 +82,7 @@
 func (q *Queue) Cost() float64 {
 	sum := 0.0
 	for i := range q.classes {
-		sum += q.classes[i].cost
+		sum += q.classes[i].waitingCost
 	}
 
 	return sum
@@ -110,13 +110,13 @@
 	}
 
 	if len(fl.items) == 0 {
-		fl.pass = max(fl.pass, cl.pass)
+		fl.startTag = max(fl.startTag, cl.virtualTime)
 		cl.flows = append(cl.flows, fl)
 	}
 	it.Arrived = now
 	fl.items = append(fl.items, it)
-	fl.cost += it.Cost
-	cl.cost += it.Cost
+	fl.waitingCost += it.Cost
+	cl.waitingCost += it.Cost
 	cl.count++
 	q.count++
 
@@ -127,30 +127,30 @@
 // the rate at which cost was served lately. The item's own workspace waits behind
 // its own items only in proportion to its share.
 func (q *Queue) expectedWait(it *Item) time.Duration {
-	served := q.rate.perSecond()
-	if served <= 0 {
+	perSecond := q.rate.perSecond()
+	if perSecond <= 0 {
 		return 0
 	}
 
 	before := 0.0
 	for i := 0; i < it.Class; i++ {
-		before += q.classes[i].cost
+		before += q.classes[i].waitingCost
 	}
 	cl := &q.classes[it.Class]
 	if !q.cfg.IsFair {
-		return time.Duration((before + cl.cost) / served * float64(time.Second))
+		return time.Duration((before + cl.waitingCost) / perSecond * float64(time.Second))
 	}
 	own, weights := 0.0, it.Weight
 	for _, fl := range cl.flows {
 		if fl.workspace == it.Workspace {
-			own = fl.cost
+			own = fl.waitingCost
 		} else {
 			weights += fl.items[0].Weight
 		}
 	}
-	mine := min(own*weights/it.Weight, cl.cost+own)
+	inClass := min(own*weights/it.Weight, cl.waitingCost+own)
 
-	return time.Duration((before + mine) / served * float64(time.Second))
+	return time.Duration((before + inClass) / perSecond * float64(time.Second))
 }
 
 // Pop removes and returns the next request that fits, or nil. Requests whose
@@ -191,7 +191,7 @@
 			if i < 64 && tried&(1<<i) != 0 {
 				continue
 			}
-			if best < 0 || fl.pass < cl.flows[best].pass {
+			if best < 0 || fl.startTag < cl.flows[best].startTag {
 				best = i
 			}
 		}
@@ -199,8 +199,8 @@
 			return nil
 		}
 		if it := cl.flows[best].items[0]; fits(it) {
-			cl.pass = cl.flows[best].pass
-			cl.flows[best].pass += it.Cost / it.Weight
+			cl.virtualTime = cl.flows[best].startTag
+			cl.flows[best].startTag += it.Cost / it.Weight
 			q.removeHead(cl, best)
 
 			return it
@@ -231,17 +231,17 @@
 
 func (q *Queue) removeHead(cl *class, i int) {
 	fl := cl.flows[i]
-	cl.cost -= fl.items[0].Cost
-	fl.cost -= fl.items[0].Cost
+	cl.waitingCost -= fl.items[0].Cost
+	fl.waitingCost -= fl.items[0].Cost
 	cl.count--
 	q.count--
 	fl.items[0] = nil
 	fl.items = fl.items[1:]
 	if len(fl.items) == 0 {
-		fl.items, fl.cost = nil, 0
+		fl.items, fl.waitingCost = nil, 0
 		cl.flows = append(cl.flows[:i], cl.flows[i+1:]...)
 		if cl.count == 0 {
-			cl.cost = 0
+			cl.waitingCost = 0
 		}
 	}
 }
@@ -260,8 +260,8 @@
 				return true
 			}
 			fl.items = append(fl.items[:j], fl.items[j+1:]...)
-			fl.cost -= it.Cost
-			cl.cost -= it.Cost
+			fl.waitingCost -= it.Cost
+			cl.waitingCost -= it.Cost
 			cl.count--
 			q.count--
 
@@ -275,37 +275,37 @@
 // Served tells the queue that cost was served, from which it learns its rate.
 func (q *Queue) Served(now time.Duration, cost float64) { q.rate.add(now, cost, q.count > 0) }
 
-// rate is a moving average of the cost served a second while requests waited.
-type rate struct {
-	since time.Duration
-	sum   float64
-	value float64
+// servedRate is a moving average of the cost served a second while requests waited.
+type servedRate struct {
+	periodStart time.Duration
+	periodCost   float64
+	average float64
 }
 
 const ratePeriod = 500 * time.Millisecond
 
-func (ra *rate) add(now time.Duration, cost float64, isBusy bool) {
+func (ra *servedRate) add(now time.Duration, cost float64, isBusy bool) {
 	if !isBusy {
-		ra.since, ra.sum = now, 0
+		ra.periodStart, ra.periodCost = now, 0
 
 		return
 	}
-	if ra.since == 0 {
-		ra.since = now
+	if ra.periodStart == 0 {
+		ra.periodStart = now
 	}
 
-	ra.sum += cost
-	d := now - ra.since
+	ra.periodCost += cost
+	d := now - ra.periodStart
 	if d < ratePeriod {
 		return
 	}
-	v := ra.sum / d.Seconds()
-	if ra.value == 0 {
-		ra.value = v
+	v := ra.periodCost / d.Seconds()
+	if ra.average == 0 {
+		ra.average = v
 	} else {
-		ra.value = 0.7*ra.value + 0.3*v
+		ra.average = 0.7*ra.average + 0.3*v
 	}
-	ra.since, ra.sum = now, 0
+	ra.periodStart, ra.periodCost = now, 0
 }
 
-func (ra *rate) perSecond() float64 { return ra.value }
+func (ra *servedRate) perSecond() float64 { return ra.average }
