--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -88,7 +88,7 @@
 type Scheduler struct {
 	cfg    Config
 	random func(n int) int
-	turn   int
+	roundRobinIndex   int
 }
 
 // New returns a scheduler.
@@ -114,9 +114,9 @@
 
 	switch sc.cfg.Policy {
 	case PolicyRoundRobin:
-		return sc.roundRobin(now, cands, rq)
+		return sc.pickRoundRobin(now, cands, rq)
 	case PolicyLeastMine:
-		return sc.leastMine(now, cands, rq)
+		return sc.pickLeastInFlight(now, cands, rq)
 	}
 
 	best, bestScore := NoCandidate, 0.0
@@ -219,10 +219,10 @@
 	return s
 }
 
-func (sc *Scheduler) roundRobin(now time.Duration, cands []Candidate, rq *Request) int {
+func (sc *Scheduler) pickRoundRobin(now time.Duration, cands []Candidate, rq *Request) int {
 	for range cands {
-		sc.turn++
-		if i := sc.turn % len(cands); sc.hasRoom(now, &cands[i], i, rq) {
+		sc.roundRobinIndex++
+		if i := sc.roundRobinIndex % len(cands); sc.hasRoom(now, &cands[i], i, rq) {
 			return i
 		}
 	}
@@ -230,7 +230,7 @@
 	return NoCandidate
 }
 
-func (sc *Scheduler) leastMine(now time.Duration, cands []Candidate, rq *Request) int {
+func (sc *Scheduler) pickLeastInFlight(now time.Duration, cands []Candidate, rq *Request) int {
 	best := NoCandidate
 	for i := range cands {
 		if sc.hasRoom(now, &cands[i], i, rq) && (best == NoCandidate || cands[i].Mine < cands[best].Mine) {
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -12,7 +12,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/scheduler"
 )
 
-func ready(n int) []scheduler.Candidate {
+func readyCandidates(n int) []scheduler.Candidate {
 	out := make([]scheduler.Candidate, n)
 	for i := range out {
 		out[i] = scheduler.Candidate{Slots: 8, IsReady: true, Sequence: 2, FailureDomain: "a", ReadySince: -time.Hour}
@@ -68,7 +68,7 @@
 	}
 	for _, tc := range cases {
 		It("picks "+tc.name, func() {
-			cs := ready(3)
+			cs := readyCandidates(3)
 			rq := scheduler.Request{Affinity: -1, Gateways: 1, FailureDomain: "none"}
 			tc.edit(cs, &rq)
 			if tc.want == 2 && cs[2].Mine == 0 && cs[0] == cs[2] {
@@ -79,7 +79,7 @@
 	}
 
 	It("starts newcomers slowly", func() {
-		cs := ready(1)
+		cs := readyCandidates(1)
 		cs[0].ReadySince = 0
 		sc := newScheduler(scheduler.Config{SlowStart: time.Second})
 		rq := scheduler.Request{Affinity: -1, Gateways: 1}
@@ -90,7 +90,7 @@
 	})
 
 	It("ejects outliers, but never more than its part", func() {
-		cs := ready(5)
+		cs := readyCandidates(5)
 		sc := newScheduler(scheduler.Config{})
 		for i := range cs {
 			for range 4 {
@@ -111,7 +111,7 @@
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{10, 50, 100, 500, 1000} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
-			cs := ready(n)
+			cs := readyCandidates(n)
 			rnd := rand.New(rand.NewPCG(1, 2))
 			for i := range cs {
 				cs[i].Mine = rnd.IntN(8)
@@ -128,7 +128,7 @@
 
 // BenchmarkPickFull shows the worst case: nothing has room.
 func BenchmarkPickFull(b *testing.B) {
-	cs := ready(500)
+	cs := readyCandidates(500)
 	for i := range cs {
 		cs[i].Mine = 8
 	}
