--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -21,7 +21,7 @@
 
 func ignoreExpired(*admission.Item) {}
 
-// serve pops n items and adds up the cost by workspace.
+// serve pops up to n items and returns the cost served by workspace.
 func serve(q *admission.Queue, now time.Duration, n int) map[string]float64 {
 	got := map[string]float64{}
 	for range n {
@@ -42,12 +42,12 @@
 		cost    map[string]float64
 		items   map[string]int
 	}{
-		{"a greedy workspace that sends ten times as much", map[string]float64{"a": 1, "b": 1}, map[string]float64{"a": 10, "b": 10}, map[string]int{"a": 3000, "b": 300}},
+		{"one workspace that sends ten times as many requests", map[string]float64{"a": 1, "b": 1}, map[string]float64{"a": 10, "b": 10}, map[string]int{"a": 3000, "b": 300}},
 		{"weights", map[string]float64{"a": 4, "b": 1}, map[string]float64{"a": 10, "b": 10}, map[string]int{"a": 2000, "b": 2000}},
 		{"requests of different cost", map[string]float64{"a": 1, "b": 1}, map[string]float64{"a": 100, "b": 1}, map[string]int{"a": 1000, "b": 9000}},
 	}
 	for _, tc := range shares {
-		It("shares by weight under "+tc.name, func() {
+		It("shares capacity by weight: "+tc.name, func() {
 			q := admission.NewQueue(admission.Config{IsFair: true})
 			for w, n := range tc.items {
 				for range n {
@@ -59,7 +59,7 @@
 		})
 	}
 
-	It("gives a workspace that comes back no credit for the time it was away", func() {
+	It("gives a workspace no credit for the time in which it had no requests", func() {
 		q := admission.NewQueue(admission.Config{IsFair: true})
 		for range 2000 {
 			Expect(q.Push(0, item("a", 1, 2, 1))).To(Succeed())
@@ -72,7 +72,7 @@
 		Expect(got["a"]).To(BeNumerically("~", 100, 2))
 	})
 
-	It("serves the classes in order, and the lowest within a bounded wait", func() {
+	It("serves classes in order and bounds the wait of the lowest class", func() {
 		q := admission.NewQueue(admission.Config{IsFair: true, MaxWait: time.Second})
 		Expect(q.Push(0, item("late", 1, declaration.ClassRank(declaration.ClassBatch), 1))).To(Succeed())
 		for n := range 100 {
@@ -82,12 +82,12 @@
 		Expect(q.Pop(1100*time.Millisecond, alwaysFits, ignoreExpired).Workspace).To(Equal("late"))
 	})
 
-	It("refuses at once what would miss its deadline, and tells when to come back", func() {
+	It("refuses a request that would miss its deadline at once, with the time to retry after", func() {
 		q := admission.NewQueue(admission.Config{IsFair: true})
 		for range 1000 {
 			Expect(q.Push(0, item("a", 1, 2, 10))).To(Succeed())
 		}
-		for n := range 200 { // 10 a millisecond
+		for n := range 200 { // cost 10 every 10 ms
 			q.Pop(0, alwaysFits, ignoreExpired)
 			q.Served(time.Duration(n)*time.Millisecond*10, 10)
 		}
@@ -106,7 +106,7 @@
 		Expect(q.Push(now, other)).To(Succeed(), "another workspace does not wait behind the queue of this one")
 	})
 
-	It("bounds the queue of each workspace, drops what expired and forgets what was given up", func() {
+	It("bounds the queue of each workspace, drops expired requests and removes cancelled ones", func() {
 		q := admission.NewQueue(admission.Config{IsFair: true})
 		full := item("a", 1, 2, 1)
 		full.MaxQueued = 1
@@ -130,7 +130,7 @@
 })
 
 var _ = Describe("a limiter", func() {
-	It("keeps workspaces to their rates, shared by the gateways", func() {
+	It("limits a workspace to its rate, divided among the gateways", func() {
 		li := admission.NewLimiter()
 		wo := declaration.Workspace{RatePerSecond: 100, Burst: 10}
 		admitted := 0
@@ -140,10 +140,10 @@
 				li.Leave("a")
 			}
 		}
-		Expect(admitted).To(BeNumerically("~", 105, 3), "half of 100 a second for 2 s, and half of the burst")
+		Expect(admitted).To(BeNumerically("~", 105, 3), "half of 100 requests per second for 2 s, plus half of the burst")
 	})
 
-	It("bounds the requests at once", func() {
+	It("limits the requests in flight", func() {
 		li := admission.NewLimiter()
 		wo := declaration.Workspace{MaxInFlight: 3}
 		for range 3 {
@@ -155,7 +155,7 @@
 	})
 })
 
-// BenchmarkQueue shows the cost of a request in a queue of n workspaces.
+// BenchmarkQueue measures one pop and push in a queue with n workspaces.
 func BenchmarkQueue(b *testing.B) {
 	for _, n := range []int{8, 64, 512} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -7,16 +7,17 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// bucket is the state of one workspace's limits on one gateway.
+// bucket holds the rate tokens and the in-flight count of one workspace on one gateway.
 type bucket struct {
-	tokens   float64
-	refilledAt       time.Duration
-	inFlight int
+	tokens     float64
+	refilledAt time.Duration
+	inFlight   int
 }
 
-// Limiter keeps each workspace to its rate and its concurrent requests. Each of
-// several gateways keeps an equal share, so no request waits for another process;
-// when a gateway is lost the others' shares grow with the next load report.
+// Limiter enforces the request rate and the concurrency limit of each workspace.
+// Every gateway enforces an equal share of the limits, so that no request waits for
+// another process. When a gateway is lost, the shares of the others grow with the
+// next load report.
 type Limiter struct {
 	buckets map[string]*bucket
 }
@@ -24,8 +25,9 @@
 // NewLimiter returns a limiter with full buckets.
 func NewLimiter() *Limiter { return &Limiter{buckets: map[string]*bucket{}} }
 
-// Enter admits one request of a workspace or refuses it. gateways is the number
-// of gateways that share the limits.
+// Enter admits one request of a workspace and counts it as in flight, or returns an
+// error with the time to retry after. gateways is the number of gateways that share
+// the limits.
 func (li *Limiter) Enter(now time.Duration, name string, wo declaration.Workspace, gateways int) error {
 	gateways = max(gateways, 1)
 	b, ok := li.buckets[name]
@@ -34,7 +36,7 @@
 		li.buckets[name] = b
 	}
 	if wo.MaxInFlight > 0 && b.inFlight >= (wo.MaxInFlight+gateways-1)/gateways {
-		return result.New(result.WorkspaceInFlight, "workspace %s: %d requests run here", name, b.inFlight).After(time.Second)
+		return result.New(result.WorkspaceInFlight, "workspace %s: limit of concurrent requests reached: %d in flight on this gateway", name, b.inFlight).After(time.Second)
 	}
 	if wo.RatePerSecond > 0 {
 		share := wo.RatePerSecond / float64(gateways)
@@ -44,7 +46,7 @@
 		if b.tokens < 1 {
 			wait := time.Duration((1 - b.tokens) / share * float64(time.Second))
 
-			return result.New(result.WorkspaceRate, "workspace %s: over %g requests a second", name, wo.RatePerSecond).After(wait)
+			return result.New(result.WorkspaceRate, "workspace %s: rate limit of %g requests per second exceeded", name, wo.RatePerSecond).After(wait)
 		}
 		b.tokens--
 	}
@@ -53,7 +55,7 @@
 	return nil
 }
 
-// Leave ends a request that Enter admitted.
+// Leave removes a request that Enter admitted from the in-flight count.
 func (li *Limiter) Leave(name string) {
 	if b, ok := li.buckets[name]; ok && b.inFlight > 0 {
 		b.inFlight--
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -1,7 +1,8 @@
 // Package admission decides which waiting request is served next and which is
-// refused: rates and queues of each workspace, classes one before the other with
-// a bounded wait for the lowest, and weighted fair queueing by estimated cost
-// inside a class. It is a core: time is an argument.
+// refused. It enforces the rate and queue limits of each workspace, serves classes
+// in order of their rank with a bounded wait for the lower ones, and shares a class
+// between workspaces by weighted fair queueing on the estimated cost. It reads no
+// clock: time is an argument.
 package admission
 
 import (
@@ -15,35 +16,37 @@
 type Item struct {
 	Workspace string
 	Weight    float64
-	Class     int // rank, 0 is served first
-	Cost      float64
-	Arrived   time.Duration
-	Deadline  time.Duration
-	MaxQueued int
-	Payload   any
+	Class     int           // rank, 0 is served first
+	Cost      float64       // estimated
+	Arrived   time.Duration // set by Push
+	Deadline  time.Duration // 0 for none
+	MaxQueued int           // limit of the workspace's queue in this class
+	Payload   any           // not read by the queue
 }
 
 // flow is the queue of one workspace in one class.
 type flow struct {
-	workspace string
-	items     []*Item
-	waitingCost      float64 // waiting
-	startTag      float64 // virtual time at which its next item is due
+	workspace   string
+	items       []*Item
+	waitingCost float64 // estimated cost of items
+	startTag    float64 // virtual time at which its next item is due
 }
 
+// class holds the waiting requests of one class and its virtual time, which advances
+// by cost divided by weight as requests are served.
 type class struct {
-	flows  []*flow // those with items
-	byName map[string]*flow
-	virtualTime   float64 // virtual time of the last item served
-	waitingCost   float64 // waiting
-	count  int
+	flows       []*flow // those with waiting items
+	byName      map[string]*flow
+	virtualTime float64 // start tag of the item served last
+	waitingCost float64 // estimated cost of all waiting items
+	count       int
 }
 
-// Config are the limits of a Queue.
+// Config holds the limits of a Queue.
 type Config struct {
-	MaxItems int           // waiting in all
-	MaxWait  time.Duration // after it an item of a low class goes before higher ones
-	IsFair   bool          // false: first come, first served (a baseline)
+	MaxItems int           // waiting in all classes together
+	MaxWait  time.Duration // after which an item of a lower class is served before higher classes
+	IsFair   bool          // false: first come, first served, a baseline for comparison
 }
 
 // Defaults fills the fields left zero.
@@ -78,7 +81,7 @@
 // Len returns the number of waiting requests.
 func (q *Queue) Len() int { return q.count }
 
-// Cost returns the estimated cost that waits.
+// Cost returns the estimated cost of all waiting requests.
 func (q *Queue) Cost() float64 {
 	sum := 0.0
 	for i := range q.classes {
@@ -88,7 +91,8 @@
 	return sum
 }
 
-// Push adds a request or refuses it at once.
+// Push adds a request, or refuses it if the queue is full or its deadline would pass
+// before it is served.
 func (q *Queue) Push(now time.Duration, it *Item) error {
 	cl := &q.classes[it.Class]
 	name := it.Workspace
@@ -104,9 +108,9 @@
 	wait := q.expectedWait(it)
 	switch {
 	case q.count >= q.cfg.MaxItems || (q.cfg.IsFair && len(fl.items) >= it.MaxQueued):
-		return result.New(result.QueueFull, "admission: %d requests of %s wait", len(fl.items), it.Workspace).After(max(wait, time.Second))
+		return result.New(result.QueueFull, "admission: queue is full: %d requests of workspace %s wait", len(fl.items), it.Workspace).After(max(wait, time.Second))
 	case it.Deadline > 0 && now+wait > it.Deadline:
-		return result.New(result.DeadlineTooShort, "admission: the wait would be %v", wait.Round(time.Millisecond)).After(wait)
+		return result.New(result.DeadlineTooShort, "admission: expected wait of %v exceeds the deadline", wait.Round(time.Millisecond)).After(wait)
 	}
 
 	if len(fl.items) == 0 {
@@ -123,9 +127,10 @@
 	return nil
 }
 
-// expectedWait estimates how long the item would wait from the cost before it and
-// the rate at which cost was served lately. The item's own workspace waits behind
-// its own items only in proportion to its share.
+// expectedWait estimates how long the item would wait: the cost served before it,
+// divided by the recent rate of served cost. In the item's own class, that is the
+// cost of its workspace's waiting items, scaled up by the workspace's share of the
+// weights, as the other workspaces are served in between.
 func (q *Queue) expectedWait(it *Item) time.Duration {
 	perSecond := q.rate.perSecond()
 	if perSecond <= 0 {
@@ -153,8 +158,8 @@
 	return time.Duration((before + inClass) / perSecond * float64(time.Second))
 }
 
-// Pop removes and returns the next request that fits, or nil. Requests whose
-// deadline has passed are handed to expired first.
+// Pop removes and returns the next request for which fits returns true, or nil.
+// Requests whose deadline has passed are removed and passed to expired instead.
 func (q *Queue) Pop(now time.Duration, fits func(it *Item) bool, expired func(it *Item)) *Item {
 	if it := q.popOverdue(now, fits, expired); it != nil {
 		return it
@@ -168,7 +173,8 @@
 	return nil
 }
 
-// popOverdue serves an item of a lower class that has waited too long.
+// popOverdue pops from the first lower class in which an item has waited longer than
+// Config.MaxWait.
 func (q *Queue) popOverdue(now time.Duration, fits func(it *Item) bool, expired func(it *Item)) *Item {
 	for i := 1; i < len(q.classes); i++ {
 		cl := &q.classes[i]
@@ -182,6 +188,9 @@
 	return nil
 }
 
+// popClass pops from the flow with the lowest start tag whose first item fits. Flows
+// that don't fit are skipped only if they are among the first 64, the size of the bit
+// set.
 func (q *Queue) popClass(now time.Duration, cl *class, fits func(it *Item) bool, expired func(it *Item)) *Item {
 	q.dropExpired(now, cl, expired)
 	var tried uint64 // bit i: flows[i] did not fit
@@ -214,6 +223,8 @@
 	return nil
 }
 
+// dropExpired removes expired items from the heads of the flows. Expired items behind
+// an unexpired one stay until they reach the head.
 func (q *Queue) dropExpired(now time.Duration, cl *class, expired func(it *Item)) {
 	for i := len(cl.flows) - 1; i >= 0; i-- {
 		fl := cl.flows[i]
@@ -246,7 +257,8 @@
 	}
 }
 
-// Remove takes a request out that its caller has given up.
+// Remove removes a request that its caller has cancelled. It reports whether the
+// request was still waiting.
 func (q *Queue) Remove(it *Item) bool {
 	cl := &q.classes[it.Class]
 	for i, fl := range cl.flows {
@@ -272,16 +284,17 @@
 	return false
 }
 
-// Served tells the queue that cost was served, from which it learns its rate.
+// Served records served cost, from which the queue estimates its service rate.
 func (q *Queue) Served(now time.Duration, cost float64) { q.rate.add(now, cost, q.count > 0) }
 
-// servedRate is a moving average of the cost served a second while requests waited.
+// servedRate is a moving average of the cost served per second while requests waited.
 type servedRate struct {
 	periodStart time.Duration
-	periodCost   float64
-	average float64
+	periodCost  float64
+	average     float64
 }
 
+// ratePeriod is the shortest period over which one sample of the rate is taken.
 const ratePeriod = 500 * time.Millisecond
 
 func (ra *servedRate) add(now time.Duration, cost float64, isBusy bool) {
