--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,59 +1,60 @@
-// Package scheduler picks the backend server of a request: eligible weight
-// versions, prefix affinity from cache events as hints, own requests in flight on
-// top of lagging load reports, a few random choices, preference for the own
-// failure domain, a slow start for newcomers and ejection of outliers. It is a
-// core: the candidates, the time and the random source are arguments.
+// Package scheduler picks the backend server of a request. Among a few random
+// candidates with an eligible weight version, it prefers those with the lowest load,
+// with the prompt's prefix in their cache (a hint from cache events) and in the
+// gateway's own failure domain. As load reports lag, it adds the gateway's own
+// requests in flight. New backend servers start slowly and outliers are ejected.
+// The candidates, the time and the random source are arguments.
 package scheduler
 
 import "time"
 
-// Candidate is what the scheduler sees of one backend server.
+// Candidate is the state of one backend server, as known to this gateway.
 type Candidate struct {
 	Slots         int
-	Running       int // as last reported, by all gateways
-	Mine          int // in flight from this gateway
-	MineReported  int // of Running, how many were this gateway's when reported
-	Tokens        int // estimated tokens in flight from this gateway
-	Sequence      uint64
+	Running       int    // requests of all gateways, as last reported
+	Mine          int    // requests in flight from this gateway
+	MineReported  int    // the part of Running that came from this gateway
+	Tokens        int    // estimated tokens in flight from this gateway
+	Sequence      uint64 // of the weight version that it serves
 	FailureDomain string
 	IsReady       bool
-	IsExclusive   bool // runs a suspect request, takes no second one
-	HasIdle       bool // an unused connection to it is open
+	IsExclusive   bool // runs a suspect request and accepts no second one
+	HasIdle       bool // an idle connection to it is open
 	ReadySince    time.Duration
-	Failures      float64 // decayed count of failures
+	Failures      float64 // count of failures, reduced by each success
 	EjectedUntil  time.Duration
-	Latency       float64 // decayed seconds per token or per request
+	Latency       float64 // moving average in seconds per token or per request
 }
 
-// Request is what is to be placed.
+// Request describes the request to place.
 type Request struct {
-	MinSequence   uint64
-	NewestFirst   bool // prefer newer weights before load
-	FailureDomain string
-	Affinity      int // index of the candidate that holds the prefix, -1 for none
-	Tokens        int
-	IsSuspect     bool
-	Exclude       []int
-	Gateways      int // that share the backend servers
+	MinSequence   uint64 // of the weight version
+	NewestFirst   bool   // newer weights weigh more than load
+	FailureDomain string // of this gateway
+	Affinity      int    // index of the candidate that holds the prefix, -1 for none
+	Tokens        int    // estimated
+	IsSuspect     bool   // was in flight at the crash of a backend server
+	Exclude       []int  // indices of candidates
+	Gateways      int    // number that share the backend servers
 }
 
-// Policies that a Config may name.
+// Values of Config.Policy.
 const (
 	PolicyScore      = "score"
 	PolicyRoundRobin = "roundRobin"
 	PolicyLeastMine  = "leastInFlight"
 )
 
-// Config are the weights of the decision.
+// Config holds the policy and the weights of the score.
 type Config struct {
 	Policy         string
-	Choices        int // random candidates looked at
-	AffinityGain   float64
-	DomainGain     float64
-	IdleGain       float64 // what an unused connection is worth
-	SlowStart      time.Duration
-	EjectFailures  float64
-	MaxEjectedPart float64 // share of the candidates that may be ejected
+	Choices        int           // number of random candidates compared
+	AffinityGain   float64       // bonus for the holder of the prefix
+	DomainGain     float64       // bonus for the gateway's own failure domain
+	IdleGain       float64       // bonus for an idle connection
+	SlowStart      time.Duration // time until a new candidate gets its full load
+	EjectFailures  float64       // value of Candidate.Failures that ejects a candidate
+	MaxEjectedPart float64       // largest share of the ready candidates that may be ejected
 }
 
 // Defaults fills the fields left zero.
@@ -71,7 +72,7 @@
 		c.DomainGain = 0.1
 	}
 	if c.IdleGain == 0 {
-		c.IdleGain = 0.12 // below one request more at a backend server with eight slots
+		c.IdleGain = 0.12 // less than the 1/8 that one more request costs with eight slots
 	}
 	if c.SlowStart == 0 {
 		c.SlowStart = 2 * time.Second
@@ -84,29 +85,29 @@
 	}
 }
 
-// Scheduler picks among candidates. It is not safe for concurrent use.
+// Scheduler picks one of several candidates. It is not safe for concurrent use.
 type Scheduler struct {
-	cfg    Config
-	random func(n int) int
-	roundRobinIndex   int
+	cfg             Config
+	random          func(n int) int
+	roundRobinIndex int
 }
 
-// New returns a scheduler.
+// New returns a scheduler. random returns a number in [0, n).
 func New(cfg Config, random func(n int) int) *Scheduler {
 	cfg.Defaults()
 
 	return &Scheduler{cfg: cfg, random: random}
 }
 
-// maxEjection bounds how long an outlier is left out at once.
+// maxEjection is the longest time for which one failure ejects a candidate.
 const maxEjection = 5 * time.Second
 
 // NoCandidate is returned by Pick when no candidate has room.
 const NoCandidate = -1
 
-// Pick returns the index of the candidate to use, or NoCandidate. It looks at those
-// with an unused connection and a few random ones first, and at all of them only if
-// none of those has room.
+// Pick returns the index of the candidate to use, or NoCandidate. It compares the
+// candidate with the prefix, those with an idle connection and a few random ones. If
+// none of them has room, it takes the first with room, starting at a random index.
 func (sc *Scheduler) Pick(now time.Duration, cands []Candidate, rq *Request) int {
 	if len(cands) == 0 {
 		return NoCandidate
@@ -171,8 +172,9 @@
 	return false
 }
 
-// Room returns how many further requests this gateway may send to the candidate:
-// what the others leave, but at least its own share of the slots.
+// Room returns how many more requests this gateway may send to the candidate: the
+// slots that other gateways leave free, but at least an equal share of all slots,
+// less its own requests in flight.
 func Room(ca *Candidate, gateways int) int {
 	others := max(0, ca.Running-ca.MineReported)
 	share := (ca.Slots + gateways - 1) / max(gateways, 1)
@@ -196,8 +198,9 @@
 	return room > 0
 }
 
-// score is lower for better candidates: the share of the slots in use after the
-// request, less what affinity and nearness are worth, more for failures and slowness.
+// score returns the share of the slots in use after the request, less the bonuses for
+// affinity, failure domain, idle connection and newer weights, plus penalties for
+// tokens in flight and failures. The lowest score is the best.
 func (sc *Scheduler) score(now time.Duration, ca *Candidate, i int, rq *Request) float64 {
 	others := max(0, ca.Running-ca.MineReported)
 	s := float64(others+ca.Mine+1) / float64(max(ca.Slots, 1))
@@ -241,8 +244,8 @@
 	return best
 }
 
-// Failed notes a failure of the candidate and ejects it when it fails more than
-// the others, as long as not too many are ejected already.
+// Failed records a failure of candidate i. It ejects the candidate once its failures
+// reach Config.EjectFailures, unless too many are ejected already.
 func (sc *Scheduler) Failed(now time.Duration, cands []Candidate, i int) {
 	ca := &cands[i]
 	ca.Failures++
@@ -264,5 +267,5 @@
 	}
 }
 
-// Succeeded notes a success of the candidate.
+// Succeeded records a success of the candidate, which reduces its failure count.
 func (sc *Scheduler) Succeeded(ca *Candidate) { ca.Failures *= 0.7 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -33,10 +33,10 @@
 	}{
 		{"the least loaded", func(cs []scheduler.Candidate, _ *scheduler.Request) { cs[0].Mine, cs[1].Mine = 3, 1 }, 2},
 		{"none that is not ready", func(cs []scheduler.Candidate, _ *scheduler.Request) { cs[0].IsReady, cs[2].IsReady = false, false }, 1},
-		{"none with an older version", func(cs []scheduler.Candidate, rq *scheduler.Request) { rq.MinSequence, cs[2].Sequence = 3, 3 }, 2},
+		{"none with too old a version", func(cs []scheduler.Candidate, rq *scheduler.Request) { rq.MinSequence, cs[2].Sequence = 3, 3 }, 2},
 		{"none that is excluded", func(_ []scheduler.Candidate, rq *scheduler.Request) { rq.Exclude = []int{0, 2} }, 1},
 		{"none without room", func(cs []scheduler.Candidate, _ *scheduler.Request) { cs[0].Mine, cs[1].Mine = 8, 8 }, 2},
-		{"none whose slots others use", func(cs []scheduler.Candidate, rq *scheduler.Request) {
+		{"none whose slots other gateways use", func(cs []scheduler.Candidate, rq *scheduler.Request) {
 			rq.Gateways = 8
 			cs[0].Running, cs[1].Running = 8, 8
 			cs[0].Mine, cs[1].Mine = 1, 1
@@ -45,22 +45,22 @@
 			cs[0].EjectedUntil, cs[1].EjectedUntil = time.Minute, time.Minute
 		}, 2},
 		{"the holder of the prefix", func(cs []scheduler.Candidate, rq *scheduler.Request) { rq.Affinity, cs[1].Mine = 1, 1 }, 1},
-		{"another than the holder when it is far busier", func(cs []scheduler.Candidate, rq *scheduler.Request) {
+		{"another candidate when the holder of the prefix has a far higher load", func(cs []scheduler.Candidate, rq *scheduler.Request) {
 			rq.Affinity, cs[1].Mine, cs[0].Mine = 1, 7, 4
 		}, 2},
-		{"the own failure domain", func(cs []scheduler.Candidate, rq *scheduler.Request) {
+		{"one in the gateway's failure domain", func(cs []scheduler.Candidate, rq *scheduler.Request) {
 			rq.FailureDomain, cs[1].FailureDomain = "b", "b"
 		}, 1},
-		{"another failure domain when the own is full", func(cs []scheduler.Candidate, rq *scheduler.Request) {
+		{"another failure domain when the gateway's own has a far higher load", func(cs []scheduler.Candidate, rq *scheduler.Request) {
 			rq.FailureDomain, cs[1].FailureDomain, cs[1].Mine, cs[0].Mine = "b", "b", 6, 3
 		}, 2},
-		{"newer weights before load", func(cs []scheduler.Candidate, rq *scheduler.Request) {
+		{"newer weights despite a higher load", func(cs []scheduler.Candidate, rq *scheduler.Request) {
 			rq.NewestFirst, rq.MinSequence, cs[0].Sequence, cs[0].Mine = true, 2, 3, 3
 		}, 0},
-		{"no second suspect on one backend server", func(cs []scheduler.Candidate, rq *scheduler.Request) {
+		{"none that already runs a suspect, for a suspect request", func(cs []scheduler.Candidate, rq *scheduler.Request) {
 			rq.IsSuspect, cs[0].IsExclusive, cs[2].IsExclusive = true, true, true
 		}, 1},
-		{"nothing when nothing has room", func(cs []scheduler.Candidate, _ *scheduler.Request) {
+		{"no candidate when none has room", func(cs []scheduler.Candidate, _ *scheduler.Request) {
 			for i := range cs {
 				cs[i].Mine = 8
 			}
@@ -72,13 +72,13 @@
 			rq := scheduler.Request{Affinity: -1, Gateways: 1, FailureDomain: "none"}
 			tc.edit(cs, &rq)
 			if tc.want == 2 && cs[2].Mine == 0 && cs[0] == cs[2] {
-				cs[0].Mine++ // no tie
+				cs[0].Mine++ // avoid a tie
 			}
 			Expect(newScheduler(scheduler.Config{}).Pick(0, cs, &rq)).To(Equal(tc.want))
 		})
 	}
 
-	It("starts newcomers slowly", func() {
+	It("limits the load of a candidate that has just become ready", func() {
 		cs := readyCandidates(1)
 		cs[0].ReadySince = 0
 		sc := newScheduler(scheduler.Config{SlowStart: time.Second})
@@ -89,7 +89,7 @@
 		Expect(sc.Pick(time.Second, cs, &rq)).To(Equal(0))
 	})
 
-	It("ejects outliers, but never more than its part", func() {
+	It("ejects outliers, but no more than the configured share", func() {
 		cs := readyCandidates(5)
 		sc := newScheduler(scheduler.Config{})
 		for i := range cs {
@@ -107,7 +107,7 @@
 	})
 })
 
-// BenchmarkPick shows the cost of one decision and its growth.
+// BenchmarkPick measures one pick by the number of candidates.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{10, 50, 100, 500, 1000} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
@@ -126,7 +126,7 @@
 	}
 }
 
-// BenchmarkPickFull shows the worst case: nothing has room.
+// BenchmarkPickFull measures the worst case: no candidate has room.
 func BenchmarkPickFull(b *testing.B) {
 	cs := readyCandidates(500)
 	for i := range cs {
