--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -29,36 +29,36 @@
 	cfg Config
 
 	mu       sync.Mutex
-	services map[string]*set
+	services map[string]*serverSet
 }
 
-// set holds the backend servers of one service; cands has the same order as servers.
-type set struct {
+// serverSet holds the backend servers of one service; cands has the same order as servers.
+type serverSet struct {
 	sched   *scheduler.Scheduler
 	servers []*server
 	cands   []scheduler.Candidate
 }
 
 type server struct {
-	record    registry.Record
-	prefix    string // group whose prompt it read last
-	pauseTill time.Duration
-	toldAt    time.Duration   // when it told its load
-	idle      []time.Duration // since when each unused connection is open, the oldest first
+	record         registry.Record
+	lastPrefix     string // group whose prompt it read last
+	pausedUntil    time.Duration
+	loadReportedAt time.Duration   // when it told its load
+	idleSince      []time.Duration // since when each unused connection is open, the oldest first
 }
 
-// dropIdle forgets the connections that are closed by now.
-func (sv *server) dropIdle(now, keep time.Duration) {
+// dropClosedConns forgets the connections that are closed by now.
+func (sv *server) dropClosedConns(now, timeout time.Duration) {
 	n := 0
-	for n < len(sv.idle) && now-sv.idle[n] >= keep {
+	for n < len(sv.idleSince) && now-sv.idleSince[n] >= timeout {
 		n++
 	}
-	sv.idle = slices.Delete(sv.idle, 0, n)
+	sv.idleSince = slices.Delete(sv.idleSince, 0, n)
 }
 
 // New returns a balancer that knows no backend server.
 func New(cfg Config) *Balancer {
-	return &Balancer{cfg: cfg, services: map[string]*set{}}
+	return &Balancer{cfg: cfg, services: map[string]*serverSet{}}
 }
 
 // Sync takes the backend servers that are alive now.
@@ -93,7 +93,7 @@
 	for name, res := range alive {
 		se := ba.services[name]
 		if se == nil {
-			se = &set{sched: scheduler.New(ba.cfg.Scheduler, ba.cfg.Random)}
+			se = &serverSet{sched: scheduler.New(ba.cfg.Scheduler, ba.cfg.Random)}
 			ba.services[name] = se
 		}
 		for _, re := range res {
@@ -118,13 +118,13 @@
 
 // Grant is the right to send one request to a backend server.
 type Grant struct {
-	balancer *Balancer
-	set      *set
-	server   *server
-	record   registry.Record
-	tokens   int
-	at       time.Duration
-	once     sync.Once
+	balancer  *Balancer
+	set       *serverSet
+	server    *server
+	record    registry.Record
+	tokens    int
+	grantedAt time.Duration
+	once      sync.Once
 }
 
 // Record returns the backend server as it was when it was picked.
@@ -144,23 +144,23 @@
 		MinSequence: rq.MinVersion, FailureDomain: ba.cfg.FailureDomain, Affinity: scheduler.NoCandidate,
 		Tokens: rq.Tokens, Gateways: 1,
 	}
-	keep := time.Duration(0)
+	idleTimeout := time.Duration(0)
 	if ba.cfg.KeepIdle != nil {
-		keep = ba.cfg.KeepIdle()
+		idleTimeout = ba.cfg.KeepIdle()
 	}
 	for i, sv := range se.servers {
-		if now-sv.toldAt > loadFresh {
+		if now-sv.loadReportedAt > maxLoadAge {
 			se.cands[i].Running, se.cands[i].MineReported = 0, 0
 		}
-		sv.dropIdle(now, keep)
-		se.cands[i].HasIdle = len(sv.idle) > 0
+		sv.dropClosedConns(now, idleTimeout)
+		se.cands[i].HasIdle = len(sv.idleSince) > 0
 		if rq.Model != "" {
 			se.cands[i].Sequence = sv.record.Version(rq.Model)
 		}
-		if slices.Contains(rq.Exclude, sv.record.ID) || now < sv.pauseTill || sv.record.IsLoading {
+		if slices.Contains(rq.Exclude, sv.record.ID) || now < sv.pausedUntil || sv.record.IsLoading {
 			sr.Exclude = append(sr.Exclude, i)
 		}
-		if rq.Prefix != "" && sv.prefix == rq.Prefix {
+		if rq.Prefix != "" && sv.lastPrefix == rq.Prefix {
 			sr.Affinity = i
 		}
 		se.cands[i].Slots = sv.record.Slots + rq.Extra
@@ -172,15 +172,15 @@
 	}
 	sv := se.servers[i]
 	if rq.Prefix != "" {
-		sv.prefix = rq.Prefix
+		sv.lastPrefix = rq.Prefix
 	}
-	if n := len(sv.idle); n > 0 {
-		sv.idle = sv.idle[:n-1] // the one used last is used again
+	if n := len(sv.idleSince); n > 0 {
+		sv.idleSince = sv.idleSince[:n-1] // the one used last is used again
 	}
 	se.cands[i].Mine++
 	se.cands[i].Tokens += rq.Tokens
 
-	return &Grant{balancer: ba, set: se, server: sv, record: sv.record, tokens: rq.Tokens, at: now}
+	return &Grant{balancer: ba, set: se, server: sv, record: sv.record, tokens: rq.Tokens, grantedAt: now}
 }
 
 // Count returns how many backend servers of a service are ready, and how many of
@@ -217,9 +217,9 @@
 	Busy                     // it refused for want of room, or while it loads weights
 )
 
-// loadFresh is how long a load that a backend server told says something about it:
+// maxLoadAge is how long a load that a backend server told says something about it:
 // longer than most requests take there.
-const loadFresh = 500 * time.Millisecond
+const maxLoadAge = 500 * time.Millisecond
 
 // busyPause is how long a backend server that refused for want of room gets nothing
 // new: about the time in which one of its requests ends.
@@ -243,22 +243,22 @@
 	ca := &gr.set.cands[i]
 	ca.Mine--
 	if (oc == Succeeded || oc == Busy) && ba.cfg.KeepIdle != nil {
-		gr.server.idle = append(gr.server.idle, now)
+		gr.server.idleSince = append(gr.server.idleSince, now)
 	}
 	ca.Tokens -= gr.tokens
 	if load != nil {
 		ca.Running = load.Running + load.Waiting
 		ca.MineReported = min(ca.Mine+1, ca.Running)
-		gr.server.toldAt = now
+		gr.server.loadReportedAt = now
 	}
 	switch oc {
 	case Succeeded:
 		gr.set.sched.Succeeded(ca)
-		ca.Latency = 0.8*ca.Latency + 0.2*(now-gr.at).Seconds()
+		ca.Latency = 0.8*ca.Latency + 0.2*(now-gr.grantedAt).Seconds()
 	case Failed:
 		gr.set.sched.Failed(now, gr.set.cands, i)
 	case Busy:
-		gr.server.pauseTill = now + busyPause
+		gr.server.pausedUntil = now + busyPause
 	case Unused:
 	}
 }
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -54,10 +54,10 @@
 
 // pattern of load: a few requests, one after another, over many backend servers.
 var _ = ginkgo.Describe("unused connections", func() {
-	// opened plays requests that each take 100 ms, and counts those that found no
+	// countDials plays requests that each take 100 ms, and counts those that found no
 	// unused connection at their backend server.
-	opened := func(cl *cluster, n, atOnce int, pause, keep time.Duration) int {
-		idle, dials, told := map[string][]time.Duration{}, 0, 0
+	countDials := func(cl *cluster, n, atOnce int, pause, idleTimeout time.Duration) int {
+		idle, dials, reports := map[string][]time.Duration{}, 0, 0
 		for range n {
 			got, grants := map[string]int{}, []*balance.Grant{}
 			for range atOnce {
@@ -65,7 +65,7 @@
 				Expect(gr).NotTo(BeNil())
 				id := gr.Record().ID
 				got[id]++
-				if k := len(idle[id]); k > 0 && cl.now-idle[id][k-1] < keep {
+				if k := len(idle[id]); k > 0 && cl.now-idle[id][k-1] < idleTimeout {
 					idle[id] = idle[id][:k-1]
 				} else {
 					dials++
@@ -77,8 +77,8 @@
 			}
 			cl.now += 100 * time.Millisecond
 			for _, gr := range grants {
-				told++ // others have two requests there now and then
-				gr.Release(balance.Succeeded, &backend.Load{Running: 1 + 2*(told%2), Slots: 6})
+				reports++ // others have two requests there now and then
+				gr.Release(balance.Succeeded, &backend.Load{Running: 1 + 2*(reports%2), Slots: 6})
 				idle[gr.Record().ID] = append(idle[gr.Record().ID], cl.now)
 			}
 			cl.now += pause
@@ -97,13 +97,13 @@
 		{"are not counted on when they are older than they are kept", 1, 20 * time.Second, 50},
 	} {
 		ginkgo.It(tc.name, func() {
-			const keep = 8 * time.Second
+			const idleTimeout = 8 * time.Second
 			now := time.Hour
 			cl := &cluster{now: now}
-			turn := 0
+			draws := 0
 			cl.Balancer = balance.New(balance.Config{
-				FailureDomain: "a", Now: func() time.Duration { return cl.now }, KeepIdle: func() time.Duration { return keep },
-				Random: func(n int) int { turn++; return turn % n },
+				FailureDomain: "a", Now: func() time.Duration { return cl.now }, KeepIdle: func() time.Duration { return idleTimeout },
+				Random: func(n int) int { draws++; return draws % n },
 			})
 			for i := range 9 {
 				cl.records = append(cl.records, registry.Record{
@@ -112,7 +112,7 @@
 			}
 			cl.Sync(cl.records)
 			cl.now += time.Minute
-			Expect(opened(cl, 50, tc.atOnce, tc.pause, keep)).To(BeNumerically("<=", tc.dials))
+			Expect(countDials(cl, 50, tc.atOnce, tc.pause, idleTimeout)).To(BeNumerically("<=", tc.dials))
 		})
 	}
 })
@@ -132,13 +132,13 @@
 
 	ginkgo.It("goes on with the others when a failure domain is lost", func() {
 		cl := newCluster(6, 4)
-		var left []registry.Record
+		var remaining []registry.Record
 		for _, re := range cl.records {
 			if re.FailureDomain != "a" {
-				left = append(left, re)
+				remaining = append(remaining, re)
 			}
 		}
-		cl.Sync(left)
+		cl.Sync(remaining)
 		got, grants := cl.place(100, balance.Request{})
 		Expect(grants).To(HaveLen(16))
 		Expect(got).NotTo(HaveKey("s0"))
