--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -35,25 +35,25 @@
 
 // Budget holds what may be spent on retries, by route and workspace.
 type Budget struct {
-	cfg     Config
-	random  func() float64
-	buckets map[string]float64
+	cfg         Config
+	random      func() float64
+	retriesLeft map[string]float64
 }
 
 // NewBudget returns full budgets.
 func NewBudget(cfg Config, random func() float64) *Budget {
 	cfg.Defaults()
 
-	return &Budget{cfg: cfg, random: random, buckets: map[string]float64{}}
+	return &Budget{cfg: cfg, random: random, retriesLeft: map[string]float64{}}
 }
 
 // First notes a first attempt, which earns a part of a retry.
 func (bu *Budget) First(key string) {
-	v, ok := bu.buckets[key]
+	v, ok := bu.retriesLeft[key]
 	if !ok {
 		v = bu.cfg.MinBudget
 	}
-	bu.buckets[key] = min(v+bu.cfg.Ratio, bu.cfg.MinBudget*10)
+	bu.retriesLeft[key] = min(v+bu.cfg.Ratio, bu.cfg.MinBudget*10)
 }
 
 // Attempt describes a failed attempt.
@@ -106,12 +106,12 @@
 	if at.Deadline > 0 && at.Now+delay >= at.Deadline {
 		return Decision{Reason: "deadline", Err: at.Err}
 	}
-	if bu.buckets[at.Key] < 1 {
+	if bu.retriesLeft[at.Key] < 1 {
 		er := result.New(result.RetryBudgetSpent, "retry: the budget of %s is spent after: %s", at.Key, at.Err.Message)
 
 		return Decision{Reason: "budgetSpent", Err: er.With(at.Err.Execution).After(time.Second)}
 	}
-	bu.buckets[at.Key]--
+	bu.retriesLeft[at.Key]--
 
 	return Decision{Retry: true, Delay: delay, Reason: reason, Err: at.Err}
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -40,15 +40,15 @@
 
 	It("bounds what retries add when everything fails", func() {
 		bu := retry.NewBudget(retry.Config{}, half)
-		first, again := 0, 0
+		first, retries := 0, 0
 		for range 10_000 {
 			bu.First("k")
 			first++
 			for n := 1; bu.Decide(retry.Attempt{Key: "k", Number: n, MaxRetries: 5, IsRepeatable: true, Err: crashed}).Retry; n++ {
-				again++
+				retries++
 			}
 		}
-		Expect(float64(first+again) / float64(first)).To(BeNumerically("<=", 1.11))
+		Expect(float64(first+retries) / float64(first)).To(BeNumerically("<=", 1.11))
 		de := bu.Decide(retry.Attempt{Key: "k", Number: 1, MaxRetries: 5, IsRepeatable: true, Err: crashed})
 		Expect(de.Err.Code).To(Equal(result.RetryBudgetSpent))
 		Expect(de.Err.Execution).To(Equal(result.Unknown), "what may have run is still said so")
