--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -77,7 +77,7 @@
 
 // Crash records the loss of a backend server.
 func (bo *Book) Crash(cr Crash, atMs int64) {
-	bo.dropOld(atMs)
+	bo.dropExpired(atMs)
 	for _, fp := range cr.Fingerprints {
 		en, ok := bo.entries[fp]
 		if !ok && len(bo.entries) >= maxEntries {
@@ -121,7 +121,7 @@
 	return ok
 }
 
-func (bo *Book) dropOld(atMs int64) {
+func (bo *Book) dropExpired(atMs int64) {
 	for fp, en := range bo.entries {
 		if atMs > en.AtMs+retentionMs {
 			delete(bo.entries, fp)
