--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -1,6 +1,6 @@
-// Package balance picks a backend server for each request, from what is known of
-// them and from how the own requests fared. It joins the registry's view with the
-// scheduler's decision; its lock is held for microseconds.
+// Package balance picks a backend server for each request, from the records of the
+// registry, the load that backend servers report and the outcomes of this gateway's
+// requests. The decision is the scheduler's. The lock is held for microseconds.
 package balance
 
 import (
@@ -13,18 +13,18 @@
 	"github.com/tamarackbay/tamarackbay/internal/scheduler"
 )
 
-// Config builds a Balancer.
+// Config configures a Balancer.
 type Config struct {
 	FailureDomain string
 	Scheduler     scheduler.Config
 	Now           func() time.Duration
 	Random        func(n int) int
-	// KeepIdle returns how long an unused connection is kept open, nil where they
-	// are not counted.
+	// KeepIdle returns how long an idle connection is kept open. Idle connections
+	// are not tracked if it is nil.
 	KeepIdle func() time.Duration
 }
 
-// Balancer is safe for concurrent use.
+// Balancer holds the backend servers by service. It is safe for concurrent use.
 type Balancer struct {
 	cfg Config
 
@@ -39,15 +39,17 @@
 	cands   []scheduler.Candidate
 }
 
+// server is a backend server with what this gateway knows beyond its record.
 type server struct {
 	record         registry.Record
-	lastPrefix     string // group whose prompt it read last
+	lastPrefix     string // prefix of the last request sent to it
 	pausedUntil    time.Duration
-	loadReportedAt time.Duration   // when it told its load
-	idleSince      []time.Duration // since when each unused connection is open, the oldest first
+	loadReportedAt time.Duration   // when it last reported its load
+	idleSince      []time.Duration // start of each connection's idle time, the oldest first
 }
 
-// dropClosedConns forgets the connections that are closed by now.
+// dropClosedConns removes the connections that have been idle for the timeout and are
+// closed by now.
 func (sv *server) dropClosedConns(now, timeout time.Duration) {
 	n := 0
 	for n < len(sv.idleSince) && now-sv.idleSince[n] >= timeout {
@@ -56,12 +58,13 @@
 	sv.idleSince = slices.Delete(sv.idleSince, 0, n)
 }
 
-// New returns a balancer that knows no backend server.
+// New returns a balancer without backend servers.
 func New(cfg Config) *Balancer {
 	return &Balancer{cfg: cfg, services: map[string]*serverSet{}}
 }
 
-// Sync takes the backend servers that are alive now.
+// Sync replaces the backend servers by those that are alive now. A server keeps its
+// state unless its address or its time of birth has changed.
 func (ba *Balancer) Sync(records []registry.Record) {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
@@ -105,7 +108,7 @@
 	}
 }
 
-// Request is what is to be placed.
+// Request describes the request to place.
 type Request struct {
 	Service    string
 	Model      string // "" for plain services
@@ -113,7 +116,7 @@
 	Prefix     string // of its prompt, "" for none
 	Exclude    []string
 	Tokens     int
-	Extra      int // requests beyond its slots that a backend server may be given
+	Extra      int // requests that a backend server accepts beyond its slots
 }
 
 // Grant is the right to send one request to a backend server.
@@ -127,10 +130,10 @@
 	once      sync.Once
 }
 
-// Record returns the backend server as it was when it was picked.
+// Record returns the record of the backend server at the time it was picked.
 func (gr *Grant) Record() registry.Record { return gr.record }
 
-// Acquire picks a backend server, nil when none has room.
+// Acquire picks a backend server, or returns nil if none has room.
 func (ba *Balancer) Acquire(rq *Request) *Grant {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
@@ -175,7 +178,7 @@
 		sv.lastPrefix = rq.Prefix
 	}
 	if n := len(sv.idleSince); n > 0 {
-		sv.idleSince = sv.idleSince[:n-1] // the one used last is used again
+		sv.idleSince = sv.idleSince[:n-1] // the connection used last is used again
 	}
 	se.cands[i].Mine++
 	se.cands[i].Tokens += rq.Tokens
@@ -184,7 +187,7 @@
 }
 
 // Count returns how many backend servers of a service are ready, and how many of
-// them serve at least minVersion of model.
+// them serve version minVersion of the model or a later one.
 func (ba *Balancer) Count(service, model string, minVersion uint64) (ready, eligible int) {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
@@ -206,27 +209,27 @@
 	return ready, eligible
 }
 
-// Outcome tells how a granted request ended.
+// Outcome is how a granted request ended.
 type Outcome uint8
 
 // Outcomes of a granted request.
 const (
-	Unused    Outcome = iota // nothing was learnt of the backend server
-	Succeeded                // it answered, whatever its answer
-	Failed                   // it failed the request
-	Busy                     // it refused for want of room, or while it loads weights
+	Unused    Outcome = iota // says nothing about the backend server
+	Succeeded                // the backend server responded, whatever its response
+	Failed                   // the backend server failed the request
+	Busy                     // the backend server refused: it had no room or was loading weights
 )
 
-// maxLoadAge is how long a load that a backend server told says something about it:
-// longer than most requests take there.
+// maxLoadAge is the age at which a reported load is ignored. It is longer than most
+// requests take on a backend server.
 const maxLoadAge = 500 * time.Millisecond
 
-// busyPause is how long a backend server that refused for want of room gets nothing
-// new: about the time in which one of its requests ends.
+// busyPause is how long a backend server that refused as Busy gets no new requests:
+// about the time in which one of its requests ends.
 const busyPause = 100 * time.Millisecond
 
-// Release ends a grant. load is what the backend server told with its answer, nil
-// for nothing.
+// Release ends a grant; further calls have no effect. load is the load that the
+// backend server reported with its response, or nil.
 func (gr *Grant) Release(oc Outcome, load *backend.Load) {
 	gr.once.Do(func() { gr.balancer.release(gr, oc, load) })
 }
@@ -237,7 +240,7 @@
 
 	i := slices.Index(gr.set.servers, gr.server)
 	if i < 0 {
-		return // it has left meanwhile
+		return // removed by Sync in the meantime
 	}
 	now := ba.cfg.Now()
 	ca := &gr.set.cands[i]
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -16,13 +16,14 @@
 
 func TestSuite(t *testing.T) { suite.Run(t, "balance") }
 
-// cluster is a balancer over n backend servers in three failure domains.
+// cluster is a balancer with its records and a clock that the test moves.
 type cluster struct {
 	*balance.Balancer
 	now     time.Duration
 	records []registry.Record
 }
 
+// newCluster returns a balancer over n backend servers in three failure domains.
 func newCluster(n, slots int) *cluster {
 	cl := &cluster{now: time.Hour}
 	cl.Balancer = balance.New(balance.Config{FailureDomain: "a", Now: func() time.Duration { return cl.now }, Random: func(int) int { return 0 }})
@@ -33,12 +34,12 @@
 		})
 	}
 	cl.Sync(cl.records)
-	cl.now += time.Minute // beyond the slow start
+	cl.now += time.Minute // past the slow start
 
 	return cl
 }
 
-// place acquires n requests and counts them by backend server.
+// place acquires up to n grants and counts them by backend server.
 func (cl *cluster) place(n int, rq balance.Request) (map[string]int, []*balance.Grant) {
 	got, grants := map[string]int{}, []*balance.Grant{}
 	rq.Service = "s"
@@ -52,10 +53,10 @@
 	return got, grants
 }
 
-// pattern of load: a few requests, one after another, over many backend servers.
-var _ = ginkgo.Describe("unused connections", func() {
-	// countDials plays requests that each take 100 ms, and counts those that found no
-	// unused connection at their backend server.
+// Load pattern: a few requests, one after another, over many backend servers.
+var _ = ginkgo.Describe("idle connections", func() {
+	// countDials runs n rounds of requests that take 100 ms each, and returns how many
+	// requests found no idle connection to their backend server.
 	countDials := func(cl *cluster, n, atOnce int, pause, idleTimeout time.Duration) int {
 		idle, dials, reports := map[string][]time.Duration{}, 0, 0
 		for range n {
@@ -73,11 +74,11 @@
 				grants = append(grants, gr)
 			}
 			for id, k := range got {
-				Expect(k).To(BeNumerically("<=", 1+atOnce/3), "%s takes more than its part", id)
+				Expect(k).To(BeNumerically("<=", 1+atOnce/3), "%s gets more than its share", id)
 			}
 			cl.now += 100 * time.Millisecond
 			for _, gr := range grants {
-				reports++ // others have two requests there now and then
+				reports++ // every other report includes two requests of other gateways
 				gr.Release(balance.Succeeded, &backend.Load{Running: 1 + 2*(reports%2), Slots: 6})
 				idle[gr.Record().ID] = append(idle[gr.Record().ID], cl.now)
 			}
@@ -92,9 +93,9 @@
 		pause  time.Duration
 		dials  int // at most
 	}{
-		{"serve a request every two seconds", 1, 2 * time.Second, 1},
-		{"serve small bursts", 4, 2 * time.Second, 4},
-		{"are not counted on when they are older than they are kept", 1, 20 * time.Second, 50},
+		{"are reused by one request every two seconds", 1, 2 * time.Second, 1},
+		{"are reused by small bursts", 4, 2 * time.Second, 4},
+		{"are dropped after the idle timeout", 1, 20 * time.Second, 50},
 	} {
 		ginkgo.It(tc.name, func() {
 			const idleTimeout = 8 * time.Second
@@ -117,8 +118,8 @@
 	}
 })
 
-var _ = ginkgo.Describe("the choice of backend servers", func() {
-	ginkgo.It("spreads a burst evenly and gives no server more than its slots", func() {
+var _ = ginkgo.Describe("a balancer", func() {
+	ginkgo.It("spreads a burst evenly and sends no backend server more requests than it has slots", func() {
 		cl := newCluster(4, 6)
 		got, grants := cl.place(100, balance.Request{})
 		Expect(grants).To(HaveLen(24))
@@ -130,7 +131,7 @@
 		Expect(more).To(HaveLen(1))
 	})
 
-	ginkgo.It("goes on with the others when a failure domain is lost", func() {
+	ginkgo.It("uses the remaining backend servers when a failure domain is lost", func() {
 		cl := newCluster(6, 4)
 		var remaining []registry.Record
 		for _, re := range cl.records {
@@ -145,7 +146,7 @@
 		Expect(got).NotTo(HaveKey("s3"))
 	})
 
-	ginkgo.It("leaves a server that fails again and again alone for some seconds, but never most of them", func() {
+	ginkgo.It("ejects backend servers that fail repeatedly for some seconds, but never most of them", func() {
 		cl := newCluster(3, 4)
 		for _, id := range []string{"s0", "s1", "s2"} {
 			for range 20 {
@@ -167,7 +168,7 @@
 		Expect(len(got)).To(BeNumerically(">=", 1))
 	})
 
-	ginkgo.It("sends nothing to a server that drains, loads weights, is busy, or has too old a version", func() {
+	ginkgo.It("sends nothing to a backend server that drains, loads weights, is busy or has too old a version", func() {
 		for _, tc := range []struct {
 			name string
 			edit func(cl *cluster)
@@ -179,7 +180,7 @@
 					cl.records[i+1].Models = []registry.Model{{Name: "m", Version: 2}}
 				}
 			}},
-			{"refused a moment ago", func(cl *cluster) {
+			{"has just refused a request", func(cl *cluster) {
 				cl.Acquire(&balance.Request{Service: "s", Exclude: []string{"s1", "s2"}}).Release(balance.Busy, nil)
 			}},
 		} {
@@ -192,13 +193,13 @@
 		}
 	})
 
-	ginkgo.It("prefers the server that has read a group's prompt, while it has room", func() {
+	ginkgo.It("prefers the backend server that last got the same prefix, while it has room", func() {
 		cl := newCluster(3, 8)
 		got, _ := cl.place(2, balance.Request{Prefix: "g"})
 		Expect(got).To(HaveLen(1))
 	})
 
-	ginkgo.It("counts what others send by what a server tells", func() {
+	ginkgo.It("includes the reported load of other gateways", func() {
 		cl := newCluster(2, 8)
 		gr := cl.Acquire(&balance.Request{Service: "s", Exclude: []string{"s1"}})
 		gr.Release(balance.Succeeded, &backend.Load{Running: 7, Slots: 8})
