--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,5 +1,5 @@
-// Package retry decides whether a failed attempt is tried again. It is a core:
-// time and the random source are arguments.
+// Package retry decides whether a failed attempt is retried. Time and the random
+// source are arguments.
 package retry
 
 import (
@@ -8,13 +8,13 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// Config are the limits of retries.
+// Config holds the limits of retries.
 type Config struct {
-	Ratio     float64 // retries earned by each first attempt
-	MinBudget float64 // retries a workspace may always make in a burst
-	BaseDelay time.Duration
-	MaxDelay  time.Duration
-	NoBudget  bool // every failure is tried again (a baseline)
+	Ratio     float64       // retries added to the budget by each first attempt
+	MinBudget float64       // retries in a new budget, which holds up to ten times as many
+	BaseDelay time.Duration // back-off before jitter, doubled with each attempt
+	MaxDelay  time.Duration // largest back-off before jitter
+	NoBudget  bool          // every retriable failure is retried, a baseline for comparison
 }
 
 // Defaults fills the fields left zero.
@@ -33,21 +33,22 @@
 	}
 }
 
-// Budget holds what may be spent on retries, by route and workspace.
+// Budget holds how many retries are left for each route and workspace.
 type Budget struct {
 	cfg         Config
 	random      func() float64
 	retriesLeft map[string]float64
 }
 
-// NewBudget returns full budgets.
+// NewBudget returns a budget in which every key starts with Config.MinBudget. random
+// returns a number in [0, 1).
 func NewBudget(cfg Config, random func() float64) *Budget {
 	cfg.Defaults()
 
 	return &Budget{cfg: cfg, random: random, retriesLeft: map[string]float64{}}
 }
 
-// First notes a first attempt, which earns a part of a retry.
+// First records a first attempt, which adds Config.Ratio to the budget of key.
 func (bu *Budget) First(key string) {
 	v, ok := bu.retriesLeft[key]
 	if !ok {
@@ -61,21 +62,22 @@
 	Key          string // route and workspace
 	Number       int    // from 1
 	MaxRetries   int
-	IsRepeatable bool
+	IsRepeatable bool // may run more than once
 	Err          *result.Error
 	Now          time.Duration
-	Deadline     time.Duration
+	Deadline     time.Duration // 0 for none
 }
 
-// Decision says what follows a failed attempt.
+// Decision is what to do after a failed attempt: retry it, or return Err.
 type Decision struct {
 	Retry  bool
 	Delay  time.Duration
-	Reason string // for the counter
+	Reason string // suffix of the counter's name
 	Err    *result.Error
 }
 
-// retriable lists the codes after which another backend server may succeed.
+// retriable maps the codes after which another backend server may succeed to the
+// reason that is counted.
 var retriable = map[result.Code]string{
 	result.BackendUnreachable:  "unreachable",
 	result.BackendCrashed:      "crashed",
@@ -87,8 +89,8 @@
 	result.AttemptRepeated:     "attemptRepeated",
 }
 
-// Decide judges a failed attempt. What may have begun is never sent twice if it
-// may not be repeated.
+// Decide returns whether a failed attempt is retried. A request that is not repeatable
+// is retried only if the attempt has surely not run.
 func (bu *Budget) Decide(at Attempt) Decision {
 	reason, ok := retriable[at.Err.Code]
 	switch {
@@ -107,7 +109,7 @@
 		return Decision{Reason: "deadline", Err: at.Err}
 	}
 	if bu.retriesLeft[at.Key] < 1 {
-		er := result.New(result.RetryBudgetSpent, "retry: the budget of %s is spent after: %s", at.Key, at.Err.Message)
+		er := result.New(result.RetryBudgetSpent, "retry: the retry budget of %s is spent; last error: %s", at.Key, at.Err.Message)
 
 		return Decision{Reason: "budgetSpent", Err: er.With(at.Err.Execution).After(time.Second)}
 	}
@@ -116,8 +118,8 @@
 	return Decision{Retry: true, Delay: delay, Reason: reason, Err: at.Err}
 }
 
-// delay grows with the attempts and is jittered; an attempt that surely has not
-// run is tried elsewhere at once.
+// delay returns the back-off before the next attempt: exponential, with jitter. A first
+// attempt that surely has not run is retried without delay.
 func (bu *Budget) delay(at Attempt) time.Duration {
 	if at.Number == 1 && at.Err.Execution == result.NotRun {
 		return 0
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -21,14 +21,14 @@
 		reason string
 	}{
 		{"a repeatable request after a crash", retry.Attempt{Number: 1, MaxRetries: 2, IsRepeatable: true, Err: crashed}, true, "crashed"},
-		{"one that may not be repeated and may have run", retry.Attempt{Number: 1, MaxRetries: 2, Err: crashed}, false, "notRepeatable"},
-		{"one that may not be repeated and has not run", retry.Attempt{Number: 1, MaxRetries: 2, Err: result.New(result.ServerDraining, "x")}, true, "draining"},
-		{"a refusal for good", retry.Attempt{Number: 1, MaxRetries: 2, IsRepeatable: true, Err: result.New(result.Quarantined, "x")}, false, "final"},
-		{"one whose attempts are spent", retry.Attempt{Number: 3, MaxRetries: 2, IsRepeatable: true, Err: crashed}, false, "attemptsSpent"},
-		{"one whose deadline is near", retry.Attempt{Number: 2, MaxRetries: 2, IsRepeatable: true, Err: crashed, Now: time.Second, Deadline: time.Second + time.Millisecond}, false, "deadline"},
+		{"a request that is not repeatable and may have run", retry.Attempt{Number: 1, MaxRetries: 2, Err: crashed}, false, "notRepeatable"},
+		{"a request that is not repeatable and has not run", retry.Attempt{Number: 1, MaxRetries: 2, Err: result.New(result.ServerDraining, "x")}, true, "draining"},
+		{"an error that is not retriable", retry.Attempt{Number: 1, MaxRetries: 2, IsRepeatable: true, Err: result.New(result.Quarantined, "x")}, false, "final"},
+		{"a request without attempts left", retry.Attempt{Number: 3, MaxRetries: 2, IsRepeatable: true, Err: crashed}, false, "attemptsSpent"},
+		{"a request whose deadline would pass during the back-off", retry.Attempt{Number: 2, MaxRetries: 2, IsRepeatable: true, Err: crashed, Now: time.Second, Deadline: time.Second + time.Millisecond}, false, "deadline"},
 	}
 	for _, tc := range cases {
-		It("judges "+tc.name, func() {
+		It("decides on "+tc.name, func() {
 			bu := retry.NewBudget(retry.Config{}, half)
 			tc.at.Key = "k"
 			bu.First("k")
@@ -38,7 +38,7 @@
 		})
 	}
 
-	It("bounds what retries add when everything fails", func() {
+	It("bounds the load that retries add when every attempt fails", func() {
 		bu := retry.NewBudget(retry.Config{}, half)
 		first, retries := 0, 0
 		for range 10_000 {
@@ -51,6 +51,6 @@
 		Expect(float64(first+retries) / float64(first)).To(BeNumerically("<=", 1.11))
 		de := bu.Decide(retry.Attempt{Key: "k", Number: 1, MaxRetries: 5, IsRepeatable: true, Err: crashed})
 		Expect(de.Err.Code).To(Equal(result.RetryBudgetSpent))
-		Expect(de.Err.Execution).To(Equal(result.Unknown), "what may have run is still said so")
+		Expect(de.Err.Execution).To(Equal(result.Unknown), "the error still says that the request may have run")
 	})
 })
