--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,57 +1,58 @@
-// Package quarantine keeps requests away that crash the backend servers they run
-// on. What was in flight at a crash is suspect and runs from then on as the only
-// suspect of its backend server, one at a time, which clears it or convicts it: a
-// fingerprint is refused everywhere after two crashes of which one was such a run.
-// Popular requests that are in flight whenever anything fails are so never refused.
+// Package quarantine refuses requests that crash the backend servers they run on. A
+// fingerprint that was in flight at a crash becomes suspect; from then on its requests
+// run as the only suspect on their backend server. A suspect that completes is cleared.
+// A fingerprint is refused by all gateways after two crashes if it was the only suspect
+// at one of them. Without this condition, a popular request, which is in flight at
+// nearly every crash, would be refused.
 package quarantine
 
-// Verdict on a fingerprint.
+// Verdict says how requests with a fingerprint are treated.
 type Verdict uint8
 
-// Verdicts on a fingerprint.
+// Verdicts on a fingerprint, from harmless to refused.
 const (
 	Clear   Verdict = iota
-	Suspect         // in flight at a crash: runs as the only suspect of its backend server
-	Refused         // in flight at two crashes, at one of them as the only suspect
+	Suspect         // was in flight at a crash: runs as the only suspect on its backend server
+	Refused         // was in flight at two crashes, at one of them as the only suspect
 )
 
-// Entry is what is known of one fingerprint.
+// Entry records the crashes of one fingerprint.
 type Entry struct {
-	Crashes  []string `cbor:"1,keyasint"` // backend server incarnations that were lost
-	Alone    bool     `cbor:"2,keyasint"` // at one of the crashes it was the only suspect
-	AtMs     int64    `cbor:"3,keyasint"`
-	Released bool     `cbor:"4,keyasint"`
+	Crashes  []string `cbor:"1,keyasint"` // names and incarnations of the backend servers that crashed
+	Alone    bool     `cbor:"2,keyasint"` // it was the only suspect at one of the crashes
+	AtMs     int64    `cbor:"3,keyasint"` // time of the last crash
+	Released bool     `cbor:"4,keyasint"` // by an operator
 }
 
-// Crash says which fingerprints were in flight on a backend server that was lost.
+// Crash records which fingerprints were in flight on a backend server that crashed.
 type Crash struct {
-	Server       string   `cbor:"1,keyasint"` // with its incarnation
+	Server       string   `cbor:"1,keyasint"` // name and incarnation
 	Fingerprints []string `cbor:"2,keyasint"`
-	Alone        bool     `cbor:"3,keyasint"` // they ran as suspects
+	Alone        bool     `cbor:"3,keyasint"` // the fingerprints ran as suspects
 }
 
-// Cleared says that a suspect has run to its end.
+// Cleared records that a request of a suspect fingerprint has completed.
 type Cleared struct {
 	Fingerprint string `cbor:"1,keyasint"`
 }
 
-// Release ends the quarantine of a fingerprint by an operator's order.
+// Release is an operator's request to end the quarantine of a fingerprint.
 type Release struct {
 	Fingerprint string `cbor:"1,keyasint"`
 }
 
 const (
-	crashLimit  = 2
-	retentionMs = 24 * 60 * 60 * 1000
-	maxEntries  = 50_000
+	crashLimit  = 2                   // crashes after which a fingerprint may be refused
+	retentionMs = 24 * 60 * 60 * 1000 // since the last crash of a fingerprint
+	maxEntries  = 50_000              // further fingerprints are not recorded
 )
 
-// Book holds the entries of a group.
+// Book holds the entries of a replicated group by fingerprint.
 type Book struct {
 	entries map[string]Entry
 }
 
-// NewBook returns the book that holds entries.
+// NewBook returns a book with the entries, which may be nil.
 func NewBook(entries map[string]Entry) *Book {
 	if entries == nil {
 		entries = map[string]Entry{}
@@ -75,7 +76,8 @@
 	return Suspect
 }
 
-// Crash records the loss of a backend server.
+// Crash records the crash of a backend server and removes expired entries. Reports of
+// the same crash count once.
 func (bo *Book) Crash(cr Crash, atMs int64) {
 	bo.dropExpired(atMs)
 	for _, fp := range cr.Fingerprints {
@@ -103,14 +105,15 @@
 	return false
 }
 
-// Cleared forgets a suspect that ran to its end.
+// Cleared removes a suspect that completed. A refused fingerprint stays refused.
 func (bo *Book) Cleared(cl Cleared) {
 	if en, ok := bo.entries[cl.Fingerprint]; ok && en.Verdict() == Suspect {
 		delete(bo.entries, cl.Fingerprint)
 	}
 }
 
-// Release lets a fingerprint run again.
+// Release ends the quarantine of a fingerprint and reports whether it had an entry.
+// Further crashes don't count until the entry expires.
 func (bo *Book) Release(re Release) bool {
 	en, ok := bo.entries[re.Fingerprint]
 	if ok {
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -7,7 +7,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/quarantine"
 )
 
-var _ = Describe("a book of quarantine", func() {
+var _ = Describe("a quarantine book", func() {
 	crash := func(server string, alone bool, fps ...string) quarantine.Crash {
 		return quarantine.Crash{Server: server, Fingerprints: fps, Alone: alone}
 	}
@@ -18,12 +18,12 @@
 	}{
 		{"one crash", []quarantine.Crash{crash("s1", false, "x", "y")}, quarantine.Suspect},
 		{"one crash reported twice", []quarantine.Crash{crash("s1", false, "x"), crash("s1", false, "x")}, quarantine.Suspect},
-		{"many crashes in company", []quarantine.Crash{crash("s1", false, "x", "y"), crash("s2", false, "x", "z"), crash("s3", false, "x")}, quarantine.Suspect},
+		{"many crashes, none as the only suspect", []quarantine.Crash{crash("s1", false, "x", "y"), crash("s2", false, "x", "z"), crash("s3", false, "x")}, quarantine.Suspect},
 		{"a second crash as the only suspect", []quarantine.Crash{crash("s1", false, "x", "y"), crash("s2", true, "x")}, quarantine.Refused},
-		{"crashes of others", []quarantine.Crash{crash("s1", false, "y")}, quarantine.Clear},
+		{"a crash with other requests in flight", []quarantine.Crash{crash("s1", false, "y")}, quarantine.Clear},
 	}
 	for _, tc := range cases {
-		It("judges a fingerprint after "+tc.name, func() {
+		It("returns the verdict on a fingerprint after "+tc.name, func() {
 			bo := quarantine.NewBook(nil)
 			for _, c := range tc.crashes {
 				bo.Crash(c, 1)
@@ -32,7 +32,7 @@
 		})
 	}
 
-	It("forgets what ran to its end, keeps what was convicted, and releases it by order", func() {
+	It("clears a suspect that completes, keeps a refused fingerprint, and releases it on request", func() {
 		bo := quarantine.NewBook(nil)
 		bo.Crash(crash("s1", false, "x", "y"), 1)
 		bo.Cleared(quarantine.Cleared{Fingerprint: "y"})
