--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -97,17 +97,17 @@
 		services[se.Name] = true
 	}
 
-	places := map[string]string{}
+	nameByPrefix := map[string]string{}
 	for i := range c.Routes {
 		ro := &c.Routes[i]
 		if err := ro.validate(services); err != nil {
 			return err
 		}
-		at := ro.Host + ro.Prefix
-		if other, ok := places[at]; ok {
-			return invalid("routes %q and %q share host and prefix %s", other, ro.Name, at)
+		hostPrefix := ro.Host + ro.Prefix
+		if other, ok := nameByPrefix[hostPrefix]; ok {
+			return invalid("routes %q and %q share host and prefix %s", other, ro.Name, hostPrefix)
 		}
-		places[at] = ro.Name
+		nameByPrefix[hostPrefix] = ro.Name
 	}
 
 	return c.validateKeys()
