--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	// lapsePeriods is the number of report periods that an agent may be silent for
+	// maxSilentPeriods is the number of report periods that an agent may be silent for
 	// before its backend server gets no new work.
-	lapsePeriods      = 4
+	maxSilentPeriods  = 4
 	maxPrefixes       = 200_000
 	maxServerPrefixes = 20_000
 )
@@ -44,16 +44,16 @@
 type Pool struct {
 	cfg Config
 
-	mu       sync.Mutex
-	queue    *admission.Queue
-	sched    *scheduler.Scheduler
-	servers  []*Server
-	cands    []scheduler.Candidate // same order as servers
-	byName   map[string]int
-	prefixes map[uint64]string // prefix to the server that holds it, a hint
-	gateways int
-	missed   int // requests refused for want of a backend server since the last Demand
-	missedIn int // and in the period before it
+	mu            sync.Mutex
+	queue         *admission.Queue
+	sched         *scheduler.Scheduler
+	servers       []*Server
+	cands         []scheduler.Candidate // same order as servers
+	byName        map[string]int
+	prefixes      map[uint64]string // prefix to the server that holds it, a hint
+	gateways      int
+	refused       int // requests refused for want of a backend server since the last Demand
+	refusedBefore int // and in the period before it
 }
 
 // New returns an empty pool.
@@ -82,35 +82,35 @@
 
 // Grant is the right to send one request to a backend server.
 type Grant struct {
-	pool        *Pool
-	server      *Server
-	ticket      Ticket
-	once        sync.Once
-	grantedAt   time.Duration
-	waitingTook time.Duration
+	pool      *Pool
+	server    *Server
+	ticket    Ticket
+	once      sync.Once
+	grantedAt time.Duration
+	waited    time.Duration
 }
 
 // Server returns the backend server.
 func (gr *Grant) Server() *Server { return gr.server }
 
 // Waited returns how long the request waited in the queue.
-func (gr *Grant) Waited() time.Duration { return gr.waitingTook }
+func (gr *Grant) Waited() time.Duration { return gr.waited }
 
-// waiting is the payload of a queued item.
-type waiting struct {
-	ticket Ticket
-	answer chan *Grant // nil grant: expired
+// waiter is the payload of a queued item.
+type waiter struct {
+	ticket  Ticket
+	granted chan *Grant // nil grant: expired
 }
 
 // Acquire waits until the request may be sent.
 func (po *Pool) Acquire(ctx context.Context, ti Ticket) (*Grant, error) {
-	w := &waiting{ticket: ti, answer: make(chan *Grant, 1)}
+	w := &waiter{ticket: ti, granted: make(chan *Grant, 1)}
 	it := &admission.Item{
 		Workspace: ti.Workspace, Weight: ti.Weight, Class: ti.Class, Cost: ti.Cost,
 		Deadline: ti.Deadline, MaxQueued: ti.MaxQueued, Payload: w,
 	}
 	po.mu.Lock()
-	if err := po.possible(&ti); err != nil {
+	if err := po.checkEligible(&ti); err != nil {
 		po.mu.Unlock()
 
 		return nil, err
@@ -120,20 +120,20 @@
 
 		return nil, err
 	}
-	po.pump()
+	po.dispatch()
 	po.mu.Unlock()
 
 	select {
-	case gr := <-w.answer:
-		return po.granted(gr)
+	case gr := <-w.granted:
+		return po.grantOrError(gr)
 	case <-ctx.Done():
 	}
 
 	po.mu.Lock()
-	isWaiting := po.queue.Remove(it)
+	wasWaiting := po.queue.Remove(it)
 	po.mu.Unlock()
-	if !isWaiting {
-		if gr := <-w.answer; gr != nil {
+	if !wasWaiting {
+		if gr := <-w.granted; gr != nil {
 			gr.Release(Unused)
 		}
 	}
@@ -141,7 +141,7 @@
 	return nil, result.New(result.DeadlinePassed, "pool %s: the request was given up while it waited", po.cfg.Name)
 }
 
-func (po *Pool) granted(gr *Grant) (*Grant, error) {
+func (po *Pool) grantOrError(gr *Grant) (*Grant, error) {
 	if gr == nil {
 		return nil, result.New(result.DeadlinePassed, "pool %s: the deadline passed while the request waited", po.cfg.Name)
 	}
@@ -149,8 +149,8 @@
 	return gr, nil
 }
 
-// possible refuses at once what no backend server could run.
-func (po *Pool) possible(ti *Ticket) error {
+// checkEligible refuses at once what no backend server could run.
+func (po *Pool) checkEligible(ti *Ticket) error {
 	ready, eligible := 0, 0
 	for i := range po.cands {
 		if !po.cands[i].IsReady {
@@ -163,7 +163,7 @@
 	}
 	switch {
 	case ready == 0:
-		po.missed++
+		po.refused++
 
 		return result.New(result.NoBackendServer, "pool %s: none of %d backend servers is ready", po.cfg.Name, len(po.cands)).After(time.Second)
 	case eligible == 0:
@@ -173,17 +173,17 @@
 	return nil
 }
 
-// pump grants waiting requests as long as one fits.
-func (po *Pool) pump() {
+// dispatch grants waiting requests as long as one fits.
+func (po *Pool) dispatch() {
 	now := po.cfg.Now()
 	for {
 		chosen := scheduler.NoCandidate
 		it := po.queue.Pop(now, func(it *admission.Item) bool {
-			chosen = po.pick(now, &it.Payload.(*waiting).ticket)
+			chosen = po.pick(now, &it.Payload.(*waiter).ticket)
 
 			return chosen != scheduler.NoCandidate
 		}, func(it *admission.Item) {
-			it.Payload.(*waiting).answer <- nil
+			it.Payload.(*waiter).granted <- nil
 		})
 		if it == nil {
 			return
@@ -231,21 +231,21 @@
 }
 
 func (po *Pool) grant(now time.Duration, it *admission.Item, i int) {
-	w := it.Payload.(*waiting)
+	w := it.Payload.(*waiter)
 	se := po.servers[i]
-	gr := &Grant{pool: po, server: se, ticket: w.ticket, grantedAt: now, waitingTook: now - it.Arrived}
+	gr := &Grant{pool: po, server: se, ticket: w.ticket, grantedAt: now, waited: now - it.Arrived}
 	se.inFlight[gr] = struct{}{}
 	po.cands[i].Mine++
 	po.cands[i].Tokens += int(it.Cost)
 	if w.ticket.IsSuspect {
-		se.suspects++
+		se.suspectCount++
 		po.cands[i].IsExclusive = true
 	}
 	if w.ticket.Prefix != 0 && len(po.prefixes) < maxPrefixes {
 		po.prefixes[w.ticket.Prefix] = se.Name()
 		se.prefixes[w.ticket.Prefix] = struct{}{}
 	}
-	w.answer <- gr
+	w.granted <- gr
 }
 
 // Outcome tells how a granted request ended.
@@ -278,8 +278,8 @@
 		ca.Mine--
 		ca.Tokens -= int(gr.ticket.Cost)
 		if gr.ticket.IsSuspect {
-			gr.server.suspects--
-			ca.IsExclusive = gr.server.suspects > 0
+			gr.server.suspectCount--
+			ca.IsExclusive = gr.server.suspectCount > 0
 		}
 		switch oc {
 		case Succeeded:
@@ -289,7 +289,7 @@
 		case Unused:
 		}
 	}
-	po.pump()
+	po.dispatch()
 }
 
 // Announce adds a backend server or its new incarnation.
@@ -300,7 +300,7 @@
 	now := po.cfg.Now()
 	if i, ok := po.byName[an.GetServer()]; ok {
 		if po.servers[i].Incarnation() == an.GetIncarnation() {
-			po.servers[i].session, po.servers[i].announce, po.servers[i].heard = session, an, now
+			po.servers[i].session, po.servers[i].announce, po.servers[i].heardAt = session, an, now
 
 			return
 		}
@@ -309,7 +309,7 @@
 
 	po.byName[an.GetServer()] = len(po.servers)
 	po.servers = append(po.servers, &Server{
-		announce: an, session: session, heard: now, firstSeen: now,
+		announce: an, session: session, heardAt: now, firstSeen: now,
 		inFlight: map[*Grant]struct{}{}, prefixes: map[uint64]struct{}{},
 	})
 	po.cands = append(po.cands, scheduler.Candidate{Slots: int(an.GetSlots()), FailureDomain: an.GetFailureDomain(), ReadySince: now})
@@ -322,12 +322,12 @@
 	defer po.mu.Unlock()
 
 	i, ok := po.byName[lo.GetServer()]
-	if !ok || po.servers[i].Incarnation() != lo.GetIncarnation() || lo.GetSequence() <= po.servers[i].sequence {
+	if !ok || po.servers[i].Incarnation() != lo.GetIncarnation() || lo.GetSequence() <= po.servers[i].loadSequence {
 		return false
 	}
 
 	se, ca, now := po.servers[i], &po.cands[i], po.cfg.Now()
-	se.load, se.heard, se.sequence = lo, now, lo.GetSequence()
+	se.lastLoad, se.heardAt, se.loadSequence = lo, now, lo.GetSequence()
 	po.gateways = max(gateways, 1)
 	isReady := lo.GetState() == StateReady
 	if isReady && !ca.IsReady {
@@ -340,25 +340,25 @@
 	ca.Running = int(lo.GetRunning())
 	ca.MineReported = min(ca.Mine, ca.Running)
 	ca.Sequence = po.cfg.SequenceOf(lo.GetVersion())
-	resync := po.takeCacheEvents(se, lo.GetCacheEvents())
-	po.pump()
+	resync := po.applyCacheEvents(se, lo.GetCacheEvents())
+	po.dispatch()
 
 	return resync
 }
 
-func (po *Pool) takeCacheEvents(se *Server, events []*wire.CacheEvent) bool {
+func (po *Pool) applyCacheEvents(se *Server, events []*wire.CacheEvent) bool {
 	for _, ev := range events {
-		if ev.GetSequence() <= se.cacheSeq {
+		if ev.GetSequence() <= se.cacheEventSeq {
 			continue
 		}
-		if se.cacheSeq != 0 && ev.GetSequence() != se.cacheSeq+1 {
+		if se.cacheEventSeq != 0 && ev.GetSequence() != se.cacheEventSeq+1 {
 			po.cfg.Meter.Count("cacheEvents.gap")
-			po.forgetPrefixes(se)
-			se.cacheSeq = 0
+			po.dropPrefixes(se)
+			se.cacheEventSeq = 0
 
 			return true
 		}
-		se.cacheSeq = ev.GetSequence()
+		se.cacheEventSeq = ev.GetSequence()
 		switch {
 		case ev.GetEvicted():
 			if po.prefixes[ev.GetPrefix()] == se.Name() {
@@ -374,7 +374,7 @@
 	return false
 }
 
-func (po *Pool) forgetPrefixes(se *Server) {
+func (po *Pool) dropPrefixes(se *Server) {
 	for p := range se.prefixes {
 		if po.prefixes[p] == se.Name() {
 			delete(po.prefixes, p)
@@ -396,7 +396,7 @@
 
 func (po *Pool) removeAt(i int) {
 	se, last := po.servers[i], len(po.servers)-1
-	po.forgetPrefixes(se)
+	po.dropPrefixes(se)
 	delete(po.byName, se.Name())
 	if i != last {
 		po.servers[i], po.cands[i] = po.servers[last], po.cands[last]
@@ -410,19 +410,19 @@
 	po.mu.Lock()
 	defer po.mu.Unlock()
 
-	now, lapse := po.cfg.Now(), po.lapse()
+	now, silence := po.cfg.Now(), po.maxSilence()
 	for i, se := range po.servers {
-		if now > se.heard+lapse {
+		if now > se.heardAt+silence {
 			po.cands[i].IsReady = false
 		}
-		if se.load != nil {
-			po.cands[i].Sequence = po.cfg.SequenceOf(se.load.GetVersion())
+		if se.lastLoad != nil {
+			po.cands[i].Sequence = po.cfg.SequenceOf(se.lastLoad.GetVersion())
 		}
 	}
-	po.pump()
+	po.dispatch()
 }
 
-func (po *Pool) lapse() time.Duration { return lapsePeriods * po.cfg.ReportPeriod() }
+func (po *Pool) maxSilence() time.Duration { return maxSilentPeriods * po.cfg.ReportPeriod() }
 
 // Len returns the number of backend servers in view.
 func (po *Pool) Len() int {
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -21,15 +21,15 @@
 	suite.Run(t, "pool")
 }
 
-// bench is a pool whose clock the test moves.
-type bench struct {
+// testPool is a pool whose clock the test moves.
+type testPool struct {
 	*pool.Pool
 	now time.Duration
 	seq uint64
 }
 
-func newBench(servers int) *bench {
-	be := &bench{now: time.Hour}
+func newTestPool(servers int) *testPool {
+	be := &testPool{now: time.Hour}
 	be.Pool = pool.New(pool.Config{
 		Name: "m", FailureDomain: "a", Queue: admission.Config{IsFair: true}, Now: func() time.Duration { return be.now }, Meter: meter.New(),
 		ReportPeriod: func() time.Duration { return time.Second },
@@ -43,12 +43,12 @@
 	return be
 }
 
-func (be *bench) report(i int, state, version string) {
+func (be *testPool) report(i int, state, version string) {
 	be.seq++
 	be.Load(&wire.Load{Server: fmt.Sprint("s", i), Incarnation: 1, Sequence: be.seq, State: state, Version: version}, 1)
 }
 
-func (be *bench) acquire(ti pool.Ticket) (*pool.Grant, error) {
+func (be *testPool) acquire(ti pool.Ticket) (*pool.Grant, error) {
 	ti.Workspace, ti.Weight, ti.Cost, ti.MaxQueued = "w", 1, 1, 100
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
@@ -58,7 +58,7 @@
 
 var _ = Describe("a pool", func() {
 	It("does not wait for other servers when all that could run a request are to be avoided", func() {
-		be := newBench(2)
+		be := newTestPool(2)
 		gr, err := be.acquire(pool.Ticket{Exclude: []string{"s0"}})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(gr.Server().Name()).To(Equal("s1"))
@@ -67,7 +67,7 @@
 	})
 
 	It("refuses at once what no server could run", func() {
-		be := newBench(1)
+		be := newTestPool(1)
 		_, err := be.acquire(pool.Ticket{MinSequence: 2})
 		Expect(result.Is(err, result.NoEligibleVersion)).To(BeTrue())
 		be.report(0, "draining", "v1")
@@ -76,7 +76,7 @@
 	})
 
 	It("counts what it refused for want of a server as demand, for two periods", func() {
-		be := newBench(0)
+		be := newTestPool(0)
 		for range 3 {
 			_, err := be.acquire(pool.Ticket{})
 			Expect(result.Is(err, result.NoBackendServer)).To(BeTrue())
@@ -87,7 +87,7 @@
 	})
 
 	It("gives slots back, and to those that wait", func() {
-		be := newBench(1)
+		be := newTestPool(1)
 		first, err := be.acquire(pool.Ticket{})
 		Expect(err).NotTo(HaveOccurred())
 		_, err = be.acquire(pool.Ticket{})
@@ -107,7 +107,7 @@
 	})
 
 	It("takes silent servers out, and a new incarnation in place of the old one", func() {
-		be := newBench(1)
+		be := newTestPool(1)
 		be.now += 5 * time.Second
 		be.Sweep()
 		_, err := be.acquire(pool.Ticket{})
@@ -122,7 +122,7 @@
 	})
 
 	It("asks for the whole cache after a gap in its events", func() {
-		be := newBench(1)
+		be := newTestPool(1)
 		load := func(seqs ...uint64) bool {
 			be.seq++
 			lo := &wire.Load{Server: "s0", Incarnation: 1, Sequence: be.seq, State: "ready", Version: "v1"}
--- a/internal/pool/server.go
+++ b/internal/pool/server.go
@@ -17,16 +17,16 @@
 
 // Server is one incarnation of a backend server, seen through the session of its agent.
 type Server struct {
-	announce  *wire.Announce
-	session   *peer.Session
-	load      *wire.Load
-	heard     time.Duration
-	sequence  uint64 // of the last load report
-	cacheSeq  uint64
-	prefixes  map[uint64]struct{}
-	inFlight  map[*Grant]struct{}
-	suspects  int
-	firstSeen time.Duration
+	announce      *wire.Announce
+	session       *peer.Session
+	lastLoad      *wire.Load
+	heardAt       time.Duration
+	loadSequence  uint64 // of the last load report
+	cacheEventSeq uint64
+	prefixes      map[uint64]struct{}
+	inFlight      map[*Grant]struct{}
+	suspectCount  int
+	firstSeen     time.Duration
 }
 
 // Name returns the name of the backend server.
--- a/internal/pool/view.go
+++ b/internal/pool/view.go
@@ -11,8 +11,8 @@
 	po.mu.Lock()
 	defer po.mu.Unlock()
 
-	de := Demand{Waiting: po.queue.Len() + po.missed + po.missedIn}
-	po.missedIn, po.missed = po.missed, 0
+	de := Demand{Waiting: po.queue.Len() + po.refused + po.refusedBefore}
+	po.refusedBefore, po.refused = po.refused, 0
 	for i := range po.cands {
 		de.Running += po.cands[i].Mine
 	}
@@ -53,14 +53,14 @@
 		in := Info{
 			Server: se.Name(), Incarnation: se.Incarnation(), Class: an.GetClass(), Serves: an.GetModel() + an.GetService(),
 			FailureDomain: an.GetFailureDomain(), State: StateStarting, Slots: int(an.GetSlots()),
-			InFlight: po.cands[i].Mine, Order: an.GetOrder(), HeardAgoMs: (now - se.heard).Milliseconds(),
+			InFlight: po.cands[i].Mine, Order: an.GetOrder(), HeardAgoMs: (now - se.heardAt).Milliseconds(),
 			Failures: po.cands[i].Failures, ChecksFencing: an.GetChecksFencing(),
 		}
-		if se.load != nil {
-			in.State, in.Version, in.LoadedVersion = se.load.GetState(), se.load.GetVersion(), se.load.GetLoadedVersion()
-			in.Running = int(se.load.GetRunning())
+		if se.lastLoad != nil {
+			in.State, in.Version, in.LoadedVersion = se.lastLoad.GetState(), se.lastLoad.GetVersion(), se.lastLoad.GetLoadedVersion()
+			in.Running = int(se.lastLoad.GetRunning())
 		}
-		if now > se.heard+po.lapse() {
+		if now > se.heardAt+po.maxSilence() {
 			in.State = StateSuspect
 		}
 		out = append(out, in)
