--- a/internal/routing/book.go
+++ b/internal/routing/book.go
@@ -1,36 +1,37 @@
 package routing
 
-// Put replaces the configuration if its version is higher than the one in force.
+// Put is a request to replace the configuration. It takes effect only if its version
+// is higher than the one in force.
 type Put struct {
 	Config   Config `cbor:"1,keyasint"`
 	Document []byte `cbor:"2,keyasint"` // what the operator sent, byte for byte
 }
 
-// PutReply tells which version is in force after a Put.
+// PutReply reports the version in force after a Put, and whether the Put took effect.
 type PutReply struct {
 	Version  uint64 `cbor:"1,keyasint"`
 	Replaced bool   `cbor:"2,keyasint"`
 }
 
-// Book is the replicated configuration of a group.
+// Book holds the configuration in force, replicated in a group.
 type Book struct {
 	image Image
 }
 
-// Image is a Book in a snapshot.
+// Image is the content of a Book, as stored in a snapshot.
 type Image struct {
 	Config   Config `cbor:"1,keyasint"`
 	Document []byte `cbor:"2,keyasint"`
 }
 
-// NewBook returns the book of an image.
+// NewBook returns a book with the content of an image.
 func NewBook(im Image) *Book { return &Book{image: im} }
 
 // Image returns the book's content for a snapshot.
 func (bo *Book) Image() Image { return bo.image }
 
-// Put applies pu. A version that is not higher changes nothing and is no error:
-// the operator may send an older change again.
+// Put applies pu. A version that is not higher is ignored and is not an error, as
+// operators may send an older configuration again.
 func (bo *Book) Put(pu Put) PutReply {
 	if pu.Config.Version <= bo.image.Config.Version {
 		return PutReply{Version: bo.image.Config.Version}
@@ -40,7 +41,7 @@
 	return PutReply{Version: pu.Config.Version, Replaced: true}
 }
 
-// Config returns the configuration in force, its version 0 before the first one.
+// Config returns the configuration in force. Its version is 0 before the first Put.
 func (bo *Book) Config() *Config { return &bo.image.Config }
 
 // Document returns the configuration in force as the operator sent it.
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// Table answers which route a request takes and whose key it carries. It is never
-// changed, only replaced.
+// Table looks up the route of a request and the workspace of an API key. It is
+// immutable: a new configuration gets a new table.
 type Table struct {
 	cfg      *Config
-	byHost   map[string][]*Route // longest prefix first
+	byHost   map[string][]*Route // by host, the longest prefix first
 	byKey    map[string]*Workspace
 	services map[string]*Service
 }
@@ -39,13 +39,14 @@
 	return ta
 }
 
-// Version returns the version of the configuration, 0 before the first one.
+// Version returns the version of the configuration, 0 if none has been set.
 func (ta *Table) Version() uint64 { return ta.cfg.Version }
 
 // Config returns the configuration of the table.
 func (ta *Table) Config() *Config { return ta.cfg }
 
-// Match returns the route of host with the longest prefix of path, or nil.
+// Match returns the route of host with the longest prefix of path, or nil. The port of
+// host is ignored unless a route names it.
 func (ta *Table) Match(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && ta.byHost[host] == nil {
 		host = host[:i]
@@ -68,7 +69,8 @@
 // Service returns the declared service called name, or nil.
 func (ta *Table) Service(name string) *Service { return ta.services[name] }
 
-// PickTarget chooses a target by weight; draw is in [0, 1).
+// PickTarget returns the service of a target chosen by weight; draw is a random number
+// in [0, 1).
 func (ro *Route) PickTarget(draw float64) string {
 	sum := 0
 	for _, ta := range ro.Targets {
