--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,6 +1,7 @@
-// Package pool holds the backend servers that serve one model or plain service,
-// as this gateway sees them, and the requests that wait for one. It joins the
-// cores of admission and scheduling; the lock of a pool is held for microseconds.
+// Package pool holds the backend servers that serve one model or plain service, as
+// known to this gateway, and the requests that wait for one of them. The packages
+// admission and scheduler decide which request is sent next and where; the lock of a
+// pool is held for microseconds.
 package pool
 
 import (
@@ -19,14 +20,14 @@
 )
 
 const (
-	// maxSilentPeriods is the number of report periods that an agent may be silent for
-	// before its backend server gets no new work.
+	// maxSilentPeriods is the number of report periods without a report after which a
+	// backend server gets no new requests.
 	maxSilentPeriods  = 4
-	maxPrefixes       = 200_000
-	maxServerPrefixes = 20_000
+	maxPrefixes       = 200_000 // per pool
+	maxServerPrefixes = 20_000  // per backend server, from cache events
 )
 
-// Config builds a Pool.
+// Config configures a Pool.
 type Config struct {
 	Name          string
 	FailureDomain string
@@ -34,13 +35,14 @@
 	Scheduler     scheduler.Config
 	Now           func() time.Duration
 	Meter         *meter.Meter
-	// ReportPeriod returns how often agents report their load here.
+	// ReportPeriod returns the period of the agents' load reports.
 	ReportPeriod func() time.Duration
-	// SequenceOf returns the sequence of a weight version, 0 when it is not declared.
+	// SequenceOf returns the sequence of a weight version, 0 if it is not declared.
 	SequenceOf func(version string) uint64
 }
 
-// Pool is safe for concurrent use.
+// Pool queues requests and assigns them to backend servers. It is safe for concurrent
+// use.
 type Pool struct {
 	cfg Config
 
@@ -50,13 +52,13 @@
 	servers       []*Server
 	cands         []scheduler.Candidate // same order as servers
 	byName        map[string]int
-	prefixes      map[uint64]string // prefix to the server that holds it, a hint
+	prefixes      map[uint64]string // name of the server that has a prefix in its cache, a hint
 	gateways      int
-	refused       int // requests refused for want of a backend server since the last Demand
-	refusedBefore int // and in the period before it
+	refused       int // requests refused for lack of a ready backend server since the last Demand
+	refusedBefore int // the same count for the period before
 }
 
-// New returns an empty pool.
+// New returns a pool without backend servers.
 func New(cfg Config) *Pool {
 	return &Pool{
 		cfg: cfg, queue: admission.NewQueue(cfg.Queue), sched: scheduler.New(cfg.Scheduler, rand.IntN),
@@ -64,19 +66,19 @@
 	}
 }
 
-// Ticket asks for a backend server.
+// Ticket describes a request that needs a backend server.
 type Ticket struct {
 	Workspace   string
 	Weight      float64
 	Class       int
-	Cost        float64 // estimated tokens, 1 for plain services
-	Deadline    time.Duration
+	Cost        float64       // estimated tokens, 1 for plain services
+	Deadline    time.Duration // 0 for none
 	MaxQueued   int
-	MinSequence uint64
-	NewestFirst bool
-	Prefix      uint64 // 0 for none
+	MinSequence uint64 // of the weight version
+	NewestFirst bool   // newer weights weigh more than load
+	Prefix      uint64 // of the prompt, 0 for none
 	IsSuspect   bool
-	Exclude     []string // servers that failed the request
+	Exclude     []string // backend servers that failed the request
 	Fingerprint string
 }
 
@@ -99,10 +101,11 @@
 // waiter is the payload of a queued item.
 type waiter struct {
 	ticket  Ticket
-	granted chan *Grant // nil grant: expired
+	granted chan *Grant // receives nil if the deadline has passed
 }
 
-// Acquire waits until the request may be sent.
+// Acquire waits until the request is granted a slot of a backend server. It returns an
+// error at once if no ready backend server can run it or the queue refuses it.
 func (po *Pool) Acquire(ctx context.Context, ti Ticket) (*Grant, error) {
 	w := &waiter{ticket: ti, granted: make(chan *Grant, 1)}
 	it := &admission.Item{
@@ -138,18 +141,18 @@
 		}
 	}
 
-	return nil, result.New(result.DeadlinePassed, "pool %s: the request was given up while it waited", po.cfg.Name)
+	return nil, result.New(result.DeadlinePassed, "pool %s: the request was cancelled or timed out while it waited for a backend server", po.cfg.Name)
 }
 
 func (po *Pool) grantOrError(gr *Grant) (*Grant, error) {
 	if gr == nil {
-		return nil, result.New(result.DeadlinePassed, "pool %s: the deadline passed while the request waited", po.cfg.Name)
+		return nil, result.New(result.DeadlinePassed, "pool %s: the deadline passed while the request waited for a backend server", po.cfg.Name)
 	}
 
 	return gr, nil
 }
 
-// checkEligible refuses at once what no backend server could run.
+// checkEligible returns an error if no ready backend server can run the request.
 func (po *Pool) checkEligible(ti *Ticket) error {
 	ready, eligible := 0, 0
 	for i := range po.cands {
@@ -167,13 +170,13 @@
 
 		return result.New(result.NoBackendServer, "pool %s: none of %d backend servers is ready", po.cfg.Name, len(po.cands)).After(time.Second)
 	case eligible == 0:
-		return result.New(result.NoEligibleVersion, "pool %s: no backend server runs version %d or later", po.cfg.Name, ti.MinSequence).After(time.Second)
+		return result.New(result.NoEligibleVersion, "pool %s: no ready backend server runs the weight version with sequence %d or a later one", po.cfg.Name, ti.MinSequence).After(time.Second)
 	}
 
 	return nil
 }
 
-// dispatch grants waiting requests as long as one fits.
+// dispatch grants waiting requests until none of them fits a backend server.
 func (po *Pool) dispatch() {
 	now := po.cfg.Now()
 	for {
@@ -207,8 +210,9 @@
 	return po.sched.Pick(now, po.cands, &rq)
 }
 
-// excluded returns the candidates that a request should avoid, none when no other
-// one could run it: a request does not wait for servers that may never come.
+// excluded returns the indices of the candidates that a request should avoid. It
+// returns none if only those could run the request, which would otherwise wait for
+// backend servers that may never come.
 func (po *Pool) excluded(now time.Duration, ti *Ticket) []int {
 	if len(ti.Exclude) == 0 {
 		return nil
@@ -248,17 +252,17 @@
 	w.granted <- gr
 }
 
-// Outcome tells how a granted request ended.
+// Outcome is how a granted request ended.
 type Outcome uint8
 
 // Outcomes of a granted request.
 const (
 	Unused    Outcome = iota // nothing was sent
-	Succeeded                // the backend server answered, whatever its answer
+	Succeeded                // the backend server responded, whatever its response
 	Failed                   // the backend server failed the request
 )
 
-// Release gives the slot back.
+// Release frees the slot; further calls have no effect.
 func (gr *Grant) Release(oc Outcome) {
 	gr.once.Do(func() { gr.pool.release(gr, oc) })
 }
@@ -292,7 +296,7 @@
 	po.dispatch()
 }
 
-// Announce adds a backend server or its new incarnation.
+// Announce adds a backend server. A new incarnation replaces the previous one.
 func (po *Pool) Announce(an *wire.Announce, session *peer.Session) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -315,8 +319,8 @@
 	po.cands = append(po.cands, scheduler.Candidate{Slots: int(an.GetSlots()), FailureDomain: an.GetFailureDomain(), ReadySince: now})
 }
 
-// Load takes a load report. It returns true when cache events are missing and
-// the agent should send all of them anew.
+// Load applies a load report. It returns true if cache events are missing and the
+// agent should resend the complete cache state. Outdated reports are ignored.
 func (po *Pool) Load(lo *wire.Load, gateways int) bool {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -333,7 +337,7 @@
 	if isReady && !ca.IsReady {
 		ca.ReadySince = now
 		if len(po.servers) == 1 || now-se.firstSeen < time.Second {
-			ca.ReadySince = now - time.Hour // no slow start for those that were there before this gateway
+			ca.ReadySince = now - time.Hour // no slow start for the only server, or for one that was ready before this gateway knew it
 		}
 	}
 	ca.IsReady = isReady
@@ -346,6 +350,8 @@
 	return resync
 }
 
+// applyCacheEvents updates the prefixes of a server. It returns true, and drops all
+// prefixes of the server, if the sequence of the events has a gap.
 func (po *Pool) applyCacheEvents(se *Server, events []*wire.CacheEvent) bool {
 	for _, ev := range events {
 		if ev.GetSequence() <= se.cacheEventSeq {
@@ -383,7 +389,8 @@
 	se.prefixes = map[uint64]struct{}{}
 }
 
-// Gone removes a backend server whose agent's session ended.
+// Gone removes a backend server whose agent's session has ended, unless it has a new
+// session or incarnation.
 func (po *Pool) Gone(name string, incarnation uint64, session *peer.Session) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -405,7 +412,8 @@
 	po.servers, po.cands = po.servers[:last], po.cands[:last]
 }
 
-// Sweep takes silent backend servers out and expires waiting requests.
+// Sweep marks backend servers without recent reports as not ready and expires waiting
+// requests. It is called periodically.
 func (po *Pool) Sweep() {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -422,9 +430,11 @@
 	po.dispatch()
 }
 
+// maxSilence returns the time without a report after which a backend server gets no
+// new requests.
 func (po *Pool) maxSilence() time.Duration { return maxSilentPeriods * po.cfg.ReportPeriod() }
 
-// Len returns the number of backend servers in view.
+// Len returns the number of known backend servers.
 func (po *Pool) Len() int {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -432,7 +442,8 @@
 	return len(po.servers)
 }
 
-// Drain stops new work for a backend server at once, before its agent reports it.
+// Drain stops new requests to a backend server at once, before its agent reports that
+// it drains.
 func (po *Pool) Drain(name string) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -442,8 +453,8 @@
 	}
 }
 
-// InFlight returns the fingerprints of the requests that this gateway runs on a
-// backend server: the suspects alone if there are any.
+// InFlight returns the fingerprints of this gateway's requests in flight on a backend
+// server. If some of them are suspects, it returns only those.
 func (po *Pool) InFlight(se *Server) []string {
 	po.mu.Lock()
 	defer po.mu.Unlock()
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -21,7 +21,7 @@
 	suite.Run(t, "pool")
 }
 
-// testPool is a pool whose clock the test moves.
+// testPool is a pool with a clock that the test moves.
 type testPool struct {
 	*pool.Pool
 	now time.Duration
@@ -57,7 +57,7 @@
 }
 
 var _ = Describe("a pool", func() {
-	It("does not wait for other servers when all that could run a request are to be avoided", func() {
+	It("uses an excluded server when no other one could run the request", func() {
 		be := newTestPool(2)
 		gr, err := be.acquire(pool.Ticket{Exclude: []string{"s0"}})
 		Expect(err).NotTo(HaveOccurred())
@@ -66,7 +66,7 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("refuses at once what no server could run", func() {
+	It("refuses a request at once when no server could run it", func() {
 		be := newTestPool(1)
 		_, err := be.acquire(pool.Ticket{MinSequence: 2})
 		Expect(result.Is(err, result.NoEligibleVersion)).To(BeTrue())
@@ -75,7 +75,7 @@
 		Expect(result.Is(err, result.NoBackendServer)).To(BeTrue())
 	})
 
-	It("counts what it refused for want of a server as demand, for two periods", func() {
+	It("counts requests refused for lack of a server as demand, for two periods", func() {
 		be := newTestPool(0)
 		for range 3 {
 			_, err := be.acquire(pool.Ticket{})
@@ -86,7 +86,7 @@
 		Expect(be.Demand().Waiting).To(BeZero())
 	})
 
-	It("gives slots back, and to those that wait", func() {
+	It("gives a released slot to a waiting request, once", func() {
 		be := newTestPool(1)
 		first, err := be.acquire(pool.Ticket{})
 		Expect(err).NotTo(HaveOccurred())
@@ -101,12 +101,12 @@
 		}()
 		Eventually(func() int { return be.Demand().Waiting }).Should(Equal(1))
 		first.Release(pool.Succeeded)
-		first.Release(pool.Succeeded) // counts once
+		first.Release(pool.Succeeded) // has no effect
 		Eventually(done).Should(Receive(BeNil()))
 		Expect(be.Demand().Running).To(Equal(2))
 	})
 
-	It("takes silent servers out, and a new incarnation in place of the old one", func() {
+	It("sends nothing to a silent server, and replaces it by its new incarnation", func() {
 		be := newTestPool(1)
 		be.now += 5 * time.Second
 		be.Sweep()
@@ -121,7 +121,7 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("asks for the whole cache after a gap in its events", func() {
+	It("requests the complete cache state after a gap in the cache events", func() {
 		be := newTestPool(1)
 		load := func(seqs ...uint64) bool {
 			be.seq++
@@ -133,8 +133,8 @@
 			return be.Load(lo, 1)
 		}
 		Expect(load(1, 2, 3)).To(BeFalse())
-		Expect(load(3, 4)).To(BeFalse(), "sent again")
+		Expect(load(3, 4)).To(BeFalse(), "event 3 is sent again")
 		Expect(load(6)).To(BeTrue())
-		Expect(load(1, 2)).To(BeFalse(), "everything anew")
+		Expect(load(1, 2)).To(BeFalse(), "the complete state is sent again")
 	})
 })
--- a/internal/pool/server.go
+++ b/internal/pool/server.go
@@ -15,17 +15,17 @@
 	StateSuspect  = "suspect"
 )
 
-// Server is one incarnation of a backend server, seen through the session of its agent.
+// Server is one incarnation of a backend server, as its agent reports it.
 type Server struct {
 	announce      *wire.Announce
 	session       *peer.Session
-	lastLoad      *wire.Load
-	heardAt       time.Duration
-	loadSequence  uint64 // of the last load report
-	cacheEventSeq uint64
-	prefixes      map[uint64]struct{}
+	lastLoad      *wire.Load          // nil before the first load report
+	heardAt       time.Duration       // time of the last announcement or load report
+	loadSequence  uint64              // of the last load report
+	cacheEventSeq uint64              // of the last cache event, 0 before the first one and after a gap
+	prefixes      map[uint64]struct{} // in its cache, as far as known
 	inFlight      map[*Grant]struct{}
-	suspectCount  int
+	suspectCount  int // suspects in inFlight
 	firstSeen     time.Duration
 }
 
@@ -35,13 +35,13 @@
 // Incarnation returns the number that changes with each start of its agent.
 func (se *Server) Incarnation() uint64 { return se.announce.GetIncarnation() }
 
-// Announce returns what its agent said of it.
+// Announce returns the announcement of its agent.
 func (se *Server) Announce() *wire.Announce { return se.announce }
 
 // Session returns the session to its agent.
 func (se *Server) Session() *peer.Session { return se.session }
 
-// Info describes a backend server for operators and for the fleet.
+// Info is the state of a backend server, for operators and for sizing the fleet.
 type Info struct {
 	Server        string  `json:"server"`
 	Incarnation   uint64  `json:"incarnation"`
--- a/internal/pool/view.go
+++ b/internal/pool/view.go
@@ -1,12 +1,13 @@
 package pool
 
-// Demand is what the fleet sizes a pool by.
+// Demand is this gateway's load on a pool, from which the fleet computes the pool's size.
 type Demand struct {
-	Waiting int // requests, also those that were refused for want of a backend server and come back
+	Waiting int // requests, including those recently refused for lack of a backend server, as they are retried
 	Running int // in flight from this gateway
 }
 
-// Demand returns what runs and waits. Each call ends a period in which refusals are counted.
+// Demand returns the requests that run and wait. Each call ends a period; refusals
+// count for the period in which they happen and the next one.
 func (po *Pool) Demand() Demand {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -28,7 +29,7 @@
 	return po.gateways
 }
 
-// Find returns a backend server by name.
+// Find returns the backend server with the name and whether it is known.
 func (po *Pool) Find(name string) (*Server, bool) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -41,7 +42,7 @@
 	return po.servers[i], true
 }
 
-// Infos describes the backend servers.
+// Infos returns the state of all backend servers.
 func (po *Pool) Infos() []Info {
 	po.mu.Lock()
 	defer po.mu.Unlock()
