--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -1,7 +1,8 @@
 // Package admission decides which waiting request is served next and which is
-// refused: rates and queues of each workspace, classes one before the other with
-// a bounded wait for the lowest, and weighted fair queueing by estimated cost
-// inside a class. It is a core: time is an argument.
+// refused. It enforces the rate and queue limits of each workspace, serves classes
+// in order of their rank with a bounded wait for the lower ones, and shares a class
+// between workspaces by weighted fair queueing on the estimated cost. It reads no
+// clock: time is an argument.
 package admission
 
 import (
@@ -15,35 +16,37 @@
 type Item struct {
 	Workspace string
 	Weight    float64
-	Class     int // rank, 0 is served first
-	Cost      float64
-	Arrived   time.Duration
-	Deadline  time.Duration
-	MaxQueued int
-	Payload   any
+	Class     int           // rank, 0 is served first
+	Cost      float64       // estimated
+	Arrived   time.Duration // set by Push
+	Deadline  time.Duration // 0 for none
+	MaxQueued int           // limit of the workspace's queue in this class
+	Payload   any           // not read by the queue
 }
 
 // flow is the queue of one workspace in one class.
 type flow struct {
-	workspace string
-	items     []*Item
-	cost      float64 // waiting
-	pass      float64 // virtual time at which its next item is due
+	workspace   string
+	items       []*Item
+	waitingCost float64 // estimated cost of items
+	startTag    float64 // virtual time at which its next item is due
 }
 
+// class holds the waiting requests of one class and its virtual time, which advances
+// by cost divided by weight as requests are served.
 type class struct {
-	flows  []*flow // those with items
-	byName map[string]*flow
-	pass   float64 // virtual time of the last item served
-	cost   float64 // waiting
-	count  int
+	flows       []*flow // those with waiting items
+	byName      map[string]*flow
+	virtualTime float64 // start tag of the item served last
+	waitingCost float64 // estimated cost of all waiting items
+	count       int
 }
 
-// Config are the limits of a Queue.
+// Config holds the limits of a Queue.
 type Config struct {
-	MaxItems int           // waiting in all
-	MaxWait  time.Duration // after it an item of a low class goes before higher ones
-	IsFair   bool          // false: first come, first served (a baseline)
+	MaxItems int           // waiting in all classes together
+	MaxWait  time.Duration // after which an item of a lower class is served before higher classes
+	IsFair   bool          // false: first come, first served, a baseline for comparison
 }
 
 // Defaults fills the fields left zero.
@@ -61,7 +64,7 @@
 	cfg     Config
 	classes [declaration.ClassCount]class
 	count   int
-	rate    rate
+	rate    servedRate
 }
 
 // NewQueue returns an empty queue.
@@ -78,17 +81,18 @@
 // Len returns the number of waiting requests.
 func (q *Queue) Len() int { return q.count }
 
-// Cost returns the estimated cost that waits.
+// Cost returns the estimated cost of all waiting requests.
 func (q *Queue) Cost() float64 {
 	sum := 0.0
 	for i := range q.classes {
-		sum += q.classes[i].cost
+		sum += q.classes[i].waitingCost
 	}
 
 	return sum
 }
 
-// Push adds a request or refuses it at once.
+// Push adds a request, or refuses it if the queue is full or its deadline would pass
+// before it is served.
 func (q *Queue) Push(now time.Duration, it *Item) error {
 	cl := &q.classes[it.Class]
 	name := it.Workspace
@@ -104,57 +108,58 @@
 	wait := q.expectedWait(it)
 	switch {
 	case q.count >= q.cfg.MaxItems || (q.cfg.IsFair && len(fl.items) >= it.MaxQueued):
-		return result.New(result.QueueFull, "admission: %d requests of %s wait", len(fl.items), it.Workspace).After(max(wait, time.Second))
+		return result.New(result.QueueFull, "admission: queue is full: %d requests of workspace %s wait", len(fl.items), it.Workspace).After(max(wait, time.Second))
 	case it.Deadline > 0 && now+wait > it.Deadline:
-		return result.New(result.DeadlineTooShort, "admission: the wait would be %v", wait.Round(time.Millisecond)).After(wait)
+		return result.New(result.DeadlineTooShort, "admission: expected wait of %v exceeds the deadline", wait.Round(time.Millisecond)).After(wait)
 	}
 
 	if len(fl.items) == 0 {
-		fl.pass = max(fl.pass, cl.pass)
+		fl.startTag = max(fl.startTag, cl.virtualTime)
 		cl.flows = append(cl.flows, fl)
 	}
 	it.Arrived = now
 	fl.items = append(fl.items, it)
-	fl.cost += it.Cost
-	cl.cost += it.Cost
+	fl.waitingCost += it.Cost
+	cl.waitingCost += it.Cost
 	cl.count++
 	q.count++
 
 	return nil
 }
 
-// expectedWait estimates how long the item would wait from the cost before it and
-// the rate at which cost was served lately. The item's own workspace waits behind
-// its own items only in proportion to its share.
+// expectedWait estimates how long the item would wait: the cost served before it,
+// divided by the recent rate of served cost. In the item's own class, that is the
+// cost of its workspace's waiting items, scaled up by the workspace's share of the
+// weights, as the other workspaces are served in between.
 func (q *Queue) expectedWait(it *Item) time.Duration {
-	served := q.rate.perSecond()
-	if served <= 0 {
+	perSecond := q.rate.perSecond()
+	if perSecond <= 0 {
 		return 0
 	}
 
 	before := 0.0
 	for i := 0; i < it.Class; i++ {
-		before += q.classes[i].cost
+		before += q.classes[i].waitingCost
 	}
 	cl := &q.classes[it.Class]
 	if !q.cfg.IsFair {
-		return time.Duration((before + cl.cost) / served * float64(time.Second))
+		return time.Duration((before + cl.waitingCost) / perSecond * float64(time.Second))
 	}
 	own, weights := 0.0, it.Weight
 	for _, fl := range cl.flows {
 		if fl.workspace == it.Workspace {
-			own = fl.cost
+			own = fl.waitingCost
 		} else {
 			weights += fl.items[0].Weight
 		}
 	}
-	mine := min(own*weights/it.Weight, cl.cost+own)
+	inClass := min(own*weights/it.Weight, cl.waitingCost+own)
 
-	return time.Duration((before + mine) / served * float64(time.Second))
+	return time.Duration((before + inClass) / perSecond * float64(time.Second))
 }
 
-// Pop removes and returns the next request that fits, or nil. Requests whose
-// deadline has passed are handed to expired first.
+// Pop removes and returns the next request for which fits returns true, or nil.
+// Requests whose deadline has passed are removed and passed to expired instead.
 func (q *Queue) Pop(now time.Duration, fits func(it *Item) bool, expired func(it *Item)) *Item {
 	if it := q.popOverdue(now, fits, expired); it != nil {
 		return it
@@ -168,7 +173,8 @@
 	return nil
 }
 
-// popOverdue serves an item of a lower class that has waited too long.
+// popOverdue pops from the first lower class in which an item has waited longer than
+// Config.MaxWait.
 func (q *Queue) popOverdue(now time.Duration, fits func(it *Item) bool, expired func(it *Item)) *Item {
 	for i := 1; i < len(q.classes); i++ {
 		cl := &q.classes[i]
@@ -182,6 +188,9 @@
 	return nil
 }
 
+// popClass pops from the flow with the lowest start tag whose first item fits. Flows
+// that don't fit are skipped only if they are among the first 64, the size of the bit
+// set.
 func (q *Queue) popClass(now time.Duration, cl *class, fits func(it *Item) bool, expired func(it *Item)) *Item {
 	q.dropExpired(now, cl, expired)
 	var tried uint64 // bit i: flows[i] did not fit
@@ -191,7 +200,7 @@
 			if i < 64 && tried&(1<<i) != 0 {
 				continue
 			}
-			if best < 0 || fl.pass < cl.flows[best].pass {
+			if best < 0 || fl.startTag < cl.flows[best].startTag {
 				best = i
 			}
 		}
@@ -199,8 +208,8 @@
 			return nil
 		}
 		if it := cl.flows[best].items[0]; fits(it) {
-			cl.pass = cl.flows[best].pass
-			cl.flows[best].pass += it.Cost / it.Weight
+			cl.virtualTime = cl.flows[best].startTag
+			cl.flows[best].startTag += it.Cost / it.Weight
 			q.removeHead(cl, best)
 
 			return it
@@ -214,6 +223,8 @@
 	return nil
 }
 
+// dropExpired removes expired items from the heads of the flows. Expired items behind
+// an unexpired one stay until they reach the head.
 func (q *Queue) dropExpired(now time.Duration, cl *class, expired func(it *Item)) {
 	for i := len(cl.flows) - 1; i >= 0; i-- {
 		fl := cl.flows[i]
@@ -231,22 +242,23 @@
 
 func (q *Queue) removeHead(cl *class, i int) {
 	fl := cl.flows[i]
-	cl.cost -= fl.items[0].Cost
-	fl.cost -= fl.items[0].Cost
+	cl.waitingCost -= fl.items[0].Cost
+	fl.waitingCost -= fl.items[0].Cost
 	cl.count--
 	q.count--
 	fl.items[0] = nil
 	fl.items = fl.items[1:]
 	if len(fl.items) == 0 {
-		fl.items, fl.cost = nil, 0
+		fl.items, fl.waitingCost = nil, 0
 		cl.flows = append(cl.flows[:i], cl.flows[i+1:]...)
 		if cl.count == 0 {
-			cl.cost = 0
+			cl.waitingCost = 0
 		}
 	}
 }
 
-// Remove takes a request out that its caller has given up.
+// Remove removes a request that its caller has cancelled. It reports whether the
+// request was still waiting.
 func (q *Queue) Remove(it *Item) bool {
 	cl := &q.classes[it.Class]
 	for i, fl := range cl.flows {
@@ -260,8 +272,8 @@
 				return true
 			}
 			fl.items = append(fl.items[:j], fl.items[j+1:]...)
-			fl.cost -= it.Cost
-			cl.cost -= it.Cost
+			fl.waitingCost -= it.Cost
+			cl.waitingCost -= it.Cost
 			cl.count--
 			q.count--
 
@@ -272,40 +284,41 @@
 	return false
 }
 
-// Served tells the queue that cost was served, from which it learns its rate.
+// Served records served cost, from which the queue estimates its service rate.
 func (q *Queue) Served(now time.Duration, cost float64) { q.rate.add(now, cost, q.count > 0) }
 
-// rate is a moving average of the cost served a second while requests waited.
-type rate struct {
-	since time.Duration
-	sum   float64
-	value float64
+// servedRate is a moving average of the cost served per second while requests waited.
+type servedRate struct {
+	periodStart time.Duration
+	periodCost  float64
+	average     float64
 }
 
+// ratePeriod is the shortest period over which one sample of the rate is taken.
 const ratePeriod = 500 * time.Millisecond
 
-func (ra *rate) add(now time.Duration, cost float64, isBusy bool) {
+func (ra *servedRate) add(now time.Duration, cost float64, isBusy bool) {
 	if !isBusy {
-		ra.since, ra.sum = now, 0
+		ra.periodStart, ra.periodCost = now, 0
 
 		return
 	}
-	if ra.since == 0 {
-		ra.since = now
+	if ra.periodStart == 0 {
+		ra.periodStart = now
 	}
 
-	ra.sum += cost
-	d := now - ra.since
+	ra.periodCost += cost
+	d := now - ra.periodStart
 	if d < ratePeriod {
 		return
 	}
-	v := ra.sum / d.Seconds()
-	if ra.value == 0 {
-		ra.value = v
+	v := ra.periodCost / d.Seconds()
+	if ra.average == 0 {
+		ra.average = v
 	} else {
-		ra.value = 0.7*ra.value + 0.3*v
+		ra.average = 0.7*ra.average + 0.3*v
 	}
-	ra.since, ra.sum = now, 0
+	ra.periodStart, ra.periodCost = now, 0
 }
 
-func (ra *rate) perSecond() float64 { return ra.value }
+func (ra *servedRate) perSecond() float64 { return ra.average }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,6 +1,7 @@
-// Package pool holds the backend servers that serve one model or plain service,
-// as this gateway sees them, and the requests that wait for one. It joins the
-// cores of admission and scheduling; the lock of a pool is held for microseconds.
+// Package pool holds the backend servers that serve one model or plain service, as
+// known to this gateway, and the requests that wait for one of them. The packages
+// admission and scheduler decide which request is sent next and where; the lock of a
+// pool is held for microseconds.
 package pool
 
 import (
@@ -19,14 +20,14 @@
 )
 
 const (
-	// lapsePeriods is the number of report periods that an agent may be silent for
-	// before its backend server gets no new work.
-	lapsePeriods      = 4
-	maxPrefixes       = 200_000
-	maxServerPrefixes = 20_000
+	// maxSilentPeriods is the number of report periods without a report after which a
+	// backend server gets no new requests.
+	maxSilentPeriods  = 4
+	maxPrefixes       = 200_000 // per pool
+	maxServerPrefixes = 20_000  // per backend server, from cache events
 )
 
-// Config builds a Pool.
+// Config configures a Pool.
 type Config struct {
 	Name          string
 	FailureDomain string
@@ -34,29 +35,30 @@
 	Scheduler     scheduler.Config
 	Now           func() time.Duration
 	Meter         *meter.Meter
-	// ReportPeriod returns how often agents report their load here.
+	// ReportPeriod returns the period of the agents' load reports.
 	ReportPeriod func() time.Duration
-	// SequenceOf returns the sequence of a weight version, 0 when it is not declared.
+	// SequenceOf returns the sequence of a weight version, 0 if it is not declared.
 	SequenceOf func(version string) uint64
 }
 
-// Pool is safe for concurrent use.
+// Pool queues requests and assigns them to backend servers. It is safe for concurrent
+// use.
 type Pool struct {
 	cfg Config
 
-	mu       sync.Mutex
-	queue    *admission.Queue
-	sched    *scheduler.Scheduler
-	servers  []*Server
-	cands    []scheduler.Candidate // same order as servers
-	byName   map[string]int
-	prefixes map[uint64]string // prefix to the server that holds it, a hint
-	gateways int
-	missed   int // requests refused for want of a backend server since the last Demand
-	missedIn int // and in the period before it
+	mu            sync.Mutex
+	queue         *admission.Queue
+	sched         *scheduler.Scheduler
+	servers       []*Server
+	cands         []scheduler.Candidate // same order as servers
+	byName        map[string]int
+	prefixes      map[uint64]string // name of the server that has a prefix in its cache, a hint
+	gateways      int
+	refused       int // requests refused for lack of a ready backend server since the last Demand
+	refusedBefore int // the same count for the period before
 }
 
-// New returns an empty pool.
+// New returns a pool without backend servers.
 func New(cfg Config) *Pool {
 	return &Pool{
 		cfg: cfg, queue: admission.NewQueue(cfg.Queue), sched: scheduler.New(cfg.Scheduler, rand.IntN),
@@ -64,53 +66,54 @@
 	}
 }
 
-// Ticket asks for a backend server.
+// Ticket describes a request that needs a backend server.
 type Ticket struct {
 	Workspace   string
 	Weight      float64
 	Class       int
-	Cost        float64 // estimated tokens, 1 for plain services
-	Deadline    time.Duration
+	Cost        float64       // estimated tokens, 1 for plain services
+	Deadline    time.Duration // 0 for none
 	MaxQueued   int
-	MinSequence uint64
-	NewestFirst bool
-	Prefix      uint64 // 0 for none
+	MinSequence uint64 // of the weight version
+	NewestFirst bool   // newer weights weigh more than load
+	Prefix      uint64 // of the prompt, 0 for none
 	IsSuspect   bool
-	Exclude     []string // servers that failed the request
+	Exclude     []string // backend servers that failed the request
 	Fingerprint string
 }
 
 // Grant is the right to send one request to a backend server.
 type Grant struct {
-	pool        *Pool
-	server      *Server
-	ticket      Ticket
-	once        sync.Once
-	grantedAt   time.Duration
-	waitingTook time.Duration
+	pool      *Pool
+	server    *Server
+	ticket    Ticket
+	once      sync.Once
+	grantedAt time.Duration
+	waited    time.Duration
 }
 
 // Server returns the backend server.
 func (gr *Grant) Server() *Server { return gr.server }
 
 // Waited returns how long the request waited in the queue.
-func (gr *Grant) Waited() time.Duration { return gr.waitingTook }
+func (gr *Grant) Waited() time.Duration { return gr.waited }
 
-// waiting is the payload of a queued item.
-type waiting struct {
-	ticket Ticket
-	answer chan *Grant // nil grant: expired
+// waiter is the payload of a queued item.
+type waiter struct {
+	ticket  Ticket
+	granted chan *Grant // receives nil if the deadline has passed
 }
 
-// Acquire waits until the request may be sent.
+// Acquire waits until the request is granted a slot of a backend server. It returns an
+// error at once if no ready backend server can run it or the queue refuses it.
 func (po *Pool) Acquire(ctx context.Context, ti Ticket) (*Grant, error) {
-	w := &waiting{ticket: ti, answer: make(chan *Grant, 1)}
+	w := &waiter{ticket: ti, granted: make(chan *Grant, 1)}
 	it := &admission.Item{
 		Workspace: ti.Workspace, Weight: ti.Weight, Class: ti.Class, Cost: ti.Cost,
 		Deadline: ti.Deadline, MaxQueued: ti.MaxQueued, Payload: w,
 	}
 	po.mu.Lock()
-	if err := po.possible(&ti); err != nil {
+	if err := po.checkEligible(&ti); err != nil {
 		po.mu.Unlock()
 
 		return nil, err
@@ -120,37 +123,37 @@
 
 		return nil, err
 	}
-	po.pump()
+	po.dispatch()
 	po.mu.Unlock()
 
 	select {
-	case gr := <-w.answer:
-		return po.granted(gr)
+	case gr := <-w.granted:
+		return po.grantOrError(gr)
 	case <-ctx.Done():
 	}
 
 	po.mu.Lock()
-	isWaiting := po.queue.Remove(it)
+	wasWaiting := po.queue.Remove(it)
 	po.mu.Unlock()
-	if !isWaiting {
-		if gr := <-w.answer; gr != nil {
+	if !wasWaiting {
+		if gr := <-w.granted; gr != nil {
 			gr.Release(Unused)
 		}
 	}
 
-	return nil, result.New(result.DeadlinePassed, "pool %s: the request was given up while it waited", po.cfg.Name)
+	return nil, result.New(result.DeadlinePassed, "pool %s: the request was cancelled or timed out while it waited for a backend server", po.cfg.Name)
 }
 
-func (po *Pool) granted(gr *Grant) (*Grant, error) {
+func (po *Pool) grantOrError(gr *Grant) (*Grant, error) {
 	if gr == nil {
-		return nil, result.New(result.DeadlinePassed, "pool %s: the deadline passed while the request waited", po.cfg.Name)
+		return nil, result.New(result.DeadlinePassed, "pool %s: the deadline passed while the request waited for a backend server", po.cfg.Name)
 	}
 
 	return gr, nil
 }
 
-// possible refuses at once what no backend server could run.
-func (po *Pool) possible(ti *Ticket) error {
+// checkEligible returns an error if no ready backend server can run the request.
+func (po *Pool) checkEligible(ti *Ticket) error {
 	ready, eligible := 0, 0
 	for i := range po.cands {
 		if !po.cands[i].IsReady {
@@ -163,27 +166,27 @@
 	}
 	switch {
 	case ready == 0:
-		po.missed++
+		po.refused++
 
 		return result.New(result.NoBackendServer, "pool %s: none of %d backend servers is ready", po.cfg.Name, len(po.cands)).After(time.Second)
 	case eligible == 0:
-		return result.New(result.NoEligibleVersion, "pool %s: no backend server runs version %d or later", po.cfg.Name, ti.MinSequence).After(time.Second)
+		return result.New(result.NoEligibleVersion, "pool %s: no ready backend server runs the weight version with sequence %d or a later one", po.cfg.Name, ti.MinSequence).After(time.Second)
 	}
 
 	return nil
 }
 
-// pump grants waiting requests as long as one fits.
-func (po *Pool) pump() {
+// dispatch grants waiting requests until none of them fits a backend server.
+func (po *Pool) dispatch() {
 	now := po.cfg.Now()
 	for {
 		chosen := scheduler.NoCandidate
 		it := po.queue.Pop(now, func(it *admission.Item) bool {
-			chosen = po.pick(now, &it.Payload.(*waiting).ticket)
+			chosen = po.pick(now, &it.Payload.(*waiter).ticket)
 
 			return chosen != scheduler.NoCandidate
 		}, func(it *admission.Item) {
-			it.Payload.(*waiting).answer <- nil
+			it.Payload.(*waiter).granted <- nil
 		})
 		if it == nil {
 			return
@@ -207,8 +210,9 @@
 	return po.sched.Pick(now, po.cands, &rq)
 }
 
-// excluded returns the candidates that a request should avoid, none when no other
-// one could run it: a request does not wait for servers that may never come.
+// excluded returns the indices of the candidates that a request should avoid. It
+// returns none if only those could run the request, which would otherwise wait for
+// backend servers that may never come.
 func (po *Pool) excluded(now time.Duration, ti *Ticket) []int {
 	if len(ti.Exclude) == 0 {
 		return nil
@@ -231,34 +235,34 @@
 }
 
 func (po *Pool) grant(now time.Duration, it *admission.Item, i int) {
-	w := it.Payload.(*waiting)
+	w := it.Payload.(*waiter)
 	se := po.servers[i]
-	gr := &Grant{pool: po, server: se, ticket: w.ticket, grantedAt: now, waitingTook: now - it.Arrived}
+	gr := &Grant{pool: po, server: se, ticket: w.ticket, grantedAt: now, waited: now - it.Arrived}
 	se.inFlight[gr] = struct{}{}
 	po.cands[i].Mine++
 	po.cands[i].Tokens += int(it.Cost)
 	if w.ticket.IsSuspect {
-		se.suspects++
+		se.suspectCount++
 		po.cands[i].IsExclusive = true
 	}
 	if w.ticket.Prefix != 0 && len(po.prefixes) < maxPrefixes {
 		po.prefixes[w.ticket.Prefix] = se.Name()
 		se.prefixes[w.ticket.Prefix] = struct{}{}
 	}
-	w.answer <- gr
+	w.granted <- gr
 }
 
-// Outcome tells how a granted request ended.
+// Outcome is how a granted request ended.
 type Outcome uint8
 
 // Outcomes of a granted request.
 const (
 	Unused    Outcome = iota // nothing was sent
-	Succeeded                // the backend server answered, whatever its answer
+	Succeeded                // the backend server responded, whatever its response
 	Failed                   // the backend server failed the request
 )
 
-// Release gives the slot back.
+// Release frees the slot; further calls have no effect.
 func (gr *Grant) Release(oc Outcome) {
 	gr.once.Do(func() { gr.pool.release(gr, oc) })
 }
@@ -278,8 +282,8 @@
 		ca.Mine--
 		ca.Tokens -= int(gr.ticket.Cost)
 		if gr.ticket.IsSuspect {
-			gr.server.suspects--
-			ca.IsExclusive = gr.server.suspects > 0
+			gr.server.suspectCount--
+			ca.IsExclusive = gr.server.suspectCount > 0
 		}
 		switch oc {
 		case Succeeded:
@@ -289,10 +293,10 @@
 		case Unused:
 		}
 	}
-	po.pump()
+	po.dispatch()
 }
 
-// Announce adds a backend server or its new incarnation.
+// Announce adds a backend server. A new incarnation replaces the previous one.
 func (po *Pool) Announce(an *wire.Announce, session *peer.Session) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -300,7 +304,7 @@
 	now := po.cfg.Now()
 	if i, ok := po.byName[an.GetServer()]; ok {
 		if po.servers[i].Incarnation() == an.GetIncarnation() {
-			po.servers[i].session, po.servers[i].announce, po.servers[i].heard = session, an, now
+			po.servers[i].session, po.servers[i].announce, po.servers[i].heardAt = session, an, now
 
 			return
 		}
@@ -309,56 +313,58 @@
 
 	po.byName[an.GetServer()] = len(po.servers)
 	po.servers = append(po.servers, &Server{
-		announce: an, session: session, heard: now, firstSeen: now,
+		announce: an, session: session, heardAt: now, firstSeen: now,
 		inFlight: map[*Grant]struct{}{}, prefixes: map[uint64]struct{}{},
 	})
 	po.cands = append(po.cands, scheduler.Candidate{Slots: int(an.GetSlots()), FailureDomain: an.GetFailureDomain(), ReadySince: now})
 }
 
-// Load takes a load report. It returns true when cache events are missing and
-// the agent should send all of them anew.
+// Load applies a load report. It returns true if cache events are missing and the
+// agent should resend the complete cache state. Outdated reports are ignored.
 func (po *Pool) Load(lo *wire.Load, gateways int) bool {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 
 	i, ok := po.byName[lo.GetServer()]
-	if !ok || po.servers[i].Incarnation() != lo.GetIncarnation() || lo.GetSequence() <= po.servers[i].sequence {
+	if !ok || po.servers[i].Incarnation() != lo.GetIncarnation() || lo.GetSequence() <= po.servers[i].loadSequence {
 		return false
 	}
 
 	se, ca, now := po.servers[i], &po.cands[i], po.cfg.Now()
-	se.load, se.heard, se.sequence = lo, now, lo.GetSequence()
+	se.lastLoad, se.heardAt, se.loadSequence = lo, now, lo.GetSequence()
 	po.gateways = max(gateways, 1)
 	isReady := lo.GetState() == StateReady
 	if isReady && !ca.IsReady {
 		ca.ReadySince = now
 		if len(po.servers) == 1 || now-se.firstSeen < time.Second {
-			ca.ReadySince = now - time.Hour // no slow start for those that were there before this gateway
+			ca.ReadySince = now - time.Hour // no slow start for the only server, or for one that was ready before this gateway knew it
 		}
 	}
 	ca.IsReady = isReady
 	ca.Running = int(lo.GetRunning())
 	ca.MineReported = min(ca.Mine, ca.Running)
 	ca.Sequence = po.cfg.SequenceOf(lo.GetVersion())
-	resync := po.takeCacheEvents(se, lo.GetCacheEvents())
-	po.pump()
+	resync := po.applyCacheEvents(se, lo.GetCacheEvents())
+	po.dispatch()
 
 	return resync
 }
 
-func (po *Pool) takeCacheEvents(se *Server, events []*wire.CacheEvent) bool {
+// applyCacheEvents updates the prefixes of a server. It returns true, and drops all
+// prefixes of the server, if the sequence of the events has a gap.
+func (po *Pool) applyCacheEvents(se *Server, events []*wire.CacheEvent) bool {
 	for _, ev := range events {
-		if ev.GetSequence() <= se.cacheSeq {
+		if ev.GetSequence() <= se.cacheEventSeq {
 			continue
 		}
-		if se.cacheSeq != 0 && ev.GetSequence() != se.cacheSeq+1 {
+		if se.cacheEventSeq != 0 && ev.GetSequence() != se.cacheEventSeq+1 {
 			po.cfg.Meter.Count("cacheEvents.gap")
-			po.forgetPrefixes(se)
-			se.cacheSeq = 0
+			po.dropPrefixes(se)
+			se.cacheEventSeq = 0
 
 			return true
 		}
-		se.cacheSeq = ev.GetSequence()
+		se.cacheEventSeq = ev.GetSequence()
 		switch {
 		case ev.GetEvicted():
 			if po.prefixes[ev.GetPrefix()] == se.Name() {
@@ -374,7 +380,7 @@
 	return false
 }
 
-func (po *Pool) forgetPrefixes(se *Server) {
+func (po *Pool) dropPrefixes(se *Server) {
 	for p := range se.prefixes {
 		if po.prefixes[p] == se.Name() {
 			delete(po.prefixes, p)
@@ -383,7 +389,8 @@
 	se.prefixes = map[uint64]struct{}{}
 }
 
-// Gone removes a backend server whose agent's session ended.
+// Gone removes a backend server whose agent's session has ended, unless it has a new
+// session or incarnation.
 func (po *Pool) Gone(name string, incarnation uint64, session *peer.Session) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -396,7 +403,7 @@
 
 func (po *Pool) removeAt(i int) {
 	se, last := po.servers[i], len(po.servers)-1
-	po.forgetPrefixes(se)
+	po.dropPrefixes(se)
 	delete(po.byName, se.Name())
 	if i != last {
 		po.servers[i], po.cands[i] = po.servers[last], po.cands[last]
@@ -405,26 +412,29 @@
 	po.servers, po.cands = po.servers[:last], po.cands[:last]
 }
 
-// Sweep takes silent backend servers out and expires waiting requests.
+// Sweep marks backend servers without recent reports as not ready and expires waiting
+// requests. It is called periodically.
 func (po *Pool) Sweep() {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 
-	now, lapse := po.cfg.Now(), po.lapse()
+	now, silence := po.cfg.Now(), po.maxSilence()
 	for i, se := range po.servers {
-		if now > se.heard+lapse {
+		if now > se.heardAt+silence {
 			po.cands[i].IsReady = false
 		}
-		if se.load != nil {
-			po.cands[i].Sequence = po.cfg.SequenceOf(se.load.GetVersion())
+		if se.lastLoad != nil {
+			po.cands[i].Sequence = po.cfg.SequenceOf(se.lastLoad.GetVersion())
 		}
 	}
-	po.pump()
+	po.dispatch()
 }
 
-func (po *Pool) lapse() time.Duration { return lapsePeriods * po.cfg.ReportPeriod() }
+// maxSilence returns the time without a report after which a backend server gets no
+// new requests.
+func (po *Pool) maxSilence() time.Duration { return maxSilentPeriods * po.cfg.ReportPeriod() }
 
-// Len returns the number of backend servers in view.
+// Len returns the number of known backend servers.
 func (po *Pool) Len() int {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -432,7 +442,8 @@
 	return len(po.servers)
 }
 
-// Drain stops new work for a backend server at once, before its agent reports it.
+// Drain stops new requests to a backend server at once, before its agent reports that
+// it drains.
 func (po *Pool) Drain(name string) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -442,8 +453,8 @@
 	}
 }
 
-// InFlight returns the fingerprints of the requests that this gateway runs on a
-// backend server: the suspects alone if there are any.
+// InFlight returns the fingerprints of this gateway's requests in flight on a backend
+// server. If some of them are suspects, it returns only those.
 func (po *Pool) InFlight(se *Server) []string {
 	po.mu.Lock()
 	defer po.mu.Unlock()
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -21,15 +21,15 @@
 	suite.Run(t, "pool")
 }
 
-// bench is a pool whose clock the test moves.
-type bench struct {
+// testPool is a pool with a clock that the test moves.
+type testPool struct {
 	*pool.Pool
 	now time.Duration
 	seq uint64
 }
 
-func newBench(servers int) *bench {
-	be := &bench{now: time.Hour}
+func newTestPool(servers int) *testPool {
+	be := &testPool{now: time.Hour}
 	be.Pool = pool.New(pool.Config{
 		Name: "m", FailureDomain: "a", Queue: admission.Config{IsFair: true}, Now: func() time.Duration { return be.now }, Meter: meter.New(),
 		ReportPeriod: func() time.Duration { return time.Second },
@@ -43,12 +43,12 @@
 	return be
 }
 
-func (be *bench) report(i int, state, version string) {
+func (be *testPool) report(i int, state, version string) {
 	be.seq++
 	be.Load(&wire.Load{Server: fmt.Sprint("s", i), Incarnation: 1, Sequence: be.seq, State: state, Version: version}, 1)
 }
 
-func (be *bench) acquire(ti pool.Ticket) (*pool.Grant, error) {
+func (be *testPool) acquire(ti pool.Ticket) (*pool.Grant, error) {
 	ti.Workspace, ti.Weight, ti.Cost, ti.MaxQueued = "w", 1, 1, 100
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
@@ -57,8 +57,8 @@
 }
 
 var _ = Describe("a pool", func() {
-	It("does not wait for other servers when all that could run a request are to be avoided", func() {
-		be := newBench(2)
+	It("uses an excluded server when no other one could run the request", func() {
+		be := newTestPool(2)
 		gr, err := be.acquire(pool.Ticket{Exclude: []string{"s0"}})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(gr.Server().Name()).To(Equal("s1"))
@@ -66,8 +66,8 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("refuses at once what no server could run", func() {
-		be := newBench(1)
+	It("refuses a request at once when no server could run it", func() {
+		be := newTestPool(1)
 		_, err := be.acquire(pool.Ticket{MinSequence: 2})
 		Expect(result.Is(err, result.NoEligibleVersion)).To(BeTrue())
 		be.report(0, "draining", "v1")
@@ -75,8 +75,8 @@
 		Expect(result.Is(err, result.NoBackendServer)).To(BeTrue())
 	})
 
-	It("counts what it refused for want of a server as demand, for two periods", func() {
-		be := newBench(0)
+	It("counts requests refused for lack of a server as demand, for two periods", func() {
+		be := newTestPool(0)
 		for range 3 {
 			_, err := be.acquire(pool.Ticket{})
 			Expect(result.Is(err, result.NoBackendServer)).To(BeTrue())
@@ -86,8 +86,8 @@
 		Expect(be.Demand().Waiting).To(BeZero())
 	})
 
-	It("gives slots back, and to those that wait", func() {
-		be := newBench(1)
+	It("gives a released slot to a waiting request, once", func() {
+		be := newTestPool(1)
 		first, err := be.acquire(pool.Ticket{})
 		Expect(err).NotTo(HaveOccurred())
 		_, err = be.acquire(pool.Ticket{})
@@ -101,13 +101,13 @@
 		}()
 		Eventually(func() int { return be.Demand().Waiting }).Should(Equal(1))
 		first.Release(pool.Succeeded)
-		first.Release(pool.Succeeded) // counts once
+		first.Release(pool.Succeeded) // has no effect
 		Eventually(done).Should(Receive(BeNil()))
 		Expect(be.Demand().Running).To(Equal(2))
 	})
 
-	It("takes silent servers out, and a new incarnation in place of the old one", func() {
-		be := newBench(1)
+	It("sends nothing to a silent server, and replaces it by its new incarnation", func() {
+		be := newTestPool(1)
 		be.now += 5 * time.Second
 		be.Sweep()
 		_, err := be.acquire(pool.Ticket{})
@@ -121,8 +121,8 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("asks for the whole cache after a gap in its events", func() {
-		be := newBench(1)
+	It("requests the complete cache state after a gap in the cache events", func() {
+		be := newTestPool(1)
 		load := func(seqs ...uint64) bool {
 			be.seq++
 			lo := &wire.Load{Server: "s0", Incarnation: 1, Sequence: be.seq, State: "ready", Version: "v1"}
@@ -133,8 +133,8 @@
 			return be.Load(lo, 1)
 		}
 		Expect(load(1, 2, 3)).To(BeFalse())
-		Expect(load(3, 4)).To(BeFalse(), "sent again")
+		Expect(load(3, 4)).To(BeFalse(), "event 3 is sent again")
 		Expect(load(6)).To(BeTrue())
-		Expect(load(1, 2)).To(BeFalse(), "everything anew")
+		Expect(load(1, 2)).To(BeFalse(), "the complete state is sent again")
 	})
 })
--- a/internal/pool/view.go
+++ b/internal/pool/view.go
@@ -1,18 +1,19 @@
 package pool
 
-// Demand is what the fleet sizes a pool by.
+// Demand is this gateway's load on a pool, from which the fleet computes the pool's size.
 type Demand struct {
-	Waiting int // requests, also those that were refused for want of a backend server and come back
+	Waiting int // requests, including those recently refused for lack of a backend server, as they are retried
 	Running int // in flight from this gateway
 }
 
-// Demand returns what runs and waits. Each call ends a period in which refusals are counted.
+// Demand returns the requests that run and wait. Each call ends a period; refusals
+// count for the period in which they happen and the next one.
 func (po *Pool) Demand() Demand {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 
-	de := Demand{Waiting: po.queue.Len() + po.missed + po.missedIn}
-	po.missedIn, po.missed = po.missed, 0
+	de := Demand{Waiting: po.queue.Len() + po.refused + po.refusedBefore}
+	po.refusedBefore, po.refused = po.refused, 0
 	for i := range po.cands {
 		de.Running += po.cands[i].Mine
 	}
@@ -28,7 +29,7 @@
 	return po.gateways
 }
 
-// Find returns a backend server by name.
+// Find returns the backend server with the name and whether it is known.
 func (po *Pool) Find(name string) (*Server, bool) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -41,7 +42,7 @@
 	return po.servers[i], true
 }
 
-// Infos describes the backend servers.
+// Infos returns the state of all backend servers.
 func (po *Pool) Infos() []Info {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -53,14 +54,14 @@
 		in := Info{
 			Server: se.Name(), Incarnation: se.Incarnation(), Class: an.GetClass(), Serves: an.GetModel() + an.GetService(),
 			FailureDomain: an.GetFailureDomain(), State: StateStarting, Slots: int(an.GetSlots()),
-			InFlight: po.cands[i].Mine, Order: an.GetOrder(), HeardAgoMs: (now - se.heard).Milliseconds(),
+			InFlight: po.cands[i].Mine, Order: an.GetOrder(), HeardAgoMs: (now - se.heardAt).Milliseconds(),
 			Failures: po.cands[i].Failures, ChecksFencing: an.GetChecksFencing(),
 		}
-		if se.load != nil {
-			in.State, in.Version, in.LoadedVersion = se.load.GetState(), se.load.GetVersion(), se.load.GetLoadedVersion()
-			in.Running = int(se.load.GetRunning())
+		if se.lastLoad != nil {
+			in.State, in.Version, in.LoadedVersion = se.lastLoad.GetState(), se.lastLoad.GetVersion(), se.lastLoad.GetLoadedVersion()
+			in.Running = int(se.lastLoad.GetRunning())
 		}
-		if now > se.heard+po.lapse() {
+		if now > se.heardAt+po.maxSilence() {
 			in.State = StateSuspect
 		}
 		out = append(out, in)
