--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -35,25 +35,25 @@
 )
 
 const (
-	// dutyFreshness is how young the replicated state must be to act on a lease.
-	dutyFreshness = 2 * time.Second
-	// lapseBeats is the number of heartbeats that a backend server may miss; some
+	// freshnessBound is how young the replicated state must be to act on a lease.
+	freshnessBound = 2 * time.Second
+	// maxMissedHeartbeats is the number of heartbeats that a backend server may miss; some
 	// come seconds late.
-	lapseBeats = 4
+	maxMissedHeartbeats = 4
 	// forwardTimeout bounds the passing on of a heartbeat to another controller.
 	forwardTimeout = time.Second
-	// formAfter is how long the first formation of the store group waits for all
+	// formationTimeout is how long the first formation of the store group waits for all
 	// VMs that it should have.
-	formAfter = 5 * time.Second
-	// storeSilence is the silence after which a store is not counted any more.
-	storeSilence = 3 * time.Second
+	formationTimeout = 5 * time.Second
+	// storeTimeout is the silence after which a store is not counted any more.
+	storeTimeout = 3 * time.Second
 )
 
 // Methods of calls from other own processes.
 const (
-	methodBeat     = "controller.beat"
-	MethodAnnounce = "controller.announce" // of stores
-	MethodUsage    = "controller.usage"    // of gateways
+	methodHeartbeat = "controller.beat"
+	MethodAnnounce  = "controller.announce" // of stores
+	MethodUsage     = "controller.usage"    // of gateways
 )
 
 // Config builds a Controller.
@@ -79,15 +79,15 @@
 	stopped chan struct{}
 	stop    sync.Once
 
-	mu        sync.Mutex
-	registry  *registry.Registry
-	stores    map[string]*store // by name
-	dirty     chan struct{}
-	startedAt time.Duration
-	waitedFor time.Duration             // since when stores are known and no group is formed
-	swaps     map[string]*weights.Joint // by service
-	swapWake  chan struct{}
-	usage     usageState
+	mu                 sync.Mutex
+	registry           *registry.Registry
+	stores             map[string]*store // by name
+	publishWake        chan struct{}
+	startedAt          time.Duration
+	formationWaitSince time.Duration             // since when stores are known and no group is formed
+	swapPlanners       map[string]*weights.Joint // by service
+	swapWake           chan struct{}
+	usage              usageState
 }
 
 // Announcement is what a store tells every controller again and again.
@@ -103,11 +103,11 @@
 
 type store struct {
 	Announcement
-	heard time.Duration
+	lastHeard time.Duration
 }
 
-// beatNote is a heartbeat, or the notice of leaving, on its way between controllers.
-type beatNote struct {
+// heartbeatNotice is a heartbeat, or the notice of leaving, on its way between controllers.
+type heartbeatNotice struct {
 	Record registry.Record `cbor:"1,keyasint"`
 	Leaves bool            `cbor:"2,keyasint"`
 }
@@ -117,8 +117,8 @@
 	no := cfg.Settings
 	co := &Controller{
 		cfg: cfg, feed: feed.NewServer(), links: peer.NewLinks(context.Background(), cfg.Peer), stopped: make(chan struct{}),
-		registry: registry.New(lapseBeats * no.BeatPeriod), stores: map[string]*store{}, dirty: make(chan struct{}, 1),
-		startedAt: cfg.Now(), swaps: map[string]*weights.Joint{}, swapWake: make(chan struct{}, 1),
+		registry: registry.New(maxMissedHeartbeats * no.BeatPeriod), stores: map[string]*store{}, publishWake: make(chan struct{}, 1),
+		startedAt: cfg.Now(), swapPlanners: map[string]*weights.Joint{}, swapWake: make(chan struct{}, 1),
 	}
 	var founders []group.Founder
 	for _, a := range no.Controllers {
@@ -126,9 +126,9 @@
 	}
 	gc := group.Config{
 		Name: no.Name, Address: no.PeerAddress, FailureDomain: no.FailureDomain, DataFolder: no.DataFolder, Founders: founders,
-		Peer: cfg.Peer, Files: cfg.Files, Election: settings.NodeElection, Heartbeat: settings.NodeHeartbeat, FreshnessBound: dutyFreshness,
+		Peer: cfg.Peer, Files: cfg.Files, Election: settings.NodeElection, Heartbeat: settings.NodeHeartbeat, FreshnessBound: freshnessBound,
 		ReplaceAfter: settings.NodeReplaceAfter, Voters: no.Voters(), Addresses: co.addresses, WallMs: cfg.WallMs, Log: cfg.Log,
-		OnStatus: func(group.Status) { co.touch() },
+		OnStatus: func(group.Status) { co.wakePublish() },
 	}
 	if !no.MayForm {
 		// The system has run before: an empty disk is a new replica that joins.
@@ -173,8 +173,8 @@
 func (co *Controller) Handlers() peer.Mux {
 	mux := co.group.Handlers()
 	maps.Copy(mux, co.feed.Handlers())
-	mux[methodBeat] = func(_ context.Context, st *peer.Stream) error {
-		var no beatNote
+	mux[methodHeartbeat] = func(_ context.Context, st *peer.Stream) error {
+		var no heartbeatNotice
 		if err := st.RequestRecord(&no); err != nil {
 			return err
 		}
@@ -206,8 +206,8 @@
 
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { co.publishDuty(ctx) })
-	wg.Go(func() { co.rosterDuty(ctx) })
+	wg.Go(func() { co.publishLoop(ctx) })
+	wg.Go(func() { co.rosterLoop(ctx) })
 	for _, du := range co.duties() {
 		wg.Go(func() { du.Run(ctx) })
 	}
@@ -220,7 +220,7 @@
 func (co *Controller) duties() []*duty.Duty {
 	with := func(name string, wake <-chan struct{}, work func(ctx context.Context, held duty.Held)) *duty.Duty {
 		return duty.New(duty.Config{
-			Name: name, Holder: co.cfg.Settings.Name, Terms: terms, Group: co.group, Now: co.cfg.Now, Work: work, Wake: wake,
+			Name: name, Holder: co.cfg.Settings.Name, Terms: leaseTerms, Group: co.group, Now: co.cfg.Now, Work: work, Wake: wake,
 			Stopped: co.stopped, TurnPause: co.cfg.Settings.TurnPause, Log: co.cfg.Log,
 		})
 	}
@@ -232,28 +232,28 @@
 	return out
 }
 
-// terms are short, since the platform and the backend servers check fencing
+// leaseTerms are short, since the platform and the backend servers check fencing
 // numbers themselves: a successor may act as soon as it holds a higher one.
-var terms = lease.Terms{Duration: 1500 * time.Millisecond, MaxCall: 500 * time.Millisecond, Drift: 0.01}
+var leaseTerms = lease.Terms{Duration: 1500 * time.Millisecond, MaxCall: 500 * time.Millisecond, Drift: 0.01}
 
 // StopDuties gives leases and the lead away before the process stops.
 func (co *Controller) StopDuties(ctx context.Context) {
 	co.stop.Do(func() { close(co.stopped) })
 	select {
-	case <-time.After(handOver):
+	case <-time.After(handOverDelay):
 	case <-ctx.Done():
 	}
 	co.group.TransferLeadership(ctx)
 }
 
-// handOver is the time in which the keepers see that they are to release: a few of
+// handOverDelay is the time in which the keepers see that they are to release: a few of
 // their periods and one commit.
-const handOver = 150 * time.Millisecond
+const handOverDelay = 150 * time.Millisecond
 
-// touch asks for the feed to be published anew.
-func (co *Controller) touch() {
+// wakePublish asks for the feed to be published anew.
+func (co *Controller) wakePublish() {
 	select {
-	case co.dirty <- struct{}{}:
+	case co.publishWake <- struct{}{}:
 	default:
 	}
 }
@@ -261,14 +261,14 @@
 // sweepPeriod is how often silent backend servers are looked for.
 const sweepPeriod = 250 * time.Millisecond
 
-// publishDuty tells followers what is known, whenever it changes.
-func (co *Controller) publishDuty(ctx context.Context) {
+// publishLoop tells followers what is known, whenever it changes.
+func (co *Controller) publishLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		applied := co.group.Applied()
 		co.publish()
 		select {
 		case <-applied:
-		case <-co.dirty:
+		case <-co.publishWake:
 		case <-time.After(sweepPeriod):
 		case <-ctx.Done():
 		}
@@ -304,11 +304,11 @@
 		co.cfg.Log.WithField("server", id).Warn("backend server silent")
 	}
 	st.Servers = co.registry.All()
-	st.IsSettled = now-co.startedAt > (lapseBeats+1)*co.cfg.Settings.BeatPeriod
+	st.IsSettled = now-co.startedAt > (maxMissedHeartbeats+1)*co.cfg.Settings.BeatPeriod
 	for _, me := range members {
 		out := feed.Store{Name: me.Name, Replica: string(me.Replica), Address: me.Address, Retiring: retirement[me.Name] != 0}
 		if so := co.stores[me.Name]; so != nil && so.Member.Replica == me.Replica {
-			out.Leads, out.Term = so.Leads && now-so.heard < storeSilence, so.Term
+			out.Leads, out.Term = so.Leads && now-so.lastHeard < storeTimeout, so.Term
 		}
 		st.Stores = append(st.Stores, out)
 	}
@@ -316,14 +316,14 @@
 }
 
 // Beat takes a heartbeat of a backend server and passes it on to the other controllers.
-func (co *Controller) Beat(re registry.Record) { co.observeAndForward(beatNote{Record: re}) }
+func (co *Controller) Beat(re registry.Record) { co.observeAndForward(heartbeatNotice{Record: re}) }
 
 // Leave takes the notice that a backend server leaves.
 func (co *Controller) Leave(id string, bornMs int64) {
-	co.observeAndForward(beatNote{Record: registry.Record{ID: id, BornMs: bornMs}, Leaves: true})
+	co.observeAndForward(heartbeatNotice{Record: registry.Record{ID: id, BornMs: bornMs}, Leaves: true})
 }
 
-func (co *Controller) observeAndForward(no beatNote) {
+func (co *Controller) observeAndForward(no heartbeatNotice) {
 	co.observe(no)
 	b, err := cbor.Marshal(no)
 	if err != nil {
@@ -339,12 +339,12 @@
 			ctx, cancel := context.WithTimeout(context.Background(), forwardTimeout)
 			defer cancel()
 			// A controller that does not hear this one hears the next heartbeat, or is told by the lapse.
-			_ = co.links.Call(ctx, a, methodBeat, &wire.Payload{Record: b}, &wire.Empty{})
+			_ = co.links.Call(ctx, a, methodHeartbeat, &wire.Payload{Record: b}, &wire.Empty{})
 		}()
 	}
 }
 
-func (co *Controller) observe(no beatNote) {
+func (co *Controller) observe(no heartbeatNotice) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 
@@ -357,7 +357,7 @@
 	if !changed {
 		return
 	}
-	co.touch()
+	co.wakePublish()
 	re := no.Record
 	co.cfg.Log.WithFields(log.Fields{
 		"server": re.ID, "service": re.Service, "address": re.Address, "state": re.State.String(), "leaves": no.Leaves,
--- a/internal/controller/stores.go
+++ b/internal/controller/stores.go
@@ -27,7 +27,7 @@
 
 	co.mu.Lock()
 	old := co.stores[an.Member.Name]
-	co.stores[an.Member.Name] = &store{Announcement: an, heard: co.cfg.Now()}
+	co.stores[an.Member.Name] = &store{Announcement: an, lastHeard: co.cfg.Now()}
 	changed := old == nil || old.Leads != an.Leads || old.Term != an.Term || old.Member != an.Member
 	co.mu.Unlock()
 
@@ -42,7 +42,7 @@
 		}
 	}
 	if changed {
-		co.touch()
+		co.wakePublish()
 		co.cfg.Log.WithFields(log.Fields{
 			"store": an.Member.Name, "replica": an.Member.Replica, "address": an.Member.Address, "leads": an.Leads, "term": an.Term,
 		}).Info("store told")
@@ -51,8 +51,8 @@
 	return st.Reply(&wire.Empty{})
 }
 
-// rosterDuty forms the store group once, and ends retirements, while this replica leads.
-func (co *Controller) rosterDuty(ctx context.Context) {
+// rosterLoop forms the store group once, and ends retirements, while this replica leads.
+func (co *Controller) rosterLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-time.After(rosterPeriod):
@@ -62,13 +62,13 @@
 		if !co.group.IsLeader() {
 			continue
 		}
-		if err := co.tendStores(ctx); err != nil {
+		if err := co.reconcileStores(ctx); err != nil {
 			co.cfg.Log.WithError(err).Warn("roster of stores not tended")
 		}
 	}
 }
 
-func (co *Controller) tendStores(ctx context.Context) error {
+func (co *Controller) reconcileStores(ctx context.Context) error {
 	var members []roster.Member
 	var formed []consensus.ReplicaID
 	var retiring []roster.Member
@@ -84,7 +84,7 @@
 		return co.formStores(ctx, members)
 	}
 	for _, me := range retiring {
-		if !co.isEmptied(me) {
+		if !co.canFinishRetirement(me) {
 			continue
 		}
 		if err := co.group.Propose(ctx, machine.KindFinishRetirement, roster.Finish{Name: me.Name}, nil); err != nil {
@@ -103,14 +103,14 @@
 		return nil
 	}
 	now, want := co.cfg.Now(), co.cfg.Settings.Voters()
-	if co.waitedFor == 0 {
-		co.waitedFor = now
+	if co.formationWaitSince == 0 {
+		co.formationWaitSince = now
 	}
-	if len(members) < want && now-co.waitedFor < formAfter {
+	if len(members) < want && now-co.formationWaitSince < formationTimeout {
 		return nil
 	}
 
-	ids := spread(members, want)
+	ids := selectVoters(members, want)
 	if err := co.group.Propose(ctx, machine.KindFormStores, roster.Form{Replicas: ids}, nil); err != nil {
 		return err
 	}
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// spread picks up to n members, with as many failure domains among them as there are.
-func spread(members []roster.Member, n int) []consensus.ReplicaID {
+// selectVoters picks up to n members, with as many failure domains among them as there are.
+func selectVoters(members []roster.Member, n int) []consensus.ReplicaID {
 	left := slices.SortedFunc(slices.Values(members), byName)
 	perDomain := map[string]int{}
 	var out []consensus.ReplicaID
@@ -139,15 +139,15 @@
 	return out
 }
 
-// isEmptied reports whether the store group has enough voters without a member.
-func (co *Controller) isEmptied(me roster.Member) bool {
+// canFinishRetirement reports whether the store group has enough voters without a member.
+func (co *Controller) canFinishRetirement(me roster.Member) bool {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 
 	now := co.cfg.Now()
 	var leader *store
 	for _, so := range co.stores {
-		if so.Leads && now-so.heard < storeSilence && (leader == nil || so.Term > leader.Term) {
+		if so.Leads && now-so.lastHeard < storeTimeout && (leader == nil || so.Term > leader.Term) {
 			leader = so
 		}
 	}
--- a/internal/controller/usage.go
+++ b/internal/controller/usage.go
@@ -16,20 +16,20 @@
 	// closeDelay after the end of a window its figures are fixed: gateways send
 	// their counts every half second, a leader change takes one to two seconds.
 	closeDelay = 3500 * time.Millisecond
-	// reportPause is kept after a report that failed.
-	reportPause = 500 * time.Millisecond
+	// reportRetryDelay is kept after a report that failed.
+	reportRetryDelay = 500 * time.Millisecond
 )
 
 // usageState is what the holder remembers between two turns.
 type usageState struct {
-	pauseTill time.Duration
+	pausedUntil time.Duration
 }
 
 // reportUsage closes the windows that are over and reports them. The figures are
 // committed first, and only those are ever sent.
 func (co *Controller) reportUsage(ctx context.Context, held duty.Held) {
 	now := co.cfg.Now()
-	if now < co.usage.pauseTill {
+	if now < co.usage.pausedUntil {
 		return
 	}
 	over := uint64(max(0, co.cfg.WallMs()-closeDelay.Milliseconds())) / uint64(co.cfg.Settings.UsageWindow.Milliseconds())
@@ -60,7 +60,7 @@
 	})
 	for _, re := range reports {
 		if !co.reportWindow(ctx, held, re) {
-			co.usage.pauseTill = co.cfg.Now() + reportPause
+			co.usage.pausedUntil = co.cfg.Now() + reportRetryDelay
 
 			return
 		}
@@ -72,7 +72,7 @@
 	if !ok {
 		return false
 	}
-	cctx, cancel := context.WithTimeout(ctx, terms.MaxCall)
+	cctx, cancel := context.WithTimeout(ctx, leaseTerms.MaxCall)
 	defer cancel()
 	fl := log.Fields{"window": re.Window, "fencing": fencing, "workspaces": len(re.Lines)}
 	err := co.cfg.ReportUsage(cctx, co.cfg.Settings.Name, fencing, re)
--- a/internal/controller/weights.go
+++ b/internal/controller/weights.go
@@ -19,11 +19,11 @@
 	// them only slow each other down at the weight store of the users' sheets.
 	waveShare = 0.2
 	minWave   = 2
-	// loadPoll is how often an engine that loads is asked for its state; a load takes
+	// loadPollPeriod is how often an engine that loads is asked for its state; a load takes
 	// about a second.
-	loadPoll = 150 * time.Millisecond
-	// loadFirst is the first question after an order: shortly after the usual load.
-	loadFirst = 920 * time.Millisecond
+	loadPollPeriod = 150 * time.Millisecond
+	// firstLoadPoll is the first question after an order: shortly after the usual load.
+	firstLoadPoll = 920 * time.Millisecond
 	// loadTimeout ends the wait for a load.
 	loadTimeout = 6 * time.Second
 )
@@ -49,12 +49,12 @@
 
 	co.mu.Lock()
 	defer co.mu.Unlock()
-	hosts, records := co.engines()
+	hosts, records := co.readyEngines()
 	for service, hs := range hosts {
-		jo := co.swaps[service]
+		jo := co.swapPlanners[service]
 		if jo == nil {
 			jo = weights.NewJoint()
-			co.swaps[service] = jo
+			co.swapPlanners[service] = jo
 		}
 		wave := max(minWave, int(waveShare*float64(len(hs))))
 		for _, sw := range jo.Next(co.cfg.Now(), co.targets(hs, named), hs, wave) {
@@ -64,14 +64,14 @@
 			}
 			re := records[sw.Server]
 			co.registry.SetLoading(re.ID, re.BornMs, true)
-			co.touch()
+			co.wakePublish()
 			go co.swap(ctx, held, jo, re, &backend.Weights{Model: sw.Model, Version: sw.Version, Mode: mode, Instance: re.ID})
 		}
 	}
 }
 
-// engines returns the engines that are ready, by service.
-func (co *Controller) engines() (map[string][]weights.Host, map[string]registry.Record) {
+// readyEngines returns the readyEngines that are ready, by service.
+func (co *Controller) readyEngines() (map[string][]weights.Host, map[string]registry.Record) {
 	hosts, records := map[string][]weights.Host{}, map[string]registry.Record{}
 	for _, st := range co.registry.All() {
 		re := st.Record
@@ -129,7 +129,7 @@
 	defer cancel()
 
 	began := co.cfg.Now()
-	err := co.swapOnce(ctx, held, re, we)
+	err := co.performSwap(ctx, held, re, we)
 	fl := log.Fields{
 		"server": re.ID, "model": we.Model, "version": we.Version, "oldVersion": re.Version(we.Model), "fencing": we.Fencing,
 		"sequence": we.Sequence, "ms": (co.cfg.Now() - began).Milliseconds(),
@@ -148,16 +148,16 @@
 	if err == nil {
 		co.registry.SetVersion(re.ID, re.BornMs, we.Model, we.Version)
 	}
-	co.touch()
+	co.wakePublish()
 	co.wakeSwaps()
 }
 
-func (co *Controller) swapOnce(ctx context.Context, held duty.Held, re registry.Record, we *backend.Weights) error {
-	before, err := co.report(ctx, re)
-	for ; err == nil && before.IsBusy; before, err = co.report(ctx, re) {
+func (co *Controller) performSwap(ctx context.Context, held duty.Held, re registry.Record, we *backend.Weights) error {
+	before, err := co.fetchReport(ctx, re)
+	for ; err == nil && before.IsBusy; before, err = co.fetchReport(ctx, re) {
 		// An order is under way, perhaps one that a former holder gave.
 		select {
-		case <-time.After(loadPoll):
+		case <-time.After(loadPollPeriod):
 		case <-ctx.Done():
 			return errLoadTimeout
 		}
@@ -175,7 +175,7 @@
 		return errLeaseLost
 	}
 	we.Fencing, we.Holder = fencing, co.cfg.Settings.Name
-	cctx, cancel := context.WithTimeout(ctx, terms.MaxCall)
+	cctx, cancel := context.WithTimeout(ctx, leaseTerms.MaxCall)
 	err = co.cfg.Client.Swap(cctx, re.Address, we)
 	cancel()
 	if err != nil && !backend.HasRun(err) {
@@ -193,8 +193,8 @@
 	}
 }
 
-func (co *Controller) report(ctx context.Context, re registry.Record) (backend.Report, error) {
-	cctx, cancel := context.WithTimeout(ctx, terms.MaxCall)
+func (co *Controller) fetchReport(ctx context.Context, re registry.Record) (backend.Report, error) {
+	cctx, cancel := context.WithTimeout(ctx, leaseTerms.MaxCall)
 	defer cancel()
 	rep, err := co.cfg.Client.Report(cctx, re.Address)
 	if err == nil && rep.BornMs != 0 && rep.BornMs != re.BornMs {
@@ -207,18 +207,18 @@
 // awaitVersion waits until the engine tells, in a heartbeat or asked, that it
 // serves the version.
 func (co *Controller) awaitVersion(ctx context.Context, re registry.Record, we *backend.Weights) error {
-	wait := loadFirst
+	wait := firstLoadPoll
 	for {
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
 			return errLoadTimeout
 		}
-		wait = loadPoll
-		if co.serves(re, we) {
+		wait = loadPollPeriod
+		if co.servesVersion(re, we) {
 			return nil
 		}
-		rep, err := co.report(ctx, re)
+		rep, err := co.fetchReport(ctx, re)
 		switch {
 		case err != nil:
 			return err
@@ -230,7 +230,7 @@
 	}
 }
 
-func (co *Controller) serves(re registry.Record, we *backend.Weights) bool {
+func (co *Controller) servesVersion(re registry.Record, we *backend.Weights) bool {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 
