--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,6 +1,6 @@
 // Package controller runs a process of the control plane: a replica of the
 // configuration, leases and weight versions, the registry of backend servers, the
-// feed that tells all other processes, and the work under leases.
+// feed that sends this state to all other processes, and the work under leases.
 package controller
 
 import (
@@ -35,37 +35,37 @@
 )
 
 const (
-	// freshnessBound is how young the replicated state must be to act on a lease.
+	// freshnessBound is the maximum age of the replicated state on which a lease holder acts.
 	freshnessBound = 2 * time.Second
-	// maxMissedHeartbeats is the number of heartbeats that a backend server may miss; some
-	// come seconds late.
+	// maxMissedHeartbeats is the number of heartbeats that a backend server may miss
+	// before it counts as silent; some heartbeats arrive seconds late.
 	maxMissedHeartbeats = 4
-	// forwardTimeout bounds the passing on of a heartbeat to another controller.
+	// forwardTimeout limits the call that forwards a heartbeat to another controller.
 	forwardTimeout = time.Second
-	// formationTimeout is how long the first formation of the store group waits for all
-	// VMs that it should have.
+	// formationTimeout is how long the first formation of the store group waits until
+	// as many stores are known as it should have voters; then it takes those known.
 	formationTimeout = 5 * time.Second
-	// storeTimeout is the silence after which a store is not counted any more.
+	// storeTimeout is the silence after which a store no longer counts as leader.
 	storeTimeout = 3 * time.Second
 )
 
-// Methods of calls from other own processes.
+// Methods that other processes of the system call.
 const (
 	methodHeartbeat = "controller.beat"
-	MethodAnnounce  = "controller.announce" // of stores
-	MethodUsage     = "controller.usage"    // of gateways
+	MethodAnnounce  = "controller.announce" // called by stores
+	MethodUsage     = "controller.usage"    // called by gateways
 )
 
 // Config builds a Controller.
 type Config struct {
 	Settings    *settings.Node
-	Controllers func() []string // peer addresses of the settings, which may change
+	Controllers func() []string // peer addresses in the settings, which may change
 	Files       storage.Files
 	Peer        peer.Config
 	Client      *backend.Client
-	// ReportUsage sends the report of a window; nil switches the duty off.
+	// ReportUsage sends the report of a usage window; nil disables reporting.
 	ReportUsage func(ctx context.Context, holder string, fencing uint64, re usage.Report) error
-	Now         func() time.Duration // goes on while the process is suspended
+	Now         func() time.Duration // monotonic; advances while the process is suspended
 	WallMs      func() int64
 	Log         log.Interface
 }
@@ -84,21 +84,21 @@
 	stores             map[string]*store // by name
 	publishWake        chan struct{}
 	startedAt          time.Duration
-	formationWaitSince time.Duration             // since when stores are known and no group is formed
+	formationWaitSince time.Duration             // when stores were first known without a formed group, 0 before
 	swapPlanners       map[string]*weights.Joint // by service
 	swapWake           chan struct{}
 	usage              usageState
 }
 
-// Announcement is what a store tells every controller again and again.
+// Announcement is the state that a store sends to every controller periodically.
 type Announcement struct {
 	Member  roster.Member         `cbor:"1,keyasint"`
 	Leads   bool                  `cbor:"2,keyasint"`
 	Term    uint64                `cbor:"3,keyasint"`
-	Members []consensus.ReplicaID `cbor:"4,keyasint"` // of the store group, where it leads
+	Members []consensus.ReplicaID `cbor:"4,keyasint"` // of the store group; set by its leader
 	Voters  int                   `cbor:"5,keyasint"`
-	Running map[string]int        `cbor:"6,keyasint"` // items at each backend server, where it leads
-	Demand  map[string]float64    `cbor:"7,keyasint"` // events generated lately for each model, where it leads
+	Running map[string]int        `cbor:"6,keyasint"` // items by backend server; set by the leader
+	Demand  map[string]float64    `cbor:"7,keyasint"` // events generated recently, by model; set by the leader
 }
 
 type store struct {
@@ -106,13 +106,14 @@
 	lastHeard time.Duration
 }
 
-// heartbeatNotice is a heartbeat, or the notice of leaving, on its way between controllers.
+// heartbeatNotice is a heartbeat or a leave notice that one controller forwards to another.
 type heartbeatNotice struct {
 	Record registry.Record `cbor:"1,keyasint"`
 	Leaves bool            `cbor:"2,keyasint"`
 }
 
-// New loads the replica's identity. Handlers may be served before Run.
+// New returns a controller and loads the identity of its replica. Handlers may be
+// served before Run.
 func New(cfg Config) (*Controller, error) {
 	no := cfg.Settings
 	co := &Controller{
@@ -131,7 +132,7 @@
 		OnStatus: func(group.Status) { co.wakePublish() },
 	}
 	if !no.MayForm {
-		// The system has run before: an empty disk is a new replica that joins.
+		// The system is already formed: a replica with an empty disk joins as a new one.
 		gc.Formation = func() []consensus.ReplicaID { return nil }
 	}
 	var err error
@@ -142,7 +143,7 @@
 	return co, nil
 }
 
-// addresses returns where other controllers may be found.
+// addresses returns the peer addresses of controllers, from the settings and the membership.
 func (co *Controller) addresses() []string {
 	out := co.cfg.Controllers()
 	if co.group != nil {
@@ -169,7 +170,7 @@
 	return slices.Compact(out)
 }
 
-// Handlers returns the calls that other own processes may make.
+// Handlers returns the handlers of calls from other processes of the system.
 func (co *Controller) Handlers() peer.Mux {
 	mux := co.group.Handlers()
 	maps.Copy(mux, co.feed.Handlers())
@@ -198,7 +199,7 @@
 	return mux
 }
 
-// Run takes part in the control plane until ctx ends.
+// Run runs the replica, the feed and the work under leases until ctx ends.
 func (co *Controller) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer co.links.Close()
@@ -232,11 +233,11 @@
 	return out
 }
 
-// leaseTerms are short, since the platform and the backend servers check fencing
+// leaseTerms are short because the platform and the backend servers check fencing
 // numbers themselves: a successor may act as soon as it holds a higher one.
 var leaseTerms = lease.Terms{Duration: 1500 * time.Millisecond, MaxCall: 500 * time.Millisecond, Drift: 0.01}
 
-// StopDuties gives leases and the lead away before the process stops.
+// StopDuties releases the leases and transfers leadership before the process stops.
 func (co *Controller) StopDuties(ctx context.Context) {
 	co.stop.Do(func() { close(co.stopped) })
 	select {
@@ -246,11 +247,11 @@
 	co.group.TransferLeadership(ctx)
 }
 
-// handOverDelay is the time in which the keepers see that they are to release: a few of
-// their periods and one commit.
+// handOverDelay gives the lease keepers time to release: a few of their periods and
+// one commit.
 const handOverDelay = 150 * time.Millisecond
 
-// wakePublish asks for the feed to be published anew.
+// wakePublish makes publishLoop publish the feed again.
 func (co *Controller) wakePublish() {
 	select {
 	case co.publishWake <- struct{}{}:
@@ -258,10 +259,11 @@
 	}
 }
 
-// sweepPeriod is how often silent backend servers are looked for.
+// sweepPeriod is how often the registry is searched for silent backend servers.
 const sweepPeriod = 250 * time.Millisecond
 
-// publishLoop tells followers what is known, whenever it changes.
+// publishLoop publishes the state to the followers of the feed, at every change and
+// at least once per sweepPeriod.
 func (co *Controller) publishLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		applied := co.group.Applied()
@@ -315,10 +317,10 @@
 	co.feed.Publish(st)
 }
 
-// Beat takes a heartbeat of a backend server and passes it on to the other controllers.
+// Beat records a heartbeat of a backend server and forwards it to the other controllers.
 func (co *Controller) Beat(re registry.Record) { co.observeAndForward(heartbeatNotice{Record: re}) }
 
-// Leave takes the notice that a backend server leaves.
+// Leave records that a backend server leaves and forwards this to the other controllers.
 func (co *Controller) Leave(id string, bornMs int64) {
 	co.observeAndForward(heartbeatNotice{Record: registry.Record{ID: id, BornMs: bornMs}, Leaves: true})
 }
@@ -327,7 +329,7 @@
 	co.observe(no)
 	b, err := cbor.Marshal(no)
 	if err != nil {
-		co.cfg.Log.WithError(err).Error("heartbeat not passed on")
+		co.cfg.Log.WithError(err).Error("heartbeat not forwarded, encoding failed")
 
 		return
 	}
@@ -338,7 +340,8 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), forwardTimeout)
 			defer cancel()
-			// A controller that does not hear this one hears the next heartbeat, or is told by the lapse.
+			// Best effort: a controller that misses this call receives a later heartbeat;
+			// after a missed leave notice the server lapses there.
 			_ = co.links.Call(ctx, a, methodHeartbeat, &wire.Payload{Record: b}, &wire.Empty{})
 		}()
 	}
@@ -365,7 +368,7 @@
 	}).Info("backend server told")
 }
 
-// PutRouting commits a valid configuration.
+// PutRouting commits a validated configuration.
 func (co *Controller) PutRouting(ctx context.Context, cfg *routing.Config, document []byte) error {
 	var rep routing.PutReply
 	err := co.group.Propose(ctx, machine.KindPutRouting, routing.Put{Config: *cfg, Document: document}, &rep)
@@ -406,7 +409,7 @@
 	return nil
 }
 
-// Group returns the replica.
+// Group returns this process's replica of the controller group.
 func (co *Controller) Group() *group.Group { return co.group }
 
 func byName(a, b roster.Member) int { return strings.Compare(a.Name, b.Name) }
--- a/internal/controller/errors.go
+++ b/internal/controller/errors.go
@@ -3,8 +3,8 @@
 import "github.com/tamarackbay/tamarackbay/internal/result"
 
 var (
-	errLeaseLost        = result.New(result.LeaseLost, "controller: the lease is not held any more")
-	errOtherIncarnation = result.New(result.BackendUnreachable, "controller: another incarnation answers")
-	errLoadTimeout      = result.New(result.SwapFailed, "controller: the weights were not loaded in time")
-	errOrderLost        = result.New(result.SwapFailed, "controller: the order has not arrived")
+	errLeaseLost        = result.New(result.LeaseLost, "controller: the lease for weight updates is no longer held")
+	errOtherIncarnation = result.New(result.BackendUnreachable, "controller: another incarnation of the backend server answered")
+	errLoadTimeout      = result.New(result.SwapFailed, "controller: the engine did not load the weights before the timeout")
+	errOrderLost        = result.New(result.SwapFailed, "controller: the order to load weights did not reach the engine")
 )
--- a/internal/controller/stores.go
+++ b/internal/controller/stores.go
@@ -15,10 +15,10 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// rosterPeriod is how often the leader looks at the stores.
+// rosterPeriod is how often the leader reconciles the stores.
 const rosterPeriod = 200 * time.Millisecond
 
-// handleAnnounce takes what a store tells of itself.
+// handleAnnounce records the announcement of a store.
 func (co *Controller) handleAnnounce(ctx context.Context, st *peer.Stream) error {
 	var an Announcement
 	if err := st.RequestRecord(&an); err != nil {
@@ -36,7 +36,7 @@
 		known = slices.Contains(ma.Roster().Members(), an.Member)
 	})
 	if !known {
-		// Not only by the leader: the store may reach none but this controller.
+		// Followers propose this too: the store may reach only this controller.
 		if err := co.group.Propose(ctx, machine.KindAnnounceMember, roster.Announce{Member: an.Member}, nil); err != nil {
 			return err
 		}
@@ -45,13 +45,13 @@
 		co.wakePublish()
 		co.cfg.Log.WithFields(log.Fields{
 			"store": an.Member.Name, "replica": an.Member.Replica, "address": an.Member.Address, "leads": an.Leads, "term": an.Term,
-		}).Info("store told")
+		}).Info("store announced a change")
 	}
 
 	return st.Reply(&wire.Empty{})
 }
 
-// rosterLoop forms the store group once, and ends retirements, while this replica leads.
+// rosterLoop forms the store group once and finishes retirements while this replica leads.
 func (co *Controller) rosterLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -63,7 +63,7 @@
 			continue
 		}
 		if err := co.reconcileStores(ctx); err != nil {
-			co.cfg.Log.WithError(err).Warn("roster of stores not tended")
+			co.cfg.Log.WithError(err).Warn("store roster not reconciled")
 		}
 	}
 }
@@ -90,14 +90,14 @@
 		if err := co.group.Propose(ctx, machine.KindFinishRetirement, roster.Finish{Name: me.Name}, nil); err != nil {
 			return err
 		}
-		co.cfg.Log.WithField("store", me.Name).Info("store emptied")
+		co.cfg.Log.WithField("store", me.Name).Info("store retirement finished")
 	}
 
 	return nil
 }
 
-// formStores decides on the first voters of the store group, one of each failure
-// domain first.
+// formStores proposes the first voters of the store group, spread over the failure
+// domains.
 func (co *Controller) formStores(ctx context.Context, members []roster.Member) error {
 	if len(members) == 0 {
 		return nil
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// selectVoters picks up to n members, with as many failure domains among them as there are.
+// selectVoters returns up to n members, spread evenly over the failure domains.
 func selectVoters(members []roster.Member, n int) []consensus.ReplicaID {
 	left := slices.SortedFunc(slices.Values(members), byName)
 	perDomain := map[string]int{}
@@ -139,7 +139,8 @@
 	return out
 }
 
-// canFinishRetirement reports whether the store group has enough voters without a member.
+// canFinishRetirement reports whether the store group has enough voters and no longer
+// contains the member.
 func (co *Controller) canFinishRetirement(me roster.Member) bool {
 	co.mu.Lock()
 	defer co.mu.Unlock()
@@ -155,19 +156,19 @@
 	return leader != nil && leader.Voters >= co.cfg.Settings.Voters() && !slices.Contains(leader.Members, me.Replica)
 }
 
-// Retire begins to empty a store.
+// Retire requests that the store group replaces a store, so that its VM can be removed.
 func (co *Controller) Retire(ctx context.Context, name string) error {
 	err := co.group.Propose(ctx, machine.KindRetireMember, roster.Retire{Name: name, Keep: co.cfg.Settings.Voters()}, nil)
 	fl := log.Fields{"store": name}
 	if err != nil {
 		fl["error"] = err.Error()
 	}
-	co.cfg.Log.WithFields(fl).Info("store to be emptied")
+	co.cfg.Log.WithFields(fl).Info("store retirement requested")
 
 	return err
 }
 
-// Retirement returns how far a store is emptied.
+// Retirement returns the progress of a store's retirement.
 func (co *Controller) Retirement(ctx context.Context, name string) (roster.Retirement, error) {
 	if err := co.group.Barrier(ctx); err != nil {
 		return 0, err
@@ -175,7 +176,7 @@
 	var re roster.Retirement
 	co.group.Read(func(ma *machine.Machine) { re = ma.Roster().Retirement(name) })
 	if re == 0 {
-		return 0, result.New(result.UnknownObject, "controller: store %q is not being emptied", name)
+		return 0, result.New(result.UnknownObject, "controller: store %q is not being retired", name)
 	}
 
 	return re, nil
--- a/internal/controller/usage.go
+++ b/internal/controller/usage.go
@@ -13,20 +13,21 @@
 )
 
 const (
-	// closeDelay after the end of a window its figures are fixed: gateways send
-	// their counts every half second, a leader change takes one to two seconds.
+	// closeDelay is the time from the end of a usage window until its figures are
+	// final: gateways send their counts every half second, and a leader change takes
+	// one to two seconds.
 	closeDelay = 3500 * time.Millisecond
-	// reportRetryDelay is kept after a report that failed.
+	// reportRetryDelay is the pause after a failed report.
 	reportRetryDelay = 500 * time.Millisecond
 )
 
-// usageState is what the holder remembers between two turns.
+// usageState is the state of the lease holder between two calls of reportUsage.
 type usageState struct {
 	pausedUntil time.Duration
 }
 
-// reportUsage closes the windows that are over and reports them. The figures are
-// committed first, and only those are ever sent.
+// reportUsage closes the usage windows that have ended and reports them. The figures
+// are committed first, and only committed figures are sent.
 func (co *Controller) reportUsage(ctx context.Context, held duty.Held) {
 	now := co.cfg.Now()
 	if now < co.usage.pausedUntil {
@@ -79,13 +80,14 @@
 	if err != nil {
 		fl["error"] = err.Error()
 		co.cfg.Log.WithFields(fl).Warn("usage window not reported")
-		// A lower fencing number means that this holder was followed: its keeper sees it soon.
+		// If the fencing number was too low, another process holds the lease now; the
+		// keeper of this one notices soon.
 		return false
 	}
 	co.cfg.Log.WithFields(fl).Info("usage window reported")
 	if err := co.group.Propose(ctx, machine.KindReported, usage.Reported{Window: re.Window, Fencing: fencing}, nil); err != nil {
 		if !result.Is(err, result.LeaseLost) {
-			co.cfg.Log.WithError(err).Warn("report not recorded, the same figures are sent again")
+			co.cfg.Log.WithError(err).Warn("usage report sent but not recorded, the same figures are sent again")
 		}
 
 		return false
--- a/internal/controller/weights.go
+++ b/internal/controller/weights.go
@@ -15,23 +15,24 @@
 
 const (
 	leaseWeights = "weights"
-	// waveShare of a model's engines load weights at once, at least minWave: more of
-	// them only slow each other down at the weight store of the users' sheets.
+	// waveShare is the share of a service's engines that load weights at once. More
+	// only slow each other down at the weight store that the users describe.
 	waveShare = 0.2
-	minWave   = 2
-	// loadPollPeriod is how often an engine that loads is asked for its state; a load takes
+	minWave   = 2 // engines, where waveShare is fewer
+	// loadPollPeriod is how often an engine is polled while it loads; a load takes
 	// about a second.
 	loadPollPeriod = 150 * time.Millisecond
-	// firstLoadPoll is the first question after an order: shortly after the usual load.
+	// firstLoadPoll is the delay from an order to the first poll, shortly after a
+	// typical load ends.
 	firstLoadPoll = 920 * time.Millisecond
-	// loadTimeout ends the wait for a load.
+	// loadTimeout limits a swap: the wait for an earlier order, the order and the load.
 	loadTimeout = 6 * time.Second
 )
 
-// rollOut orders the engines to the newest versions that were named.
+// rollOut orders engines to load the newest recorded versions of their models.
 func (co *Controller) rollOut(ctx context.Context, held duty.Held) {
 	named := map[string]uint64{}
-	single := map[string]bool{} // services with routes that allow one version in a text
+	single := map[string]bool{} // services with routes that allow one version per text
 	co.group.Read(func(ma *machine.Machine) {
 		for mo, v := range ma.Versions().All() {
 			named[mo] = v
@@ -70,7 +71,8 @@
 	}
 }
 
-// readyEngines returns the readyEngines that are ready, by service.
+// readyEngines returns the ready engines by service, and their records by ID. The
+// caller holds mu.
 func (co *Controller) readyEngines() (map[string][]weights.Host, map[string]registry.Record) {
 	hosts, records := map[string][]weights.Host{}, map[string]registry.Record{}
 	for _, st := range co.registry.All() {
@@ -89,7 +91,8 @@
 	return hosts, records
 }
 
-// targets returns the models that engines serve, with the demand for each.
+// targets returns the models that the engines serve, with the newest version and the
+// demand of each. The caller holds mu.
 func (co *Controller) targets(hosts []weights.Host, named map[string]uint64) []weights.Target {
 	demand := map[string]float64{}
 	for _, so := range co.stores {
@@ -111,7 +114,8 @@
 	return out
 }
 
-// runningAt returns how many items the store that leads runs at a backend server.
+// runningAt returns how many items the leading store runs at a backend server. The
+// caller holds mu.
 func (co *Controller) runningAt(server string) int {
 	n := 0
 	for _, so := range co.stores {
@@ -123,7 +127,8 @@
 	return n
 }
 
-// swap orders one engine to load a version and waits until it serves it.
+// swap orders an engine to load a version, waits until it serves that version and
+// records the result.
 func (co *Controller) swap(ctx context.Context, held duty.Held, jo *weights.Joint, re registry.Record, we *backend.Weights) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
@@ -155,7 +160,7 @@
 func (co *Controller) performSwap(ctx context.Context, held duty.Held, re registry.Record, we *backend.Weights) error {
 	before, err := co.fetchReport(ctx, re)
 	for ; err == nil && before.IsBusy; before, err = co.fetchReport(ctx, re) {
-		// An order is under way, perhaps one that a former holder gave.
+		// The engine carries out another order, possibly from a former lease holder.
 		select {
 		case <-time.After(loadPollPeriod):
 		case <-ctx.Done():
@@ -185,7 +190,7 @@
 	return co.awaitVersion(ctx, re, we)
 }
 
-// wakeSwaps lets the next order follow at once.
+// wakeSwaps makes the duty plan the next orders at once.
 func (co *Controller) wakeSwaps() {
 	select {
 	case co.swapWake <- struct{}{}:
@@ -204,7 +209,7 @@
 	return rep, err
 }
 
-// awaitVersion waits until the engine tells, in a heartbeat or asked, that it
+// awaitVersion waits until the engine reports, in a heartbeat or when polled, that it
 // serves the version.
 func (co *Controller) awaitVersion(ctx context.Context, re registry.Record, we *backend.Weights) error {
 	wait := firstLoadPoll
