--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -50,9 +50,9 @@
 	keeper *lease.Keeper
 
 	// What the keeper held last.
-	fencing uint64
-	heldAt  time.Duration
-	isHeld  bool
+	lastFencing uint64
+	lastHeldAt  time.Duration
+	wasHeld     bool
 }
 
 // New returns a duty.
@@ -80,7 +80,7 @@
 		}
 	}()
 	for ctx.Err() == nil {
-		du.keep(ctx)
+		du.maintainLease(ctx)
 		select {
 		case <-time.After(keeperPeriod):
 		case <-ctx.Done():
@@ -97,8 +97,8 @@
 	return du.keeper.Held(du.cfg.Now())
 }
 
-// next lets the keeper see the lease and returns the action that is due.
-func (du *Duty) next(le lease.Lease) (lease.Action, bool) {
+// nextAction lets the keeper see the lease and returns the action that is due.
+func (du *Duty) nextAction(le lease.Lease) (lease.Action, bool) {
 	du.mu.Lock()
 	defer du.mu.Unlock()
 
@@ -112,21 +112,21 @@
 	fencing, ok := du.keeper.Held(now)
 	switch {
 	case ok:
-		du.fencing, du.heldAt = fencing, now
-	case du.isHeld:
-		du.cfg.Log.WithFields(log.Fields{"lease": du.cfg.Name, "fencing": du.fencing, "seenFencing": le.Fencing, "holder": le.Holder}).
+		du.lastFencing, du.lastHeldAt = fencing, now
+	case du.wasHeld:
+		du.cfg.Log.WithFields(log.Fields{"lease": du.cfg.Name, "fencing": du.lastFencing, "seenFencing": le.Fencing, "holder": le.Holder}).
 			Warn("lease lost")
 	}
-	du.isHeld = ok
-	if !ok && du.fencing > 0 && le.Fencing > du.fencing && now < du.heldAt+du.cfg.TurnPause {
+	du.wasHeld = ok
+	if !ok && du.lastFencing > 0 && le.Fencing > du.lastFencing && now < du.lastHeldAt+du.cfg.TurnPause {
 		return lease.Action{}, false
 	}
 
 	return du.keeper.Next(now)
 }
 
-// keep carries out the keeper's action.
-func (du *Duty) keep(ctx context.Context) {
+// maintainLease carries out the keeper's action.
+func (du *Duty) maintainLease(ctx context.Context) {
 	if du.cfg.Group.Fresh() != nil {
 		return // what is applied here may be old: neither observe nor ask
 	}
@@ -134,7 +134,7 @@
 	if !du.cfg.Group.Read(func(ma *machine.Machine) { le = ma.Leases().Get(du.cfg.Name) }) {
 		return
 	}
-	ac, ok := du.next(le)
+	ac, ok := du.nextAction(le)
 	if !ok {
 		return
 	}
