--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -143,17 +143,17 @@
 	terms  Terms
 	nonce  func() string
 
-	seen     Lease
-	seenAt   time.Duration
-	observed bool
+	seen      Lease
+	seenSince time.Duration
+	observed  bool
 
-	held    bool
-	fencing uint64
-	renewal uint64
-	until   time.Duration // the own lease ends here
-	pending bool
-	sentAt  time.Duration
-	stopped bool
+	held           bool
+	fencing        uint64
+	renewal        uint64
+	heldUntil      time.Duration // the own lease ends here
+	requestPending bool
+	requestSentAt  time.Duration
+	stopped        bool
 }
 
 // Action is what the duty around a Keeper must propose.
@@ -171,7 +171,7 @@
 // Observe takes the state of the lease as applied here.
 func (ke *Keeper) Observe(now time.Duration, le Lease) {
 	if !ke.observed || le.Fencing != ke.seen.Fencing || le.Renewal != ke.seen.Renewal || le.Holder != ke.seen.Holder {
-		ke.seen, ke.seenAt, ke.observed = le, now, true
+		ke.seen, ke.seenSince, ke.observed = le, now, true
 	}
 	if ke.held && le.Fencing > ke.fencing {
 		ke.held = false
@@ -180,7 +180,7 @@
 
 // Next returns the action that is due.
 func (ke *Keeper) Next(now time.Duration) (Action, bool) {
-	if ke.pending || !ke.observed {
+	if ke.requestPending || !ke.observed {
 		return Action{}, false
 	}
 	if ke.held && ke.stopped {
@@ -191,23 +191,23 @@
 	if ke.stopped {
 		return Action{}, false
 	}
-	if ke.held && now < ke.until {
-		if ke.until-now > 2*ke.terms.Duration/3 {
+	if ke.held && now < ke.heldUntil {
+		if ke.heldUntil-now > 2*ke.terms.Duration/3 {
 			return Action{}, false
 		}
 		// Each send names a new number: a candidate must see every renewal that
 		// the holder counts its lease from.
 		ke.renewal++
-		ke.pending, ke.sentAt = true, now
+		ke.requestPending, ke.requestSentAt = true, now
 
 		return Action{Renew: &Renew{Name: ke.name, Fencing: ke.fencing, Renewal: ke.renewal}}, true
 	}
 
 	ke.held = false
-	if ke.seen.Holder != "" && now < ke.seenAt+ke.terms.Wait() {
+	if ke.seen.Holder != "" && now < ke.seenSince+ke.terms.Wait() {
 		return Action{}, false
 	}
-	ke.pending, ke.sentAt = true, now
+	ke.requestPending, ke.requestSentAt = true, now
 
 	return Action{Acquire: &Acquire{
 		Name: ke.name, Holder: ke.holder, SeenFencing: ke.seen.Fencing, SeenRenewal: ke.seen.Renewal, Nonce: ke.nonce(),
@@ -216,25 +216,25 @@
 
 // Answered takes the answer to the last acquire or renew.
 func (ke *Keeper) Answered(now time.Duration, le Lease, err error) {
-	ke.pending = false
+	ke.requestPending = false
 	if err != nil {
 		if result.Is(err, result.LeaseLost) || result.Is(err, result.LeaseTaken) {
 			ke.held = false
-			ke.seen, ke.seenAt = le, now
+			ke.seen, ke.seenSince = le, now
 		}
 
 		return
 	}
 
 	ke.held, ke.fencing, ke.renewal = true, le.Fencing, max(ke.renewal, le.Renewal)
-	ke.until = ke.sentAt + ke.terms.Duration
-	ke.seen, ke.seenAt = le, now
+	ke.heldUntil = ke.requestSentAt + ke.terms.Duration
+	ke.seen, ke.seenSince = le, now
 }
 
 // Held returns the fencing number, and false unless an outside call that takes
 // at most MaxCall may start now.
 func (ke *Keeper) Held(now time.Duration) (uint64, bool) {
-	return ke.fencing, ke.held && !ke.stopped && now < ke.until
+	return ke.fencing, ke.held && !ke.stopped && now < ke.heldUntil
 }
 
 // Stop makes the keeper release the lease at the next call of Next.
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -11,58 +11,60 @@
 	"github.com/tamarackbay/tamarackbay/internal/lease"
 )
 
-// world runs keepers against one table with late, lost and repeated commands,
+// simulation runs keepers against one table with late, lost and repeated commands,
 // clocks that drift apart and processes that pause at any moment.
-type world struct {
-	rnd   *rand.Rand
-	now   time.Duration
-	table *lease.Table
-	procs []*process
-	queue []command
-	calls int
-	top   uint64
-	nonce int
+type simulation struct {
+	rnd            *rand.Rand
+	now            time.Duration
+	table          *lease.Table
+	procs          []*process
+	queue          []command
+	calls          int
+	highestFencing uint64
+	lastNonce      int
 }
 
 type process struct {
-	keeper  *lease.Keeper
-	rate    float64
-	paused  time.Duration
-	calling time.Duration // an outside call runs until then
+	keeper      *lease.Keeper
+	clockRate   float64
+	pausedUntil time.Duration
+	callEndsAt  time.Duration // an outside call runs until then
 }
 
 type command struct {
-	due     time.Duration
-	from    int
-	action  lease.Action
-	answers bool
+	due        time.Duration
+	from       int
+	action     lease.Action
+	isAnswered bool
 }
 
 var terms = lease.Terms{Duration: time.Second, MaxCall: 200 * time.Millisecond, Drift: 0.01}
 
-func newWorld(seed uint64) *world {
-	w := &world{rnd: rand.New(rand.NewPCG(seed, 9)), table: lease.NewTable(nil)}
+func newSimulation(seed uint64) *simulation {
+	w := &simulation{rnd: rand.New(rand.NewPCG(seed, 9)), table: lease.NewTable(nil)}
 	for i := range 3 {
 		w.procs = append(w.procs, &process{
-			keeper: lease.NewKeeper("fleet", fmt.Sprint("p", i), terms, func() string { w.nonce++; return fmt.Sprint(w.nonce) }),
-			rate:   1 - terms.Drift + 2*terms.Drift*w.rnd.Float64(),
+			keeper:    lease.NewKeeper("fleet", fmt.Sprint("p", i), terms, func() string { w.lastNonce++; return fmt.Sprint(w.lastNonce) }),
+			clockRate: 1 - terms.Drift + 2*terms.Drift*w.rnd.Float64(),
 		})
 	}
 
 	return w
 }
 
-func (p *process) clock(now time.Duration) time.Duration { return time.Duration(float64(now) * p.rate) }
+func (p *process) clock(now time.Duration) time.Duration {
+	return time.Duration(float64(now) * p.clockRate)
+}
 
-func (w *world) step() {
+func (w *simulation) step() {
 	w.now += time.Duration(w.rnd.Int64N(int64(20 * time.Millisecond)))
 	w.applyDue()
 	for i, p := range w.procs {
-		if w.now < p.paused {
+		if w.now < p.pausedUntil {
 			continue
 		}
 		if w.rnd.IntN(300) == 0 {
-			p.paused = w.now + time.Duration(w.rnd.Int64N(int64(4*time.Second)))
+			p.pausedUntil = w.now + time.Duration(w.rnd.Int64N(int64(4*time.Second)))
 
 			continue
 		}
@@ -72,28 +74,28 @@
 		if ac, ok := p.keeper.Next(p.clock(w.now)); ok {
 			w.send(i, ac)
 		}
-		w.act(i, p)
+		w.startCall(i, p)
 	}
 }
 
-// act starts an outside call when the keeper allows it.
-func (w *world) act(i int, p *process) {
+// startCall starts an outside call when the keeper allows it.
+func (w *simulation) startCall(i int, p *process) {
 	fencing, ok := p.keeper.Held(p.clock(w.now))
-	if !ok || w.now < p.calling || w.rnd.IntN(2) == 0 {
+	if !ok || w.now < p.callEndsAt || w.rnd.IntN(2) == 0 {
 		return
 	}
 	for j, o := range w.procs {
 		if j != i {
-			Expect(w.now).To(BeNumerically(">=", o.calling), "two processes give orders at once")
+			Expect(w.now).To(BeNumerically(">=", o.callEndsAt), "two processes give orders at once")
 		}
 	}
-	Expect(fencing).To(BeNumerically(">=", w.top), "a fencing number fell")
-	w.top = fencing
+	Expect(fencing).To(BeNumerically(">=", w.highestFencing), "a fencing number fell")
+	w.highestFencing = fencing
 	w.calls++
-	p.calling = w.now + time.Duration(w.rnd.Int64N(int64(terms.MaxCall)))
+	p.callEndsAt = w.now + time.Duration(w.rnd.Int64N(int64(terms.MaxCall)))
 }
 
-func (w *world) send(from int, ac lease.Action) {
+func (w *simulation) send(from int, ac lease.Action) {
 	d := time.Duration(w.rnd.Int64N(int64(60 * time.Millisecond)))
 	if w.rnd.IntN(10) == 0 {
 		d *= 30 // late
@@ -104,7 +106,7 @@
 	}
 }
 
-func (w *world) applyDue() {
+func (w *simulation) applyDue() {
 	rest := w.queue[:0:0]
 	for _, c := range w.queue {
 		if c.due > w.now {
@@ -124,7 +126,7 @@
 		}
 		p := w.procs[c.from]
 		switch {
-		case c.answers:
+		case c.isAnswered:
 			p.keeper.Answered(p.clock(w.now), le, err)
 		case c.action.Release == nil:
 			p.keeper.Answered(p.clock(w.now), lease.Lease{}, fmt.Errorf("lost")) // a timeout
@@ -136,7 +138,7 @@
 var _ = Describe("keepers of a lease", func() {
 	It("never let two processes act at once, under drift, pauses and lost answers", func() {
 		for seed := range uint64(60) {
-			w := newWorld(seed)
+			w := newSimulation(seed)
 			for range 20_000 {
 				w.step()
 			}
