--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,5 +1,5 @@
-// Package duty does work that only the holder of a lease may do: it keeps the
-// lease and runs the work while it is held.
+// Package duty runs work that only the holder of a lease may do: it acquires and
+// renews the lease and runs the work while it is held.
 package duty
 
 import (
@@ -17,11 +17,11 @@
 )
 
 const (
-	workPeriod   = 200 * time.Millisecond
-	keeperPeriod = 50 * time.Millisecond
+	workPeriod   = 200 * time.Millisecond // between two calls of Work
+	keeperPeriod = 50 * time.Millisecond  // between two looks at the lease
 )
 
-// Held returns the fencing number of a lease, and false unless an outside call may start now.
+// Held returns the fencing number of a lease, and whether an outside call may start now.
 type Held func() (fencing uint64, ok bool)
 
 // Config builds a Duty.
@@ -31,38 +31,37 @@
 	Terms  lease.Terms
 	Group  *group.Group
 	Now    func() time.Duration
-	// Work is called again and again while the lease is held.
+	// Work is called repeatedly while the lease is held.
 	Work func(ctx context.Context, held Held)
-	// Wake starts the next turn of the work at once, nil for never.
+	// Wake starts the next call of Work at once; nil if it is only called periodically.
 	Wake <-chan struct{}
-	// Stopped is closed when the lease is to be given up.
+	// Stopped is closed when the lease is to be released.
 	Stopped <-chan struct{}
-	// TurnPause is how long a holder that was followed by another one waits before
-	// it takes the lease again, counted from when it held it last.
+	// TurnPause is how long a former holder waits, once another process has held the
+	// lease, before it acquires it again. It counts from when it last held the lease.
 	TurnPause time.Duration
 	Log       log.Interface
 }
 
-// Duty is work under one lease.
+// Duty acquires one lease, renews it and runs the work under it.
 type Duty struct {
 	cfg    Config
 	mu     sync.Mutex
 	keeper *lease.Keeper
 
-	// What the keeper held last.
-	lastFencing uint64
+	lastFencing uint64 // fencing number under which the lease was last held
 	lastHeldAt  time.Duration
-	wasHeld     bool
+	wasHeld     bool // at the last call of nextAction
 }
 
-// New returns a duty.
+// New returns a duty that holds no lease yet.
 func New(cfg Config) *Duty {
 	nonce := func() string { return fmt.Sprintf("%016x", rand.Uint64()) }
 
 	return &Duty{cfg: cfg, keeper: lease.NewKeeper(cfg.Name, cfg.Holder, cfg.Terms, nonce)}
 }
 
-// Run keeps the lease and does the work until ctx ends.
+// Run maintains the lease and runs the work until ctx ends.
 func (du *Duty) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Add(1)
@@ -89,7 +88,7 @@
 	wg.Wait()
 }
 
-// Held returns the fencing number, and false unless an outside call may start now.
+// Held returns the fencing number, and whether an outside call may start now.
 func (du *Duty) Held() (uint64, bool) {
 	du.mu.Lock()
 	defer du.mu.Unlock()
@@ -97,7 +96,7 @@
 	return du.keeper.Held(du.cfg.Now())
 }
 
-// nextAction lets the keeper see the lease and returns the action that is due.
+// nextAction passes the observed lease to the keeper and returns the action that is due.
 func (du *Duty) nextAction(le lease.Lease) (lease.Action, bool) {
 	du.mu.Lock()
 	defer du.mu.Unlock()
@@ -125,10 +124,10 @@
 	return du.keeper.Next(now)
 }
 
-// maintainLease carries out the keeper's action.
+// maintainLease observes the lease and proposes the keeper's next action.
 func (du *Duty) maintainLease(ctx context.Context) {
 	if du.cfg.Group.Fresh() != nil {
-		return // what is applied here may be old: neither observe nor ask
+		return // the applied state may be stale: neither observe the lease nor propose
 	}
 	var le lease.Lease
 	if !du.cfg.Group.Read(func(ma *machine.Machine) { le = ma.Leases().Get(du.cfg.Name) }) {
@@ -153,7 +152,7 @@
 		err = du.cfg.Group.Propose(cctx, machine.KindRenewLease, ac.Renew, &got)
 	case ac.Release != nil:
 		if err := du.cfg.Group.Propose(cctx, machine.KindReleaseLease, ac.Release, nil); err != nil {
-			du.cfg.Log.WithError(err).WithField("lease", du.cfg.Name).Warn("lease not released, it lapses")
+			du.cfg.Log.WithError(err).WithField("lease", du.cfg.Name).Warn("lease not released, it expires")
 		}
 
 		return
