--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,8 +1,8 @@
-// Package lease grants work that only one process may do at a time. A lease
-// carries a fencing number that never falls. Whether a lease has run out is never
-// judged by the replicated state: a candidate watches the renewal number with its
-// own monotonic clock and names the one it saw, so that a renewal in between
-// refuses it.
+// Package lease implements leases for work that only one process may do at a time.
+// A lease carries a fencing number that never decreases. The replicated state does
+// not decide whether a lease has expired: a candidate watches the renewal number with
+// its own monotonic clock and sends the last one it observed, so that its request
+// fails if the holder has renewed the lease meanwhile.
 package lease
 
 import (
@@ -17,10 +17,10 @@
 	Holder  string `cbor:"2,keyasint" json:"holder"` // "" when released
 	Fencing uint64 `cbor:"3,keyasint" json:"fencing"`
 	Renewal uint64 `cbor:"4,keyasint" json:"renewal"`
-	Nonce   string `cbor:"5,keyasint" json:"-"` // of the command that took it
+	Nonce   string `cbor:"5,keyasint" json:"-"` // of the command that acquired it
 }
 
-// Acquire asks for a lease whose last observed state it names.
+// Acquire requests a lease; SeenFencing and SeenRenewal are its last observed state.
 type Acquire struct {
 	Name        string `cbor:"1,keyasint"`
 	Holder      string `cbor:"2,keyasint"`
@@ -29,14 +29,14 @@
 	Nonce       string `cbor:"5,keyasint"`
 }
 
-// Renew prolongs a lease.
+// Renew extends a lease.
 type Renew struct {
 	Name    string `cbor:"1,keyasint"`
 	Fencing uint64 `cbor:"2,keyasint"`
 	Renewal uint64 `cbor:"3,keyasint"` // the number that this renewal sets
 }
 
-// Release gives a lease up at once.
+// Release ends a lease at once.
 type Release struct {
 	Name    string `cbor:"1,keyasint"`
 	Fencing uint64 `cbor:"2,keyasint"`
@@ -47,7 +47,7 @@
 	leases map[string]Lease
 }
 
-// NewTable returns the table that holds leases.
+// NewTable returns a table of the given leases, which may be nil.
 func NewTable(leases map[string]Lease) *Table {
 	if leases == nil {
 		leases = map[string]Lease{}
@@ -59,7 +59,7 @@
 // Leases returns all leases for a snapshot.
 func (ta *Table) Leases() map[string]Lease { return ta.leases }
 
-// Get returns the lease called name, all zero if nobody ever held it.
+// Get returns the lease called name; apart from the name it is zero if it was never held.
 func (ta *Table) Get(name string) Lease {
 	le := ta.leases[name]
 	le.Name = name
@@ -67,11 +67,12 @@
 	return le
 }
 
-// Acquire gives the lease to a new holder and raises the fencing number.
+// Acquire assigns the lease to a new holder and increments the fencing number. It
+// fails if the lease has changed since the candidate observed it.
 func (ta *Table) Acquire(ac Acquire) (Lease, error) {
 	le := ta.Get(ac.Name)
 	if le.Nonce == ac.Nonce && ac.Nonce != "" {
-		return le, nil // the same command again
+		return le, nil // a retry of the same command
 	}
 	if le.Fencing != ac.SeenFencing || le.Renewal != ac.SeenRenewal {
 		return le, result.New(result.LeaseTaken, "lease %s: held by %q under fencing number %d", ac.Name, le.Holder, le.Fencing)
@@ -83,7 +84,7 @@
 	return le, nil
 }
 
-// Renew raises the renewal number for the holder.
+// Renew raises the renewal number; it fails unless the caller holds the lease.
 func (ta *Table) Renew(re Renew) (Lease, error) {
 	le := ta.Get(re.Name)
 	if err := ta.Check(re.Name, re.Fencing); err != nil {
@@ -96,7 +97,8 @@
 	return le, nil
 }
 
-// Release frees the lease; the next holder need not wait.
+// Release frees the lease, so that the next holder need not wait for it to expire. It
+// does nothing unless the fencing number is the current one.
 func (ta *Table) Release(re Release) (Lease, error) {
 	le := ta.Get(re.Name)
 	if le.Fencing == re.Fencing && le.Holder != "" {
@@ -112,51 +114,53 @@
 func (ta *Table) Check(name string, fencing uint64) error {
 	le := ta.leases[name]
 	if le.Holder == "" || le.Fencing != fencing {
-		return result.New(result.LeaseLost, "lease %s: fencing number %d, the current one is %d", name, fencing, le.Fencing)
+		return result.New(result.LeaseLost, "lease %s: not held under fencing number %d, the current one is %d", name, fencing, le.Fencing)
 	}
 
 	return nil
 }
 
-// Terms are the times of a lease.
+// Terms are the time limits of a lease.
 type Terms struct {
-	Duration time.Duration // how long a holder may act after it sent a renewal
+	Duration time.Duration // how long a holder may act after it sent an acquire or a renewal
 	MaxCall  time.Duration // longest outside call of a holder
 	Drift    float64       // largest relative clock drift between two processes
 }
 
-// DefaultTerms returns the terms of today's deployments.
+// DefaultTerms returns the terms for current deployments.
 func DefaultTerms() Terms {
 	return Terms{Duration: 3 * time.Second, MaxCall: time.Second, Drift: 0.01}
 }
 
-// Wait returns how long a candidate must see no renewal before it may acquire.
+// Wait returns how long a candidate must observe no renewal before it may acquire the
+// lease: the duration and the longest call, plus the drift of both clocks.
 func (te Terms) Wait() time.Duration {
 	return time.Duration(float64(te.Duration+te.MaxCall) * (1 + 2*te.Drift))
 }
 
-// Keeper decides for one process when to acquire, renew and stop. It is a core:
-// time is an argument and actions are returned.
+// Keeper decides for one process when to acquire, renew and release a lease. It does
+// no input or output: time is an argument and actions are returned. It is not safe
+// for concurrent use.
 type Keeper struct {
 	name   string
 	holder string
 	terms  Terms
 	nonce  func() string
 
-	seen      Lease
-	seenSince time.Duration
-	observed  bool
+	seen      Lease         // last observed state
+	seenSince time.Duration // when that state was first observed
+	observed  bool          // whether any state was observed
 
 	held           bool
 	fencing        uint64
 	renewal        uint64
-	heldUntil      time.Duration // the own lease ends here
-	requestPending bool
+	heldUntil      time.Duration // when this process's lease expires
+	requestPending bool          // an acquire or renewal has no result yet
 	requestSentAt  time.Duration
-	stopped        bool
+	stopped        bool // the lease is to be released and not acquired again
 }
 
-// Action is what the duty around a Keeper must propose.
+// Action is the command that the caller must propose; one field is set.
 type Action struct {
 	Acquire *Acquire
 	Renew   *Renew
@@ -168,7 +172,7 @@
 	return &Keeper{name: name, holder: holder, terms: terms, nonce: nonce}
 }
 
-// Observe takes the state of the lease as applied here.
+// Observe records the state of the lease as applied by the local replica.
 func (ke *Keeper) Observe(now time.Duration, le Lease) {
 	if !ke.observed || le.Fencing != ke.seen.Fencing || le.Renewal != ke.seen.Renewal || le.Holder != ke.seen.Holder {
 		ke.seen, ke.seenSince, ke.observed = le, now, true
@@ -195,8 +199,8 @@
 		if ke.heldUntil-now > 2*ke.terms.Duration/3 {
 			return Action{}, false
 		}
-		// Each send names a new number: a candidate must see every renewal that
-		// the holder counts its lease from.
+		// Each renewal sends a new number: a candidate must be able to observe every
+		// renewal from which the holder counts its lease.
 		ke.renewal++
 		ke.requestPending, ke.requestSentAt = true, now
 
@@ -214,7 +218,7 @@
 	}}, true
 }
 
-// Answered takes the answer to the last acquire or renew.
+// Answered records the result of the last acquire or renewal.
 func (ke *Keeper) Answered(now time.Duration, le Lease, err error) {
 	ke.requestPending = false
 	if err != nil {
@@ -231,8 +235,8 @@
 	ke.seen, ke.seenSince = le, now
 }
 
-// Held returns the fencing number, and false unless an outside call that takes
-// at most MaxCall may start now.
+// Held returns the fencing number, and whether an outside call that takes at most
+// MaxCall may start now.
 func (ke *Keeper) Held(now time.Duration) (uint64, bool) {
 	return ke.fencing, ke.held && !ke.stopped && now < ke.heldUntil
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -11,8 +11,8 @@
 	"github.com/tamarackbay/tamarackbay/internal/lease"
 )
 
-// simulation runs keepers against one table with late, lost and repeated commands,
-// clocks that drift apart and processes that pause at any moment.
+// simulation runs keepers against one table with delayed, lost and duplicate commands,
+// drifting clocks and processes that pause at any time.
 type simulation struct {
 	rnd            *rand.Rand
 	now            time.Duration
@@ -28,7 +28,7 @@
 	keeper      *lease.Keeper
 	clockRate   float64
 	pausedUntil time.Duration
-	callEndsAt  time.Duration // an outside call runs until then
+	callEndsAt  time.Duration // when its last outside call ends
 }
 
 type command struct {
@@ -68,7 +68,7 @@
 
 			continue
 		}
-		if w.rnd.IntN(3) > 0 { // what is applied here may lag
+		if w.rnd.IntN(3) > 0 { // the local replica may lag behind
 			p.keeper.Observe(p.clock(w.now), w.table.Get("fleet"))
 		}
 		if ac, ok := p.keeper.Next(p.clock(w.now)); ok {
@@ -78,7 +78,8 @@
 	}
 }
 
-// startCall starts an outside call when the keeper allows it.
+// startCall starts an outside call if the keeper allows it, and checks that no other
+// process has one in flight.
 func (w *simulation) startCall(i int, p *process) {
 	fencing, ok := p.keeper.Held(p.clock(w.now))
 	if !ok || w.now < p.callEndsAt || w.rnd.IntN(2) == 0 {
@@ -86,10 +87,10 @@
 	}
 	for j, o := range w.procs {
 		if j != i {
-			Expect(w.now).To(BeNumerically(">=", o.callEndsAt), "two processes give orders at once")
+			Expect(w.now).To(BeNumerically(">=", o.callEndsAt), "two processes have outside calls in flight")
 		}
 	}
-	Expect(fencing).To(BeNumerically(">=", w.highestFencing), "a fencing number fell")
+	Expect(fencing).To(BeNumerically(">=", w.highestFencing), "the fencing number decreased")
 	w.highestFencing = fencing
 	w.calls++
 	p.callEndsAt = w.now + time.Duration(w.rnd.Int64N(int64(terms.MaxCall)))
@@ -102,7 +103,7 @@
 	}
 	w.queue = append(w.queue, command{w.now + d, from, ac, w.rnd.IntN(8) > 0})
 	if w.rnd.IntN(10) == 0 {
-		w.queue = append(w.queue, command{w.now + 2*d, from, ac, false}) // sent again
+		w.queue = append(w.queue, command{w.now + 2*d, from, ac, false}) // duplicate
 	}
 }
 
@@ -136,18 +137,18 @@
 }
 
 var _ = Describe("keepers of a lease", func() {
-	It("never let two processes act at once, under drift, pauses and lost answers", func() {
+	It("never let two processes act at the same time, despite clock drift, pauses and lost replies", func() {
 		for seed := range uint64(60) {
 			w := newSimulation(seed)
 			for range 20_000 {
 				w.step()
 			}
-			Expect(w.calls).To(BeNumerically(">", 100), "seed %d did nothing", seed)
-			Expect(w.table.Get("fleet").Fencing).To(BeNumerically(">", 2), "seed %d had no change of holder", seed)
+			Expect(w.calls).To(BeNumerically(">", 100), "seed %d: too few outside calls", seed)
+			Expect(w.table.Get("fleet").Fencing).To(BeNumerically(">", 2), "seed %d: the holder never changed", seed)
 		}
 	})
 
-	It("hand over at once after a release", func() {
+	It("let the next process acquire a released lease at once", func() {
 		ta := lease.NewTable(nil)
 		a := lease.NewKeeper("x", "a", terms, func() string { return "1" })
 		a.Observe(0, ta.Get("x"))
