--- a/internal/registry/merged.go
+++ b/internal/registry/merged.go
@@ -17,7 +17,7 @@
 type source struct {
 	statuses  map[string]Status
 	isSettled bool // it has listened longer than a backend server may be silent
-	isFresh   bool
+	isCurrent bool
 }
 
 // NewMerged returns an empty view.
@@ -37,17 +37,17 @@
 		so = &source{statuses: map[string]Status{}}
 		me.sources[name] = so
 	}
-	so.isFresh, so.isSettled = true, isSettled
+	so.isCurrent, so.isSettled = true, isSettled
 	for _, id := range forgotten {
 		delete(so.statuses, id)
 	}
 	for _, st := range changed {
 		so.statuses[st.Record.ID] = st
-		me.learn(st.Record)
+		me.mergeRecord(st.Record)
 	}
 }
 
-func (me *Merged) learn(re Record) {
+func (me *Merged) mergeRecord(re Record) {
 	old, ok := me.known[re.ID]
 	switch {
 	case !ok:
@@ -63,7 +63,7 @@
 // Lost says that a source is not heard any more: it has no say until its next Update.
 func (me *Merged) Lost(name string) {
 	if so, ok := me.sources[name]; ok {
-		so.isFresh = false
+		so.isCurrent = false
 	}
 }
 
@@ -79,7 +79,7 @@
 
 	out := make([]Record, 0, len(me.known))
 	for id, re := range me.known {
-		if me.isForgotten(id) {
+		if me.isUnknownToAll(id) {
 			delete(me.known, id)
 
 			continue
@@ -98,7 +98,7 @@
 func (me *Merged) isLapsed(id string) bool {
 	votes := 0
 	for _, so := range me.sources {
-		if !so.isFresh {
+		if !so.isCurrent {
 			continue
 		}
 		st, ok := so.statuses[id]
@@ -116,7 +116,7 @@
 // isLoading reports whether any source has an order to load weights under way.
 func (me *Merged) isLoading(re *Record) bool {
 	for _, so := range me.sources {
-		if st, ok := so.statuses[re.ID]; ok && so.isFresh && st.Record.IsLoading && st.Record.BornMs == re.BornMs {
+		if st, ok := so.statuses[re.ID]; ok && so.isCurrent && st.Record.IsLoading && st.Record.BornMs == re.BornMs {
 			return true
 		}
 	}
@@ -124,10 +124,10 @@
 	return false
 }
 
-// isForgotten reports whether all sources are settled and none knows the ID.
-func (me *Merged) isForgotten(id string) bool {
+// isUnknownToAll reports whether all sources are settled and none knows the ID.
+func (me *Merged) isUnknownToAll(id string) bool {
 	for _, so := range me.sources {
-		if _, ok := so.statuses[id]; ok || !so.isFresh || !so.isSettled {
+		if _, ok := so.statuses[id]; ok || !so.isCurrent || !so.isSettled {
 			return false
 		}
 	}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -61,34 +61,34 @@
 	return re.Sequence > other.Sequence
 }
 
-// sameBut reports whether two records differ in nothing that decides.
-func (re *Record) sameBut(other *Record) bool {
+// hasSameContent reports whether two records differ in nothing that decides.
+func (re *Record) hasSameContent(other *Record) bool {
 	return re.BornMs == other.BornMs && re.Service == other.Service && re.Address == other.Address &&
 		re.FailureDomain == other.FailureDomain && re.Slots == other.Slots && re.State == other.State && re.IsLoading == other.IsLoading &&
 		slices.Equal(re.Models, other.Models)
 }
 
 type entry struct {
-	record Record
-	heard  time.Duration
-	lapsed bool
+	record    Record
+	lastHeard time.Duration
+	isLapsed  bool
 }
 
-// forgetAfter is how long an incarnation that left or lapsed is remembered, so
+// retentionPeriod is how long an incarnation that left or lapsed is remembered, so
 // that a heartbeat which was held up does not bring it back. It is well above the
 // seconds that a heartbeat can be late.
-const forgetAfter = 2 * time.Minute
+const retentionPeriod = 2 * time.Minute
 
 // Registry is not safe for concurrent use.
 type Registry struct {
-	entries  map[string]*entry
-	revision uint64
-	lapse    time.Duration
+	entries    map[string]*entry
+	revision   uint64
+	lapseAfter time.Duration
 }
 
 // New returns a registry in which a backend server lapses after a silence of lapse.
 func New(lapse time.Duration) *Registry {
-	return &Registry{entries: map[string]*entry{}, lapse: lapse}
+	return &Registry{entries: map[string]*entry{}, lapseAfter: lapse}
 }
 
 // Revision rises with each change that decides something.
@@ -110,8 +110,8 @@
 	if ok && old.record.BornMs == re.BornMs {
 		re.IsLoading = old.record.IsLoading // only the process that gives the order knows
 	}
-	changed := !ok || old.lapsed || !re.sameBut(&old.record)
-	rg.entries[re.ID] = &entry{record: re, heard: now}
+	changed := !ok || old.isLapsed || !re.hasSameContent(&old.record)
+	rg.entries[re.ID] = &entry{record: re, lastHeard: now}
 	if changed {
 		rg.revision++
 	}
@@ -135,7 +135,7 @@
 func (rg *Registry) Leave(now time.Duration, id string, bornMs int64) bool {
 	en, ok := rg.entries[id]
 	if !ok {
-		rg.entries[id] = &entry{record: Record{ID: id, BornMs: bornMs, State: Left}, heard: now}
+		rg.entries[id] = &entry{record: Record{ID: id, BornMs: bornMs, State: Left}, lastHeard: now}
 		rg.revision++
 
 		return true
@@ -144,7 +144,7 @@
 		return false
 	}
 
-	en.record.State, en.heard = Left, now
+	en.record.State, en.lastHeard = Left, now
 	en.record.BornMs = max(en.record.BornMs, bornMs)
 	rg.revision++
 
@@ -184,13 +184,13 @@
 func (rg *Registry) Sweep(now time.Duration) []string {
 	var out []string
 	for id, en := range rg.entries {
-		silent := now - en.heard
+		silent := now - en.lastHeard
 		switch {
-		case silent > forgetAfter:
+		case silent > retentionPeriod:
 			delete(rg.entries, id)
 			rg.revision++
-		case silent > rg.lapse && !en.lapsed && en.record.State != Left:
-			en.lapsed = true
+		case silent > rg.lapseAfter && !en.isLapsed && en.record.State != Left:
+			en.isLapsed = true
 			rg.revision++
 			out = append(out, id)
 		}
@@ -209,7 +209,7 @@
 func (rg *Registry) All() []Status {
 	out := make([]Status, 0, len(rg.entries))
 	for _, en := range rg.entries {
-		out = append(out, Status{Record: en.record, IsLapsed: en.lapsed})
+		out = append(out, Status{Record: en.record, IsLapsed: en.isLapsed})
 	}
 	slices.SortFunc(out, func(a, b Status) int { return strings.Compare(a.Record.ID, b.Record.ID) })
 
@@ -217,7 +217,7 @@
 }
 
 // Equal reports whether two records say the same.
-func (re *Record) Equal(other *Record) bool { return re.ID == other.ID && re.sameBut(other) }
+func (re *Record) Equal(other *Record) bool { return re.ID == other.ID && re.hasSameContent(other) }
 
 // TellChanges logs what differs between two lists in the order of their IDs.
 func TellChanges(lo log.Interface, old, next []Record) {
@@ -229,7 +229,7 @@
 		re := &next[i]
 		o, ok := before[re.ID]
 		delete(before, re.ID)
-		if ok && o.sameBut(re) {
+		if ok && o.hasSameContent(re) {
 			continue
 		}
 		fl := log.Fields{
