--- a/internal/weights/joint.go
+++ b/internal/weights/joint.go
@@ -37,15 +37,15 @@
 // trained, each has a part of the engines as its home, since no engine could
 // follow the versions of all.
 type Joint struct {
-	orders
-	home map[string]string // server to model
+	orderTracker
+	homes map[string]string // server to model
 }
 
 // NewJoint returns a planner that knows nothing yet.
-func NewJoint() *Joint { return &Joint{orders: newOrders(), home: map[string]string{}} }
+func NewJoint() *Joint { return &Joint{orderTracker: newOrderTracker(), homes: map[string]string{}} }
 
 // Home returns the model whose versions an engine follows.
-func (jo *Joint) Home(server string) string { return jo.home[server] }
+func (jo *Joint) Home(server string) string { return jo.homes[server] }
 
 // Next returns the orders to give now; at most wave engines load at once. A model
 // with fewer engines at its newest version goes first, and in it the engine that
@@ -53,7 +53,7 @@
 func (jo *Joint) Next(now time.Duration, targets []Target, hosts []Host, wave int) []Swap {
 	targets = slices.SortedFunc(slices.Values(targets), func(a, b Target) int { return cmp.Compare(a.Model, b.Model) })
 	hosts = slices.SortedFunc(slices.Values(hosts), func(a, b Host) int { return cmp.Compare(a.Server, b.Server) })
-	jo.settle(targets, hosts)
+	jo.assignHomes(targets, hosts)
 
 	byModel := map[string]Target{}
 	current := map[string]int{} // engines at the newest version, or on their way
@@ -62,78 +62,78 @@
 	}
 	var due []Host
 	for _, ho := range hosts {
-		ta := byModel[jo.home[ho.Server]]
-		if ho.Versions[ta.Model] >= ta.Version || jo.running[ho.Server] != "" {
+		ta := byModel[jo.homes[ho.Server]]
+		if ho.Versions[ta.Model] >= ta.Version || jo.inFlight[ho.Server] != "" {
 			current[ta.Model]++
-		} else if !jo.mustWait(now, ho.Server) {
+		} else if !jo.isBackingOff(now, ho.Server) {
 			due = append(due, ho)
 		}
 	}
 
 	var out []Swap
-	for len(jo.running) < wave && len(due) > 0 {
+	for len(jo.inFlight) < wave && len(due) > 0 {
 		best := slices.MinFunc(due, func(a, b Host) int {
-			ma, mb := jo.home[a.Server], jo.home[b.Server]
+			ma, mb := jo.homes[a.Server], jo.homes[b.Server]
 
 			return cmp.Or(cmp.Compare(current[ma], current[mb]), cmp.Compare(a.Running, b.Running), cmp.Compare(a.Server, b.Server))
 		})
-		model := jo.home[best.Server]
+		model := jo.homes[best.Server]
 		out = append(out, Swap{Server: best.Server, Model: model, Version: byModel[model].Version})
 		current[model]++
-		jo.running[best.Server] = Load
+		jo.inFlight[best.Server] = Load
 		due = slices.DeleteFunc(due, func(ho Host) bool { return ho.Server == best.Server })
 	}
 
 	return out
 }
 
-// settle gives each engine a home. An engine moves only when the parts changed by
+// assignHomes gives each engine a home. An engine moves only when the parts changed by
 // a whole engine.
-func (jo *Joint) settle(targets []Target, hosts []Host) {
+func (jo *Joint) assignHomes(targets []Target, hosts []Host) {
 	alive := map[string]bool{}
 	for _, ho := range hosts {
 		alive[ho.Server] = true
 	}
-	for server := range jo.home {
+	for server := range jo.homes {
 		if !alive[server] {
-			delete(jo.home, server)
+			delete(jo.homes, server)
 		}
 	}
 	if len(targets) == 0 {
 		return
 	}
 
-	want := parts(targets, len(hosts))
+	want := divideHosts(targets, len(hosts))
 	have := map[string]int{}
-	for server, model := range jo.home {
+	for server, model := range jo.homes {
 		if _, ok := want[model]; !ok {
-			delete(jo.home, server)
+			delete(jo.homes, server)
 
 			continue
 		}
 		have[model]++
 	}
 	for _, ho := range hosts {
-		if model, ok := jo.home[ho.Server]; ok && have[model] > want[model]+moveSlack(want, have) {
+		if model, ok := jo.homes[ho.Server]; ok && have[model] > want[model]+allowedSurplus(want, have) {
 			have[model]--
-			delete(jo.home, ho.Server)
+			delete(jo.homes, ho.Server)
 		}
 	}
 	for _, ho := range hosts {
-		if _, ok := jo.home[ho.Server]; ok {
+		if _, ok := jo.homes[ho.Server]; ok {
 			continue
 		}
 		best := slices.MaxFunc(targets, func(a, b Target) int {
 			return cmp.Compare(want[a.Model]-have[a.Model], want[b.Model]-have[b.Model])
 		})
-		jo.home[ho.Server] = best.Model
+		jo.homes[ho.Server] = best.Model
 		have[best.Model]++
 	}
 }
 
-// moveSlack lets the parts be one engine off while every model has what it needs,
+// allowedSurplus lets the parts be one engine off while every model has what it needs,
 // so that a demand that wavers moves nothing.
-func moveSlack(want, have map[string]int) int {
+func allowedSurplus(want, have map[string]int) int {
 	for model, n := range want {
 		if have[model] < min(n, minHosts) || have[model] < n-1 {
 			return 0
@@ -143,9 +143,9 @@
 	return 1
 }
 
-// parts divides n engines among models: in the middle between equal parts, which
+// divideHosts divides n engines among models: in the middle between equal parts, which
 // bear the loss of an engine best, and the parts of their demand.
-func parts(targets []Target, n int) map[string]int {
+func divideHosts(targets []Target, n int) map[string]int {
 	total := 0.0
 	for _, ta := range targets {
 		total += ta.Demand
--- a/internal/weights/joint_test.go
+++ b/internal/weights/joint_test.go
@@ -10,16 +10,16 @@
 	"github.com/tamarackbay/tamarackbay/internal/weights"
 )
 
-// engines plays loads of a fixed time and counts how many run at once.
-type engines struct {
-	hosts  []weights.Host
-	ends   map[string]time.Duration
-	orders map[string]weights.Swap
-	most   int
+// fakeEngines plays loads of a fixed time and counts how many run at once.
+type fakeEngines struct {
+	hosts      []weights.Host
+	loadEndsAt map[string]time.Duration
+	orders     map[string]weights.Swap
+	maxLoading int
 }
 
-func newEngines(n int, models ...string) *engines {
-	en := &engines{ends: map[string]time.Duration{}, orders: map[string]weights.Swap{}}
+func newFakeEngines(n int, models ...string) *fakeEngines {
+	en := &fakeEngines{loadEndsAt: map[string]time.Duration{}, orders: map[string]weights.Swap{}}
 	for i := range n {
 		versions := map[string]uint64{}
 		for _, mo := range models {
@@ -31,26 +31,26 @@
 	return en
 }
 
-func (en *engines) step(now, load time.Duration, jo *weights.Joint, targets []weights.Target, wave int) {
-	for server, end := range en.ends {
+func (en *fakeEngines) step(now, load time.Duration, jo *weights.Joint, targets []weights.Target, wave int) {
+	for server, end := range en.loadEndsAt {
 		if now >= end {
 			for i := range en.hosts {
 				if en.hosts[i].Server == server {
 					en.hosts[i].Versions[en.orders[server].Model] = en.orders[server].Version
 				}
 			}
-			delete(en.ends, server)
+			delete(en.loadEndsAt, server)
 			jo.Done(now, server, true)
 		}
 	}
 	for _, sw := range jo.Next(now, targets, en.hosts, wave) {
-		Expect(en.ends).NotTo(HaveKey(sw.Server), "an engine carries out one order at a time")
-		en.ends[sw.Server], en.orders[sw.Server] = now+load, sw
+		Expect(en.loadEndsAt).NotTo(HaveKey(sw.Server), "an engine carries out one order at a time")
+		en.loadEndsAt[sw.Server], en.orders[sw.Server] = now+load, sw
 	}
-	en.most = max(en.most, len(en.ends))
+	en.maxLoading = max(en.maxLoading, len(en.loadEndsAt))
 }
 
-func (en *engines) eligible(model string, min uint64) int {
+func (en *fakeEngines) eligible(model string, min uint64) int {
 	n := 0
 	for _, ho := range en.hosts {
 		if ho.Versions[model] >= min {
@@ -65,7 +65,7 @@
 	const load, tick = 900 * time.Millisecond, 50 * time.Millisecond
 
 	ginkgo.It("keep up with two models that are trained at once, each step finding engines ready", func() {
-		jo, en := weights.NewJoint(), newEngines(8, "short", "long")
+		jo, en := weights.NewJoint(), newFakeEngines(8, "short", "long")
 		targets := []weights.Target{{Model: "long", Version: 1, Demand: 3}, {Model: "short", Version: 1, Demand: 1}}
 		// Each model's trainer names a version every 4.5 s; its step then takes engines
 		// that are at most one version behind.
@@ -81,7 +81,7 @@
 			}
 			en.step(now, load, jo, targets, 2)
 		}
-		Expect(en.most).To(Equal(2))
+		Expect(en.maxLoading).To(Equal(2))
 	})
 
 	ginkgo.It("divide the engines by demand but leave each model two", func() {
@@ -97,7 +97,7 @@
 			{[]float64{1, 1, 1, 1}, 40, []int{10, 10, 10, 10}},
 			{[]float64{0, 0}, 3, []int{2, 1}},
 		} {
-			jo, en := weights.NewJoint(), newEngines(tc.n, "a", "b", "c", "d")
+			jo, en := weights.NewJoint(), newFakeEngines(tc.n, "a", "b", "c", "d")
 			var targets []weights.Target
 			for i, d := range tc.demands {
 				targets = append(targets, weights.Target{Model: string(rune('a' + i)), Version: 2, Demand: d})
@@ -112,7 +112,7 @@
 	})
 
 	ginkgo.It("move no engine for a demand that wavers", func() {
-		jo, en := weights.NewJoint(), newEngines(8, "a", "b")
+		jo, en := weights.NewJoint(), newFakeEngines(8, "a", "b")
 		jo.Next(0, []weights.Target{{"a", 1, 1}, {"b", 1, 1}}, en.hosts, 2)
 		before := map[string]string{}
 		for _, ho := range en.hosts {
@@ -125,7 +125,7 @@
 	})
 
 	ginkgo.It("go on with the other engines when one fails its orders", func() {
-		jo, en := weights.NewJoint(), newEngines(3, "a")
+		jo, en := weights.NewJoint(), newFakeEngines(3, "a")
 		targets := []weights.Target{{"a", 2, 1}}
 		first := jo.Next(0, targets, en.hosts, 1)
 		Expect(first).To(HaveLen(1))
--- a/internal/weights/weights.go
+++ b/internal/weights/weights.go
@@ -33,20 +33,20 @@
 
 // Planner remembers what runs and what failed for one model.
 type Planner struct {
-	orders
-	target string
+	orderTracker
+	targetVersion string
 }
 
 // NewPlanner returns a planner that knows nothing yet.
-func NewPlanner() *Planner { return &Planner{orders: newOrders()} }
+func NewPlanner() *Planner { return &Planner{orderTracker: newOrderTracker()} }
 
 // Next returns the orders to give now so that all engines come to serve target.
 // At most wave engines load at once; engines whose requests run longest wait
 // while idle ones go first, so that the least work sees a change of version.
 func (pl *Planner) Next(now time.Duration, target string, engines []Engine, wave int) []Action {
-	if target != pl.target {
+	if target != pl.targetVersion {
 		// A newer version overtakes a rollout: failures of the old one do not count.
-		pl.target = target
+		pl.targetVersion = target
 		clear(pl.failedAt)
 		clear(pl.failures)
 	}
@@ -56,7 +56,7 @@
 
 	var out []Action
 	loading := 0
-	for _, kind := range pl.running {
+	for _, kind := range pl.inFlight {
 		if kind == Load {
 			loading++
 		}
@@ -70,7 +70,7 @@
 		return sorted[i].Server < sorted[j].Server
 	})
 	for _, en := range sorted {
-		if !en.IsReady || en.Version == target || pl.running[en.Server] != "" || pl.mustWait(now, en.Server) {
+		if !en.IsReady || en.Version == target || pl.inFlight[en.Server] != "" || pl.isBackingOff(now, en.Server) {
 			continue
 		}
 		switch {
@@ -82,7 +82,7 @@
 		}
 	}
 	for _, a := range out {
-		pl.running[a.Server] = a.Kind
+		pl.inFlight[a.Server] = a.Kind
 	}
 
 	return out
