--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -42,9 +42,9 @@
 
 // Planner remembers the demand of one class.
 type Planner struct {
-	isLow    bool // fewer than there are would do
-	lowSince time.Duration
-	lowPeak  int // most that was wanted since
+	hasSurplus   bool // fewer than there are would do
+	surplusSince time.Duration
+	peakWanted   int // most that was wanted since
 }
 
 // NewPlanner returns a planner that knows nothing yet.
@@ -74,15 +74,15 @@
 	de := Decision{Want: want}
 	switch {
 	case want > total || pl.belowMinimum(in.Bounds, counts):
-		pl.isLow = false
-		de.Start = starts(in.Bounds, counts, max(want-total, 0))
+		pl.hasSurplus = false
+		de.Start = selectStarts(in.Bounds, counts, max(want-total, 0))
 		de.Why = fmt.Sprintf("%d run and %d wait: %d wanted, %d there", in.Running, in.Waiting, want, total)
 	case want < total:
-		n := pl.shrink(in, want, total)
-		de.Stop = stops(in, counts, n)
-		de.Why = fmt.Sprintf("%d wanted, %d there, fewer were enough for %v", want, total, in.Now-pl.lowSince)
+		n := pl.countToStop(in, want, total)
+		de.Stop = selectStops(in, counts, n)
+		de.Why = fmt.Sprintf("%d wanted, %d there, fewer were enough for %v", want, total, in.Now-pl.surplusSince)
 	default:
-		pl.isLow = false
+		pl.hasSurplus = false
 		de.Why = fmt.Sprintf("%d wanted, %d there", want, total)
 	}
 
@@ -99,9 +99,9 @@
 	return false
 }
 
-// starts spreads n new backend servers over the failure domains that have fewest,
+// selectStarts spreads n new backend servers over the failure domains that have fewest,
 // and fills each up to its minimum.
-func starts(bo declaration.Fleet, counts map[string]int, n int) []string {
+func selectStarts(bo declaration.Fleet, counts map[string]int, n int) []string {
 	var out []string
 	have := map[string]int{}
 	for _, d := range bo.FailureDomains {
@@ -128,26 +128,26 @@
 	return out
 }
 
-// shrink returns how many to give back: what was never wanted for the whole idle
+// countToStop returns how many to give back: what was never wanted for the whole idle
 // time, so that a short lull gives nothing back.
-func (pl *Planner) shrink(in Input, want, total int) int {
-	if !pl.isLow {
-		pl.isLow, pl.lowSince, pl.lowPeak = true, in.Now, want
+func (pl *Planner) countToStop(in Input, want, total int) int {
+	if !pl.hasSurplus {
+		pl.hasSurplus, pl.surplusSince, pl.peakWanted = true, in.Now, want
 	}
-	pl.lowPeak = max(pl.lowPeak, want)
-	if in.Now < pl.lowSince+in.Bounds.Idle() {
+	pl.peakWanted = max(pl.peakWanted, want)
+	if in.Now < pl.surplusSince+in.Bounds.Idle() {
 		return 0
 	}
 
-	n := total - pl.lowPeak
-	pl.lowSince, pl.lowPeak = in.Now, want
+	n := total - pl.peakWanted
+	pl.surplusSince, pl.peakWanted = in.Now, want
 
 	return n
 }
 
-// stops picks what to give back: from the failure domains that have most, the
+// selectStops picks what to give back: from the failure domains that have most, the
 // backend servers with the least work, never below a domain's minimum.
-func stops(in Input, counts map[string]int, n int) []string {
+func selectStops(in Input, counts map[string]int, n int) []string {
 	cands := make([]Server, 0, len(in.Servers))
 	for _, se := range in.Servers {
 		if !se.IsDraining && se.Name != "" {
