--- a/internal/registry/merged.go
+++ b/internal/registry/merged.go
@@ -5,32 +5,32 @@
 	"strings"
 )
 
-// Merged joins what several sources know, each a process that takes heartbeats.
-// A backend server that any source hears is alive; one that no source knows any
-// more is kept until a source that has listened long enough says so. It is not
-// safe for concurrent use.
+// Merged combines the registries of several sources, each a process that receives
+// heartbeats. A backend server is alive while any source receives its heartbeats. One
+// that no source knows any more is retained until a source that has listened long
+// enough sends an update without it. Merged is not safe for concurrent use.
 type Merged struct {
 	sources map[string]*source
-	known   map[string]Record // the newest of each ID, with its address still its own
+	known   map[string]Record // the newest record of each ID
 }
 
 type source struct {
 	statuses  map[string]Status
 	isSettled bool // it has listened longer than a backend server may be silent
-	isCurrent bool
+	isCurrent bool // updated since the last Reset or Lost; other sources don't count
 }
 
-// NewMerged returns an empty view.
+// NewMerged returns a view without sources.
 func NewMerged() *Merged {
 	return &Merged{sources: map[string]*source{}, known: map[string]Record{}}
 }
 
-// Reset forgets what a source told: its next Update holds everything.
+// Reset discards the statuses of a source, whose next Update is complete.
 func (me *Merged) Reset(name string) {
 	me.sources[name] = &source{statuses: map[string]Status{}}
 }
 
-// Update takes what changed at one source.
+// Update applies the changes at one source.
 func (me *Merged) Update(name string, changed []Status, forgotten []string, isSettled bool) {
 	so, ok := me.sources[name]
 	if !ok {
@@ -47,6 +47,8 @@
 	}
 }
 
+// mergeRecord keeps the newer of the known and the given record. A server that has left
+// stays so for the same incarnation.
 func (me *Merged) mergeRecord(re Record) {
 	old, ok := me.known[re.ID]
 	switch {
@@ -60,17 +62,17 @@
 	me.known[re.ID] = re
 }
 
-// Lost says that a source is not heard any more: it has no say until its next Update.
+// Lost marks a source as unreachable: it is ignored until its next Update.
 func (me *Merged) Lost(name string) {
 	if so, ok := me.sources[name]; ok {
 		so.isCurrent = false
 	}
 }
 
-// Live returns the backend servers that have neither left nor lapsed, in the order
-// of their IDs.
+// Live returns the backend servers that have neither left nor lapsed, sorted by ID. Of
+// several at one address only the last incarnation counts.
 func (me *Merged) Live() []Record {
-	latest := map[string]int64{} // address to the start of its last incarnation
+	latest := map[string]int64{} // address to BornMs of its last incarnation
 	for _, re := range me.known {
 		if re.State != Left {
 			latest[re.Address] = max(latest[re.Address], re.BornMs)
@@ -94,7 +96,8 @@
 	return out
 }
 
-// isLapsed reports whether every source that has a say misses the backend server.
+// isLapsed reports whether no current source finds the backend server alive and at
+// least one finds it lapsed or, being settled, doesn't know it.
 func (me *Merged) isLapsed(id string) bool {
 	votes := 0
 	for _, so := range me.sources {
@@ -113,7 +116,8 @@
 	return votes > 0
 }
 
-// isLoading reports whether any source has an order to load weights under way.
+// isLoading reports whether any current source has an order to load weights in flight at this
+// incarnation.
 func (me *Merged) isLoading(re *Record) bool {
 	for _, so := range me.sources {
 		if st, ok := so.statuses[re.ID]; ok && so.isCurrent && st.Record.IsLoading && st.Record.BornMs == re.BornMs {
@@ -124,7 +128,8 @@
 	return false
 }
 
-// isUnknownToAll reports whether all sources are settled and none knows the ID.
+// isUnknownToAll reports whether all sources are current and settled, and none knows
+// the ID.
 func (me *Merged) isUnknownToAll(id string) bool {
 	for _, so := range me.sources {
 		if _, ok := so.statuses[id]; ok || !so.isCurrent || !so.isSettled {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,6 +1,6 @@
-// Package registry knows the backend servers from what they say of themselves:
-// heartbeats that come late, out of order, from processes that have ended since,
-// and several at one address. It is a core: time is an argument.
+// Package registry tracks the backend servers by their heartbeats, which may arrive
+// late, out of order, from processes that have ended since, and from several processes
+// at one address. It does no input or output: time is an argument.
 package registry
 
 import (
@@ -11,14 +11,14 @@
 	"github.com/apex/log"
 )
 
-// State is what a backend server says of itself.
+// State is the state that a backend server reports.
 type State uint8
 
 // States of a backend server.
 const (
 	Ready State = iota + 1
 	Draining
-	Left // it said that it leaves; it serves a little longer what it has
+	Left // it reported that it leaves; for a short time it still serves the requests it has
 )
 
 // Model is a model that a backend server has loaded.
@@ -27,7 +27,7 @@
 	Version uint64 `cbor:"2,keyasint"` // of its weights
 }
 
-// Record is what is known of one incarnation of a backend server.
+// Record is the last known state of one incarnation of a backend server.
 type Record struct {
 	ID            string  `cbor:"1,keyasint"`
 	BornMs        int64   `cbor:"2,keyasint"` // start of the incarnation, Unix milliseconds
@@ -38,10 +38,10 @@
 	Slots         int     `cbor:"7,keyasint"` // requests that it runs at once
 	State         State   `cbor:"8,keyasint"`
 	Models        []Model `cbor:"9,keyasint"`
-	IsLoading     bool    `cbor:"11,keyasint"` // it loads weights, and refuses requests that have not started
+	IsLoading     bool    `cbor:"11,keyasint"` // it loads weights and refuses requests that it hasn't started
 }
 
-// Version returns the weight version of model here, 0 when it is not loaded.
+// Version returns the weight version of model on this server, 0 if it is not loaded.
 func (re *Record) Version(model string) uint64 {
 	for _, mo := range re.Models {
 		if mo.Name == model {
@@ -52,7 +52,7 @@
 	return 0
 }
 
-// isNewer reports whether re was said after other by the same backend server.
+// isNewer reports whether the same backend server sent re after other.
 func (re *Record) isNewer(other *Record) bool {
 	if re.BornMs != other.BornMs {
 		return re.BornMs > other.BornMs
@@ -61,7 +61,8 @@
 	return re.Sequence > other.Sequence
 }
 
-// hasSameContent reports whether two records differ in nothing that decides.
+// hasSameContent reports whether two records are equal apart from the ID and the sequence
+// number.
 func (re *Record) hasSameContent(other *Record) bool {
 	return re.BornMs == other.BornMs && re.Service == other.Service && re.Address == other.Address &&
 		re.FailureDomain == other.FailureDomain && re.Slots == other.Slots && re.State == other.State && re.IsLoading == other.IsLoading &&
@@ -70,16 +71,17 @@
 
 type entry struct {
 	record    Record
-	lastHeard time.Duration
-	isLapsed  bool
+	lastHeard time.Duration // time of the last heartbeat or leave notice
+	isLapsed  bool          // silent for longer than lapseAfter
 }
 
-// retentionPeriod is how long an incarnation that left or lapsed is remembered, so
-// that a heartbeat which was held up does not bring it back. It is well above the
-// seconds that a heartbeat can be late.
+// retentionPeriod is how long a backend server is retained after its last heartbeat or
+// leave notice, so that a delayed heartbeat does not restore one that has left or lapsed.
+// It is well above the seconds by which a heartbeat can be late.
 const retentionPeriod = 2 * time.Minute
 
-// Registry is not safe for concurrent use.
+// Registry holds the last known state of all backend servers. It is not safe for
+// concurrent use.
 type Registry struct {
 	entries    map[string]*entry
 	revision   uint64
@@ -91,24 +93,25 @@
 	return &Registry{entries: map[string]*entry{}, lapseAfter: lapse}
 }
 
-// Revision rises with each change that decides something.
+// Revision returns a number that rises with each change of anything but sequence numbers.
 func (rg *Registry) Revision() uint64 { return rg.revision }
 
-// Observe takes a heartbeat and reports whether it changed what is known.
+// Observe records a heartbeat and reports whether it changed anything but the sequence
+// number. It ignores heartbeats that are out of date.
 func (rg *Registry) Observe(now time.Duration, re Record) bool {
 	old, ok := rg.entries[re.ID]
 	if ok && !re.isNewer(&old.record) {
 		return false
 	}
 	if ok && old.record.BornMs == re.BornMs && old.record.State == Left {
-		return false // a heartbeat that was sent before it left
+		return false // a heartbeat sent before it left
 	}
 	if rg.isSuperseded(&re) {
 		return false
 	}
 
 	if ok && old.record.BornMs == re.BornMs {
-		re.IsLoading = old.record.IsLoading // only the process that gives the order knows
+		re.IsLoading = old.record.IsLoading // set by the process that gives the order, not by heartbeats
 	}
 	changed := !ok || old.isLapsed || !re.hasSameContent(&old.record)
 	rg.entries[re.ID] = &entry{record: re, lastHeard: now}
@@ -130,8 +133,8 @@
 	return false
 }
 
-// Leave notes that a backend server leaves. bornMs is 0 where it did not say which
-// incarnation leaves. It reports whether anything changed.
+// Leave records that a backend server leaves and reports whether anything changed.
+// bornMs is 0 if the incarnation is unknown.
 func (rg *Registry) Leave(now time.Duration, id string, bornMs int64) bool {
 	en, ok := rg.entries[id]
 	if !ok {
@@ -151,8 +154,8 @@
 	return true
 }
 
-// SetVersion notes a weight version that was read from the backend server itself,
-// before its next heartbeat tells it.
+// SetVersion records a weight version that was read from the backend server itself,
+// before its next heartbeat reports it. It reports whether anything changed.
 func (rg *Registry) SetVersion(id string, bornMs int64, model string, version uint64) bool {
 	en, ok := rg.entries[id]
 	if !ok || en.record.BornMs != bornMs || en.record.Version(model) == version {
@@ -172,7 +175,7 @@
 	return false
 }
 
-// SetLoading notes whether an order to load weights is under way.
+// SetLoading records whether an order to load weights is in flight.
 func (rg *Registry) SetLoading(id string, bornMs int64, isLoading bool) {
 	if en, ok := rg.entries[id]; ok && en.record.BornMs == bornMs && en.record.IsLoading != isLoading {
 		en.record.IsLoading = isLoading
@@ -180,7 +183,8 @@
 	}
 }
 
-// Sweep marks the backend servers that fell silent, and returns their IDs.
+// Sweep marks backend servers as lapsed after too long a silence and returns the IDs of
+// those newly marked. It removes those silent for longer than retentionPeriod.
 func (rg *Registry) Sweep(now time.Duration) []string {
 	var out []string
 	for id, en := range rg.entries {
@@ -199,13 +203,13 @@
 	return out
 }
 
-// Status is a record with what the registry makes of it.
+// Status is a record and whether its backend server is silent.
 type Status struct {
 	Record   Record `cbor:"1,keyasint"`
-	IsLapsed bool   `cbor:"2,keyasint"` // it fell silent
+	IsLapsed bool   `cbor:"2,keyasint"` // no heartbeat for too long
 }
 
-// All returns everything known, in the order of the IDs.
+// All returns all records, sorted by ID.
 func (rg *Registry) All() []Status {
 	out := make([]Status, 0, len(rg.entries))
 	for _, en := range rg.entries {
@@ -216,10 +220,10 @@
 	return out
 }
 
-// Equal reports whether two records say the same.
+// Equal reports whether two records are equal apart from the sequence number.
 func (re *Record) Equal(other *Record) bool { return re.ID == other.ID && re.hasSameContent(other) }
 
-// TellChanges logs what differs between two lists in the order of their IDs.
+// TellChanges logs the differences between two lists of records.
 func TellChanges(lo log.Interface, old, next []Record) {
 	before := make(map[string]*Record, len(old))
 	for i := range old {
@@ -239,11 +243,11 @@
 		if ok {
 			lo.WithFields(fl).Info("backend server changed")
 		} else {
-			lo.WithFields(fl).Info("backend server known")
+			lo.WithFields(fl).Info("backend server added")
 		}
 	}
 	for id, re := range before {
-		lo.WithFields(log.Fields{"server": id, "service": re.Service, "address": re.Address}).Info("backend server gone")
+		lo.WithFields(log.Fields{"server": id, "service": re.Service, "address": re.Address}).Info("backend server removed")
 	}
 }
 
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -34,7 +34,7 @@
 var _ = ginkgo.Describe("the registry of backend servers", func() {
 	const lapse = 4 * time.Second
 
-	ginkgo.It("is not misled by heartbeats that come late or out of order", func() {
+	ginkgo.It("ignores outdated heartbeats that arrive late or out of order", func() {
 		for _, tc := range []struct {
 			name  string
 			beats []registry.Record
@@ -43,10 +43,10 @@
 			{"an older heartbeat of the same incarnation", []registry.Record{
 				record("i", "x", 1, 5, registry.Draining), record("i", "x", 1, 4, registry.Ready),
 			}, nil},
-			{"an ended incarnation at an address that was taken over", []registry.Record{
+			{"an ended incarnation whose address another server has taken over", []registry.Record{
 				record("j", "x", 9, 1, registry.Ready), record("i", "x", 1, 7, registry.Ready),
 			}, []string{"j"}},
-			{"an incarnation under the same ID whose counts start anew", []registry.Record{
+			{"a new incarnation under the same ID whose sequence restarts", []registry.Record{
 				record("i", "x", 1, 50, registry.Draining), record("i", "x", 9, 1, registry.Ready),
 			}, []string{"i"}},
 		} {
@@ -58,7 +58,7 @@
 		}
 	})
 
-	ginkgo.It("does not bring back what has left, until it starts again", func() {
+	ginkgo.It("does not restore a backend server that has left until it restarts", func() {
 		rg := registry.New(lapse)
 		rg.Observe(0, record("i", "x", 1, 5, registry.Ready))
 		Expect(rg.Leave(0, "i", 0)).To(BeTrue())
@@ -69,7 +69,7 @@
 		Expect(alive(rg)).To(Equal([]string{"i"}))
 	})
 
-	ginkgo.It("tells the silent, once, and takes them back", func() {
+	ginkgo.It("reports a silent backend server once and restores it at its next heartbeat", func() {
 		rg := registry.New(lapse)
 		rg.Observe(0, record("i", "x", 1, 5, registry.Ready))
 		Expect(rg.Sweep(lapse)).To(BeEmpty())
@@ -79,7 +79,7 @@
 		Expect(alive(rg)).To(Equal([]string{"i"}))
 	})
 
-	ginkgo.It("changes nothing for a heartbeat that says nothing new, and keeps what only it knows", func() {
+	ginkgo.It("keeps its revision and IsLoading at a heartbeat without changes", func() {
 		rg := registry.New(lapse)
 		rg.Observe(0, record("i", "x", 1, 5, registry.Ready))
 		rg.SetLoading("i", 1, true)
@@ -90,7 +90,7 @@
 	})
 })
 
-var _ = ginkgo.Describe("the view of several controllers", func() {
+var _ = ginkgo.Describe("the merged view of several controllers", func() {
 	live := func(me *registry.Merged) []string {
 		var out []string
 		for _, re := range me.Live() {
@@ -103,7 +103,7 @@
 		return []registry.Status{{Record: record("i", "x", 1, 5, registry.Ready), IsLapsed: isLapsed}}
 	}
 
-	ginkgo.It("keeps a backend server as long as any controller hears it", func() {
+	ginkgo.It("keeps a backend server alive while any controller receives its heartbeats", func() {
 		me := registry.NewMerged()
 		me.Update("a", status(false), nil, true)
 		me.Update("b", status(true), nil, true)
@@ -112,26 +112,26 @@
 		Expect(live(me)).To(BeEmpty())
 	})
 
-	ginkgo.It("keeps what it knows while the controllers start anew, until one has listened long enough", func() {
+	ginkgo.It("retains backend servers while controllers restart, until one is settled", func() {
 		me := registry.NewMerged()
 		me.Update("a", status(false), nil, true)
 		me.Lost("a")
 		me.Reset("a")
-		Expect(live(me)).To(Equal([]string{"i"}), "no controller has a say")
+		Expect(live(me)).To(Equal([]string{"i"}), "no controller is current")
 		me.Update("a", nil, nil, false)
-		Expect(live(me)).To(Equal([]string{"i"}), "it has only just started")
+		Expect(live(me)).To(Equal([]string{"i"}), "the controller is not settled yet")
 		me.Update("a", nil, nil, true)
 		Expect(live(me)).To(BeEmpty())
 	})
 
-	ginkgo.It("drops what one controller knows to have left, whatever an older one says", func() {
+	ginkgo.It("drops a backend server that one controller saw leave, even if another reports it ready", func() {
 		me := registry.NewMerged()
 		me.Update("a", []registry.Status{{Record: record("i", "x", 1, 5, registry.Left)}}, nil, true)
 		me.Update("b", status(false), nil, true)
 		Expect(live(me)).To(BeEmpty())
 	})
 
-	ginkgo.It("says that an engine loads if any controller does", func() {
+	ginkgo.It("reports an engine as loading if any controller does", func() {
 		me := registry.NewMerged()
 		loading := status(false)
 		loading[0].Record.IsLoading = true
