--- a/internal/weights/joint.go
+++ b/internal/weights/joint.go
@@ -6,19 +6,18 @@
 	"time"
 )
 
-// Target is the newest version of a model, with how much of the engines' work it
-// makes up.
+// Target is the newest version of a model and its share of the engines' work.
 type Target struct {
 	Model   string
 	Version uint64
-	Demand  float64 // tokens or events generated lately, relative to the other models
+	Demand  float64 // tokens or events generated recently; only the ratio to other models counts
 }
 
 // Host is an engine that serves several models at once.
 type Host struct {
 	Server   string
 	Versions map[string]uint64 // by model
-	Running  int
+	Running  int               // items in flight
 }
 
 // Swap is one order: load a version on an engine.
@@ -28,35 +27,35 @@
 	Version uint64
 }
 
-// minHosts is the number of engines that each model keeps, so that the loss of one
-// leaves it one.
+// minHosts is the number of engines that each model retains if there are enough, so
+// that the loss of one leaves it another.
 const minHosts = 2
 
-// Joint plans the swaps of engines that serve several models. Loads share one
-// limit, and an engine carries out one order at a time; where several models are
-// trained, each has a part of the engines as its home, since no engine could
-// follow the versions of all.
+// Joint plans the swaps of engines that serve several models. One limit covers the loads
+// of all models, and an engine carries out one order at a time. Each engine has a home
+// model and loads only its new versions, since an engine could not keep up with the
+// versions of several models that are trained at once.
 type Joint struct {
 	orderTracker
-	homes map[string]string // server to model
+	homes map[string]string // server to its home model
 }
 
-// NewJoint returns a planner that knows nothing yet.
+// NewJoint returns a planner without homes, orders or failures.
 func NewJoint() *Joint { return &Joint{orderTracker: newOrderTracker(), homes: map[string]string{}} }
 
-// Home returns the model whose versions an engine follows.
+// Home returns the model whose new versions an engine loads.
 func (jo *Joint) Home(server string) string { return jo.homes[server] }
 
-// Next returns the orders to give now; at most wave engines load at once. A model
-// with fewer engines at its newest version goes first, and in it the engine that
-// runs least.
+// Next returns the orders to give now; at most wave engines load at once. The model with
+// the fewest engines at its newest version goes first, and of its engines the one with
+// the fewest running items.
 func (jo *Joint) Next(now time.Duration, targets []Target, hosts []Host, wave int) []Swap {
 	targets = slices.SortedFunc(slices.Values(targets), func(a, b Target) int { return cmp.Compare(a.Model, b.Model) })
 	hosts = slices.SortedFunc(slices.Values(hosts), func(a, b Host) int { return cmp.Compare(a.Server, b.Server) })
 	jo.assignHomes(targets, hosts)
 
 	byModel := map[string]Target{}
-	current := map[string]int{} // engines at the newest version, or on their way
+	current := map[string]int{} // engines at the newest version or loading it
 	for _, ta := range targets {
 		byModel[ta.Model] = ta
 	}
@@ -87,8 +86,8 @@
 	return out
 }
 
-// assignHomes gives each engine a home. An engine moves only when the parts changed by
-// a whole engine.
+// assignHomes gives each engine a home model. An engine moves to another model only if
+// its model has more engines than it should have and allowedSurplus permits.
 func (jo *Joint) assignHomes(targets []Target, hosts []Host) {
 	alive := map[string]bool{}
 	for _, ho := range hosts {
@@ -131,8 +130,9 @@
 	}
 }
 
-// allowedSurplus lets the parts be one engine off while every model has what it needs,
-// so that a demand that wavers moves nothing.
+// allowedSurplus returns by how many engines a model may exceed its share: one while no
+// model is short of more than one engine or below its minimum, so that small changes of
+// demand move no engine; else none.
 func allowedSurplus(want, have map[string]int) int {
 	for model, n := range want {
 		if have[model] < min(n, minHosts) || have[model] < n-1 {
@@ -143,8 +143,8 @@
 	return 1
 }
 
-// divideHosts divides n engines among models: in the middle between equal parts, which
-// bear the loss of an engine best, and the parts of their demand.
+// divideHosts divides n engines among models. A share is the mean of an equal share,
+// which tolerates the loss of an engine best, and a share in proportion to demand.
 func divideHosts(targets []Target, n int) map[string]int {
 	total := 0.0
 	for _, ta := range targets {
--- a/internal/weights/joint_test.go
+++ b/internal/weights/joint_test.go
@@ -10,7 +10,8 @@
 	"github.com/tamarackbay/tamarackbay/internal/weights"
 )
 
-// fakeEngines plays loads of a fixed time and counts how many run at once.
+// fakeEngines simulates engines whose loads take a fixed time, and records how many
+// load at once.
 type fakeEngines struct {
 	hosts      []weights.Host
 	loadEndsAt map[string]time.Duration
@@ -64,10 +65,10 @@
 var _ = ginkgo.Describe("swaps of engines that serve several models", func() {
 	const load, tick = 900 * time.Millisecond, 50 * time.Millisecond
 
-	ginkgo.It("keep up with two models that are trained at once, each step finding engines ready", func() {
+	ginkgo.It("keep two models that are trained at once recent enough for each training step", func() {
 		jo, en := weights.NewJoint(), newFakeEngines(8, "short", "long")
 		targets := []weights.Target{{Model: "long", Version: 1, Demand: 3}, {Model: "short", Version: 1, Demand: 1}}
-		// Each model's trainer names a version every 4.5 s; its step then takes engines
+		// Each model's trainer publishes a version every 4.5 s; its step then uses engines
 		// that are at most one version behind.
 		const period = 4500 * time.Millisecond
 		for now := time.Duration(0); now < 8*period; now += tick {
@@ -84,7 +85,7 @@
 		Expect(en.maxLoading).To(Equal(2))
 	})
 
-	ginkgo.It("divide the engines by demand but leave each model two", func() {
+	ginkgo.It("divide the engines by demand but leave each model two if there are enough", func() {
 		for _, tc := range []struct {
 			demands []float64
 			n       int
@@ -111,7 +112,7 @@
 		}
 	})
 
-	ginkgo.It("move no engine for a demand that wavers", func() {
+	ginkgo.It("move no engine for a small change of demand", func() {
 		jo, en := weights.NewJoint(), newFakeEngines(8, "a", "b")
 		jo.Next(0, []weights.Target{{"a", 1, 1}, {"b", 1, 1}}, en.hosts, 2)
 		before := map[string]string{}
@@ -124,7 +125,7 @@
 		}
 	})
 
-	ginkgo.It("go on with the other engines when one fails its orders", func() {
+	ginkgo.It("continue with the other engines when one fails an order", func() {
 		jo, en := weights.NewJoint(), newFakeEngines(3, "a")
 		targets := []weights.Target{{"a", 2, 1}}
 		first := jo.Next(0, targets, en.hosts, 1)
--- a/internal/weights/names.go
+++ b/internal/weights/names.go
@@ -1,18 +1,18 @@
 package weights
 
-// Name names a weight version of a model, which its engines are to serve.
+// Name records a weight version of a model that its engines are to serve.
 type Name struct {
 	Model   string `cbor:"1,keyasint"`
 	Version uint64 `cbor:"2,keyasint"`
 }
 
-// Names holds the newest version named for each model. It is a part of the
-// replicated state of the controllers.
+// Names holds the newest recorded version of each model. It is a part of the replicated
+// state of the controllers.
 type Names struct {
 	latest map[string]uint64
 }
 
-// NewNames returns the names in latest.
+// NewNames returns Names that start with the versions in latest, which may be nil.
 func NewNames(latest map[string]uint64) *Names {
 	if latest == nil {
 		latest = map[string]uint64{}
@@ -21,7 +21,7 @@
 	return &Names{latest: latest}
 }
 
-// Name notes a version; an older one changes nothing.
+// Name records a version; one older than the newest changes nothing.
 func (na *Names) Name(n Name) { na.latest[n.Model] = max(na.latest[n.Model], n.Version) }
 
 // All returns the newest version of each model.
--- a/internal/weights/weights.go
+++ b/internal/weights/weights.go
@@ -1,6 +1,6 @@
-// Package weights plans the swap of a model's engines to a new version, in waves
-// that the weight store allows: load first, activate second, go on after
-// failures. It is a core: the state and the time are arguments.
+// Package weights plans how the engines of a model swap to a new weight version, in
+// waves as large as the weight store allows. A failed order does not stop the others.
+// The package does no input or output: the state and the time are arguments.
 package weights
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Engine is what the planner sees of one engine.
+// Engine is the state of an engine that Planner needs.
 type Engine struct {
 	Server        string
 	FailureDomain string
@@ -24,28 +24,29 @@
 	Activate = "activate"
 )
 
-// Action is one order to be given to an engine.
+// Action is one order for an engine.
 type Action struct {
 	Kind    string
 	Server  string
 	Version string
 }
 
-// Planner remembers what runs and what failed for one model.
+// Planner plans the swaps of engines that serve one model, in two orders: load the
+// weights, then activate them. It tracks the orders in flight and the failed ones.
 type Planner struct {
 	orderTracker
 	targetVersion string
 }
 
-// NewPlanner returns a planner that knows nothing yet.
+// NewPlanner returns a planner without orders or failures.
 func NewPlanner() *Planner { return &Planner{orderTracker: newOrderTracker()} }
 
-// Next returns the orders to give now so that all engines come to serve target.
-// At most wave engines load at once; engines whose requests run longest wait
-// while idle ones go first, so that the least work sees a change of version.
+// Next returns the orders to give now so that all engines come to serve target. At
+// most wave engines load at once. Engines with fewer running requests go first, so that
+// as few requests as possible see a change of version.
 func (pl *Planner) Next(now time.Duration, target string, engines []Engine, wave int) []Action {
 	if target != pl.targetVersion {
-		// A newer version overtakes a rollout: failures of the old one do not count.
+		// A newer version replaces an unfinished rollout, whose failures do not count.
 		pl.targetVersion = target
 		clear(pl.failedAt)
 		clear(pl.failures)
--- a/internal/weights/weights_test.go
+++ b/internal/weights/weights_test.go
@@ -20,17 +20,17 @@
 		}
 	}
 
-	It("loads within the wave, idle engines first, and activates what is loaded", func() {
+	It("loads at most wave engines at once, least busy first, and activates loaded weights", func() {
 		pl := weights.NewPlanner()
 		es := engines()
 		Expect(pl.Next(0, "v2", es, 2)).To(Equal([]weights.Action{{"load", "b", "v2"}, {"load", "c", "v2"}}))
-		Expect(pl.Next(0, "v2", es, 2)).To(BeEmpty(), "the wave is full")
+		Expect(pl.Next(0, "v2", es, 2)).To(BeEmpty(), "the limit of concurrent loads is reached")
 		pl.Done(time.Second, "b", true)
 		es[1].LoadedVersion = "v2"
 		Expect(pl.Next(time.Second, "v2", es, 2)).To(Equal([]weights.Action{{"activate", "b", "v2"}, {"load", "a", "v2"}}))
 	})
 
-	It("goes on after a failure and comes back to it with growing delays", func() {
+	It("retries a failed order with exponential back-off", func() {
 		pl := weights.NewPlanner()
 		es := engines()[:1]
 		at := time.Duration(0)
@@ -44,10 +44,10 @@
 			pl.Done(at, "a", false)
 		}
 		Expect(gaps).To(Equal([]time.Duration{0, 500 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second, 8 * time.Second}))
-		Expect(pl.Next(at, "v3", es, 1)).To(HaveLen(1), "a newer version does not wait for the failures of an older one")
+		Expect(pl.Next(at, "v3", es, 1)).To(HaveLen(1), "a newer version does not wait for the back-off of an older one")
 	})
 
-	It("does nothing for engines that are not ready or have the version", func() {
+	It("gives no orders to engines that are not ready or already serve the version, or without a target", func() {
 		Expect(weights.NewPlanner().Next(0, "v2", engines()[3:], 5)).To(BeEmpty())
 		Expect(weights.NewPlanner().Next(0, "", engines(), 5)).To(BeEmpty())
 	})
