--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -1,5 +1,6 @@
-// Package order keeps the intents of outside orders. An intent is committed
-// before the call it stands for, so that a successor can settle it under the same ID.
+// Package order records the intents of outside orders in the replicated state. An intent
+// is committed before its call is made, so that the next lease holder can settle the
+// order under the same ID.
 package order
 
 import (
@@ -12,12 +13,12 @@
 // Kinds of orders.
 const (
 	KindStart    = "start"    // order a backend server from the platform
-	KindStop     = "stop"     // give a backend server back
+	KindStop     = "stop"     // return a backend server to the platform
 	KindLoad     = "load"     // load weights on an engine
 	KindActivate = "activate" // serve the loaded weights
 )
 
-// Intent is an order that may have been given.
+// Intent is an order that may have been sent.
 type Intent struct {
 	ID            string `cbor:"1,keyasint" json:"id"`
 	Lease         string `cbor:"2,keyasint" json:"lease"`
@@ -33,12 +34,12 @@
 	Outcome       string `cbor:"12,keyasint" json:"outcome,omitempty"`
 }
 
-// Open asks to commit an intent under a lease.
+// Open is the command to record an intent under a lease.
 type Open struct {
 	Intent Intent `cbor:"1,keyasint"`
 }
 
-// Settle says how the order ended.
+// Settle is the command to record how an order ended.
 type Settle struct {
 	ID      string `cbor:"1,keyasint"`
 	Lease   string `cbor:"2,keyasint"`
@@ -47,22 +48,22 @@
 	Server  string `cbor:"5,keyasint"`
 }
 
-// maxSettled is the number of settled intents that are kept to answer resends.
+// maxSettled is the number of settled intents that are retained to answer repeated commands.
 const maxSettled = 2_000
 
 // Log holds the intents of a group.
 type Log struct {
 	intents map[string]Intent
-	settled []string // oldest first
+	settled []string // IDs, oldest first
 }
 
-// Image is a Log in a snapshot.
+// Image is the content of a Log in a snapshot.
 type Image struct {
 	Intents map[string]Intent `cbor:"1,keyasint"`
 	Settled []string          `cbor:"2,keyasint"`
 }
 
-// NewLog returns the log of an image.
+// NewLog returns a log with the content of an image.
 func NewLog(im Image) *Log {
 	if im.Intents == nil {
 		im.Intents = map[string]Intent{}
@@ -74,7 +75,8 @@
 // Image returns the log's content for a snapshot.
 func (lo *Log) Image() Image { return Image{Intents: lo.intents, Settled: lo.settled} }
 
-// Open commits an intent. The caller has checked the lease.
+// Open records an intent, or returns the one recorded under its ID before. The caller
+// has checked the lease.
 func (lo *Log) Open(op Open) Intent {
 	if in, ok := lo.intents[op.Intent.ID]; ok {
 		return in
@@ -85,11 +87,11 @@
 	return op.Intent
 }
 
-// Settle records the outcome of an order.
+// Settle records the outcome of an order; the first one recorded stays.
 func (lo *Log) Settle(se Settle) (Intent, error) {
 	in, ok := lo.intents[se.ID]
 	if !ok {
-		return in, result.New(result.UnknownObject, "order %s: no such intent", se.ID)
+		return in, result.New(result.UnknownObject, "order %s: no intent is recorded under this ID", se.ID)
 	}
 	if in.Settled {
 		return in, nil
@@ -109,7 +111,7 @@
 	return in, nil
 }
 
-// Unsettled returns the intents whose outcome is not known, by ID.
+// Unsettled returns the intents whose outcome is not known, sorted by ID.
 func (lo *Log) Unsettled() []Intent {
 	var out []Intent
 	for _, in := range lo.intents {
