--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,7 +1,7 @@
 // Package fleet decides how many backend servers of a class are ordered in each
-// failure domain, from the work that runs and waits, start-up time and bounds,
-// with a reserve for the loss of failure domains and hysteresis. It is a core:
-// the state and the time are arguments.
+// failure domain, from the running and waiting requests and the bounds, with a reserve
+// for the loss of failure domains and hysteresis. It does no input or output: the state
+// and the time are arguments.
 package fleet
 
 import (
@@ -13,16 +13,16 @@
 	"github.com/tamarackbay/tamarackbay/internal/declaration"
 )
 
-// Server is a backend server that exists or was ordered.
+// Server is a backend server that exists or has been ordered.
 type Server struct {
-	Name          string // "" while an order is not answered
+	Name          string // "" while its order is not answered
 	FailureDomain string
 	IsReady       bool
 	IsDraining    bool
-	Running       int
+	Running       int // requests in flight
 }
 
-// Input is what one decision is made from.
+// Input is the state from which Planner.Next decides.
 type Input struct {
 	Now     time.Duration
 	Class   declaration.Class
@@ -32,32 +32,32 @@
 	Waiting int // requests waiting on all gateways
 }
 
-// Decision orders backend servers. Why says it in words.
+// Decision lists the backend servers to start and to stop.
 type Decision struct {
 	Start []string // failure domains, one entry for each backend server
 	Stop  []string // names of backend servers
-	Want  int      // in all failure domains
-	Why   string
+	Want  int      // number of backend servers wanted in all failure domains
+	Why   string   // the reason, in words
 }
 
-// Planner remembers the demand of one class.
+// Planner decides for one class and remembers its recent demand.
 type Planner struct {
-	hasSurplus   bool // fewer than there are would do
+	hasSurplus   bool // fewer backend servers are wanted than exist
 	surplusSince time.Duration
-	peakWanted   int // most that was wanted since
+	peakWanted   int // highest number wanted since surplusSince
 }
 
-// NewPlanner returns a planner that knows nothing yet.
+// NewPlanner returns a planner that has seen no demand yet.
 func NewPlanner() *Planner { return &Planner{} }
 
-// Next decides what to order now.
+// Next returns the backend servers to start or stop now.
 func (pl *Planner) Next(in Input) Decision {
 	demand := float64(in.Running + in.Waiting)
 	domains := len(in.Bounds.FailureDomains)
 	per := float64(in.Class.Slots) * in.Bounds.TargetLoad
 	need := int(math.Ceil(demand / per))
 	if s := in.Bounds.SpareDomains; s > 0 && (need > 0 || in.Bounds.MinPerDomain > 0) {
-		// What is left after the loss of s failure domains must still do.
+		// The backend servers that remain after the loss of s failure domains must suffice.
 		need = int(math.Ceil(float64(max(need, 1)) * float64(domains) / float64(domains-s)))
 	}
 	low := in.Bounds.MinPerDomain * domains
@@ -76,14 +76,14 @@
 	case want > total || pl.belowMinimum(in.Bounds, counts):
 		pl.hasSurplus = false
 		de.Start = selectStarts(in.Bounds, counts, max(want-total, 0))
-		de.Why = fmt.Sprintf("%d run and %d wait: %d wanted, %d there", in.Running, in.Waiting, want, total)
+		de.Why = fmt.Sprintf("%d requests run and %d wait: %d backend servers wanted, %d exist or are ordered", in.Running, in.Waiting, want, total)
 	case want < total:
 		n := pl.countToStop(in, want, total)
 		de.Stop = selectStops(in, counts, n)
-		de.Why = fmt.Sprintf("%d wanted, %d there, fewer were enough for %v", want, total, in.Now-pl.surplusSince)
+		de.Why = fmt.Sprintf("%d backend servers wanted, %d exist or are ordered, fewer sufficed for %v", want, total, in.Now-pl.surplusSince)
 	default:
 		pl.hasSurplus = false
-		de.Why = fmt.Sprintf("%d wanted, %d there", want, total)
+		de.Why = fmt.Sprintf("%d backend servers wanted, %d exist or are ordered", want, total)
 	}
 
 	return de
@@ -99,8 +99,8 @@
 	return false
 }
 
-// selectStarts spreads n new backend servers over the failure domains that have fewest,
-// and fills each up to its minimum.
+// selectStarts returns the failure domains in which to start n backend servers: first
+// each domain up to its minimum, then those with the fewest.
 func selectStarts(bo declaration.Fleet, counts map[string]int, n int) []string {
 	var out []string
 	have := map[string]int{}
@@ -128,8 +128,8 @@
 	return out
 }
 
-// countToStop returns how many to give back: what was never wanted for the whole idle
-// time, so that a short lull gives nothing back.
+// countToStop returns how many backend servers to stop: those not wanted at any time
+// during the idle time, so that a short lull stops none.
 func (pl *Planner) countToStop(in Input, want, total int) int {
 	if !pl.hasSurplus {
 		pl.hasSurplus, pl.surplusSince, pl.peakWanted = true, in.Now, want
@@ -145,8 +145,9 @@
 	return n
 }
 
-// selectStops picks what to give back: from the failure domains that have most, the
-// backend servers with the least work, never below a domain's minimum.
+// selectStops returns the names of up to n backend servers to stop: in the failure
+// domains with the most servers, those with the fewest running requests. It leaves each
+// domain its minimum.
 func selectStops(in Input, counts map[string]int, n int) []string {
 	cands := make([]Server, 0, len(in.Servers))
 	for _, se := range in.Servers {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -39,12 +39,12 @@
 		start, stop      []string
 	}{
 		{"fills each failure domain to its minimum", bounds(1, 3, 0), servers(1, 0, 0), 0, 0, []string{"b", "c"}, nil},
-		{"orders for what waits", bounds(1, 3, 0), servers(1, 1, 1), 8, 12, []string{"a", "b"}, nil},
-		{"stops at the maximum", bounds(0, 1, 0), servers(1, 1, 0), 100, 100, []string{"c"}, nil},
-		{"keeps what the loss of a failure domain needs", bounds(0, 3, 1), servers(1, 1, 0), 8, 0, []string{"c"}, nil},
-		{"orders nothing twice for the same need", bounds(0, 3, 0), append(servers(1, 1, 0), fleet.Server{FailureDomain: "c"}), 12, 0, nil, nil},
-		{"counts none that drains", bounds(1, 3, 0), append(servers(0, 1, 1), fleet.Server{Name: "a0", FailureDomain: "a", IsDraining: true}), 0, 0, []string{"a"}, nil},
-		{"gives nothing back at once", bounds(0, 3, 0), servers(1, 1, 1), 0, 0, nil, nil},
+		{"starts backend servers for waiting requests", bounds(1, 3, 0), servers(1, 1, 1), 8, 12, []string{"a", "b"}, nil},
+		{"starts no more than the maximum", bounds(0, 1, 0), servers(1, 1, 0), 100, 100, []string{"c"}, nil},
+		{"keeps a reserve for the loss of a failure domain", bounds(0, 3, 1), servers(1, 1, 0), 8, 0, []string{"c"}, nil},
+		{"counts an unanswered order and does not repeat it", bounds(0, 3, 0), append(servers(1, 1, 0), fleet.Server{FailureDomain: "c"}), 12, 0, nil, nil},
+		{"does not count a draining backend server", bounds(1, 3, 0), append(servers(0, 1, 1), fleet.Server{Name: "a0", FailureDomain: "a", IsDraining: true}), 0, 0, []string{"a"}, nil},
+		{"stops nothing before the idle time is over", bounds(0, 3, 0), servers(1, 1, 1), 0, 0, nil, nil},
 	}
 	for _, tc := range cases {
 		It(tc.name, func() {
@@ -55,7 +55,7 @@
 		})
 	}
 
-	It("gives back what was not wanted for the idle time, down to nothing where it may", func() {
+	It("stops what was not wanted during the idle time, all if the minimum is 0", func() {
 		pl := fleet.NewPlanner()
 		have := servers(2, 1, 1)
 		in := fleet.Input{Class: class, Bounds: bounds(0, 3, 0), Servers: have}
@@ -67,7 +67,7 @@
 		Expect(pl.Next(in).Stop).To(HaveLen(4))
 	})
 
-	It("gives nothing back in a lull between bursts", func() {
+	It("stops nothing in a lull between bursts", func() {
 		pl := fleet.NewPlanner()
 		in := fleet.Input{Class: class, Bounds: bounds(0, 3, 0), Servers: servers(1, 1, 1)}
 		for s := range 100 {
