--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -18,7 +18,7 @@
 
 const (
 	workPeriod   = 200 * time.Millisecond // between two calls of Work
-	keeperPeriod = 50 * time.Millisecond  // between two looks at the lease
+	keeperPeriod = 50 * time.Millisecond  // between two observations of the lease
 )
 
 // Held returns the fencing number of a lease, and whether an outside call may start now.
