--- a/internal/controller/stores.go
+++ b/internal/controller/stores.go
@@ -15,10 +15,10 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// rosterPeriod is how often the leader looks at the stores.
+// rosterPeriod is how often the leader reconciles the stores.
 const rosterPeriod = 200 * time.Millisecond
 
-// handleAnnounce takes what a store tells of itself.
+// handleAnnounce records the announcement of a store.
 func (co *Controller) handleAnnounce(ctx context.Context, st *peer.Stream) error {
 	var an Announcement
 	if err := st.RequestRecord(&an); err != nil {
@@ -27,7 +27,7 @@
 
 	co.mu.Lock()
 	old := co.stores[an.Member.Name]
-	co.stores[an.Member.Name] = &store{Announcement: an, heard: co.cfg.Now()}
+	co.stores[an.Member.Name] = &store{Announcement: an, lastHeard: co.cfg.Now()}
 	changed := old == nil || old.Leads != an.Leads || old.Term != an.Term || old.Member != an.Member
 	co.mu.Unlock()
 
@@ -36,23 +36,23 @@
 		known = slices.Contains(ma.Roster().Members(), an.Member)
 	})
 	if !known {
-		// Not only by the leader: the store may reach none but this controller.
+		// Followers propose this too: the store may reach only this controller.
 		if err := co.group.Propose(ctx, machine.KindAnnounceMember, roster.Announce{Member: an.Member}, nil); err != nil {
 			return err
 		}
 	}
 	if changed {
-		co.touch()
+		co.wakePublish()
 		co.cfg.Log.WithFields(log.Fields{
 			"store": an.Member.Name, "replica": an.Member.Replica, "address": an.Member.Address, "leads": an.Leads, "term": an.Term,
-		}).Info("store told")
+		}).Info("store announced a change")
 	}
 
 	return st.Reply(&wire.Empty{})
 }
 
-// rosterDuty forms the store group once, and ends retirements, while this replica leads.
-func (co *Controller) rosterDuty(ctx context.Context) {
+// rosterLoop forms the store group once and finishes retirements while this replica leads.
+func (co *Controller) rosterLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-time.After(rosterPeriod):
@@ -62,13 +62,13 @@
 		if !co.group.IsLeader() {
 			continue
 		}
-		if err := co.tendStores(ctx); err != nil {
-			co.cfg.Log.WithError(err).Warn("roster of stores not tended")
+		if err := co.reconcileStores(ctx); err != nil {
+			co.cfg.Log.WithError(err).Warn("store roster not reconciled")
 		}
 	}
 }
 
-func (co *Controller) tendStores(ctx context.Context) error {
+func (co *Controller) reconcileStores(ctx context.Context) error {
 	var members []roster.Member
 	var formed []consensus.ReplicaID
 	var retiring []roster.Member
@@ -84,33 +84,33 @@
 		return co.formStores(ctx, members)
 	}
 	for _, me := range retiring {
-		if !co.isEmptied(me) {
+		if !co.canFinishRetirement(me) {
 			continue
 		}
 		if err := co.group.Propose(ctx, machine.KindFinishRetirement, roster.Finish{Name: me.Name}, nil); err != nil {
 			return err
 		}
-		co.cfg.Log.WithField("store", me.Name).Info("store emptied")
+		co.cfg.Log.WithField("store", me.Name).Info("store retirement finished")
 	}
 
 	return nil
 }
 
-// formStores decides on the first voters of the store group, one of each failure
-// domain first.
+// formStores proposes the first voters of the store group, spread over the failure
+// domains.
 func (co *Controller) formStores(ctx context.Context, members []roster.Member) error {
 	if len(members) == 0 {
 		return nil
 	}
 	now, want := co.cfg.Now(), co.cfg.Settings.Voters()
-	if co.waitedFor == 0 {
-		co.waitedFor = now
+	if co.formationWaitSince == 0 {
+		co.formationWaitSince = now
 	}
-	if len(members) < want && now-co.waitedFor < formAfter {
+	if len(members) < want && now-co.formationWaitSince < formationTimeout {
 		return nil
 	}
 
-	ids := spread(members, want)
+	ids := selectVoters(members, want)
 	if err := co.group.Propose(ctx, machine.KindFormStores, roster.Form{Replicas: ids}, nil); err != nil {
 		return err
 	}
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// spread picks up to n members, with as many failure domains among them as there are.
-func spread(members []roster.Member, n int) []consensus.ReplicaID {
+// selectVoters returns up to n members, spread evenly over the failure domains.
+func selectVoters(members []roster.Member, n int) []consensus.ReplicaID {
 	left := slices.SortedFunc(slices.Values(members), byName)
 	perDomain := map[string]int{}
 	var out []consensus.ReplicaID
@@ -139,15 +139,16 @@
 	return out
 }
 
-// isEmptied reports whether the store group has enough voters without a member.
-func (co *Controller) isEmptied(me roster.Member) bool {
+// canFinishRetirement reports whether the store group has enough voters and no longer
+// contains the member.
+func (co *Controller) canFinishRetirement(me roster.Member) bool {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 
 	now := co.cfg.Now()
 	var leader *store
 	for _, so := range co.stores {
-		if so.Leads && now-so.heard < storeSilence && (leader == nil || so.Term > leader.Term) {
+		if so.Leads && now-so.lastHeard < storeTimeout && (leader == nil || so.Term > leader.Term) {
 			leader = so
 		}
 	}
@@ -155,19 +156,19 @@
 	return leader != nil && leader.Voters >= co.cfg.Settings.Voters() && !slices.Contains(leader.Members, me.Replica)
 }
 
-// Retire begins to empty a store.
+// Retire requests that the store group replaces a store, so that its VM can be removed.
 func (co *Controller) Retire(ctx context.Context, name string) error {
 	err := co.group.Propose(ctx, machine.KindRetireMember, roster.Retire{Name: name, Keep: co.cfg.Settings.Voters()}, nil)
 	fl := log.Fields{"store": name}
 	if err != nil {
 		fl["error"] = err.Error()
 	}
-	co.cfg.Log.WithFields(fl).Info("store to be emptied")
+	co.cfg.Log.WithFields(fl).Info("store retirement requested")
 
 	return err
 }
 
-// Retirement returns how far a store is emptied.
+// Retirement returns the progress of a store's retirement.
 func (co *Controller) Retirement(ctx context.Context, name string) (roster.Retirement, error) {
 	if err := co.group.Barrier(ctx); err != nil {
 		return 0, err
@@ -175,7 +176,7 @@
 	var re roster.Retirement
 	co.group.Read(func(ma *machine.Machine) { re = ma.Roster().Retirement(name) })
 	if re == 0 {
-		return 0, result.New(result.UnknownObject, "controller: store %q is not being emptied", name)
+		return 0, result.New(result.UnknownObject, "controller: store %q is not being retired", name)
 	}
 
 	return re, nil
--- a/internal/controller/usage.go
+++ b/internal/controller/usage.go
@@ -13,23 +13,24 @@
 )
 
 const (
-	// closeDelay after the end of a window its figures are fixed: gateways send
-	// their counts every half second, a leader change takes one to two seconds.
+	// closeDelay is the time from the end of a usage window until its figures are
+	// final: gateways send their counts every half second, and a leader change takes
+	// one to two seconds.
 	closeDelay = 3500 * time.Millisecond
-	// reportPause is kept after a report that failed.
-	reportPause = 500 * time.Millisecond
+	// reportRetryDelay is the pause after a failed report.
+	reportRetryDelay = 500 * time.Millisecond
 )
 
-// usageState is what the holder remembers between two turns.
+// usageState is the state of the lease holder between two calls of reportUsage.
 type usageState struct {
-	pauseTill time.Duration
+	pausedUntil time.Duration
 }
 
-// reportUsage closes the windows that are over and reports them. The figures are
-// committed first, and only those are ever sent.
+// reportUsage closes the usage windows that have ended and reports them. The figures
+// are committed first, and only committed figures are sent.
 func (co *Controller) reportUsage(ctx context.Context, held duty.Held) {
 	now := co.cfg.Now()
-	if now < co.usage.pauseTill {
+	if now < co.usage.pausedUntil {
 		return
 	}
 	over := uint64(max(0, co.cfg.WallMs()-closeDelay.Milliseconds())) / uint64(co.cfg.Settings.UsageWindow.Milliseconds())
@@ -60,7 +61,7 @@
 	})
 	for _, re := range reports {
 		if !co.reportWindow(ctx, held, re) {
-			co.usage.pauseTill = co.cfg.Now() + reportPause
+			co.usage.pausedUntil = co.cfg.Now() + reportRetryDelay
 
 			return
 		}
@@ -72,20 +73,21 @@
 	if !ok {
 		return false
 	}
-	cctx, cancel := context.WithTimeout(ctx, terms.MaxCall)
+	cctx, cancel := context.WithTimeout(ctx, leaseTerms.MaxCall)
 	defer cancel()
 	fl := log.Fields{"window": re.Window, "fencing": fencing, "workspaces": len(re.Lines)}
 	err := co.cfg.ReportUsage(cctx, co.cfg.Settings.Name, fencing, re)
 	if err != nil {
 		fl["error"] = err.Error()
 		co.cfg.Log.WithFields(fl).Warn("usage window not reported")
-		// A lower fencing number means that this holder was followed: its keeper sees it soon.
+		// If the fencing number was too low, another process holds the lease now; the
+		// keeper of this one notices soon.
 		return false
 	}
 	co.cfg.Log.WithFields(fl).Info("usage window reported")
 	if err := co.group.Propose(ctx, machine.KindReported, usage.Reported{Window: re.Window, Fencing: fencing}, nil); err != nil {
 		if !result.Is(err, result.LeaseLost) {
-			co.cfg.Log.WithError(err).Warn("report not recorded, the same figures are sent again")
+			co.cfg.Log.WithError(err).Warn("usage report sent but not recorded, the same figures are sent again")
 		}
 
 		return false
--- a/internal/controller/weights.go
+++ b/internal/controller/weights.go
@@ -15,23 +15,24 @@
 
 const (
 	leaseWeights = "weights"
-	// waveShare of a model's engines load weights at once, at least minWave: more of
-	// them only slow each other down at the weight store of the users' sheets.
+	// waveShare is the share of a service's engines that load weights at once. More
+	// only slow each other down at the weight store that the users describe.
 	waveShare = 0.2
-	minWave   = 2
-	// loadPoll is how often an engine that loads is asked for its state; a load takes
+	minWave   = 2 // engines, where waveShare is fewer
+	// loadPollPeriod is how often an engine is polled while it loads; a load takes
 	// about a second.
-	loadPoll = 150 * time.Millisecond
-	// loadFirst is the first question after an order: shortly after the usual load.
-	loadFirst = 920 * time.Millisecond
-	// loadTimeout ends the wait for a load.
+	loadPollPeriod = 150 * time.Millisecond
+	// firstLoadPoll is the delay from an order to the first poll, shortly after a
+	// typical load ends.
+	firstLoadPoll = 920 * time.Millisecond
+	// loadTimeout limits a swap: the wait for an earlier order, the order and the load.
 	loadTimeout = 6 * time.Second
 )
 
-// rollOut orders the engines to the newest versions that were named.
+// rollOut orders engines to load the newest recorded versions of their models.
 func (co *Controller) rollOut(ctx context.Context, held duty.Held) {
 	named := map[string]uint64{}
-	single := map[string]bool{} // services with routes that allow one version in a text
+	single := map[string]bool{} // services with routes that allow one version per text
 	co.group.Read(func(ma *machine.Machine) {
 		for mo, v := range ma.Versions().All() {
 			named[mo] = v
@@ -49,12 +50,12 @@
 
 	co.mu.Lock()
 	defer co.mu.Unlock()
-	hosts, records := co.engines()
+	hosts, records := co.readyEngines()
 	for service, hs := range hosts {
-		jo := co.swaps[service]
+		jo := co.swapPlanners[service]
 		if jo == nil {
 			jo = weights.NewJoint()
-			co.swaps[service] = jo
+			co.swapPlanners[service] = jo
 		}
 		wave := max(minWave, int(waveShare*float64(len(hs))))
 		for _, sw := range jo.Next(co.cfg.Now(), co.targets(hs, named), hs, wave) {
@@ -64,14 +65,15 @@
 			}
 			re := records[sw.Server]
 			co.registry.SetLoading(re.ID, re.BornMs, true)
-			co.touch()
+			co.wakePublish()
 			go co.swap(ctx, held, jo, re, &backend.Weights{Model: sw.Model, Version: sw.Version, Mode: mode, Instance: re.ID})
 		}
 	}
 }
 
-// engines returns the engines that are ready, by service.
-func (co *Controller) engines() (map[string][]weights.Host, map[string]registry.Record) {
+// readyEngines returns the ready engines by service, and their records by ID. The
+// caller holds mu.
+func (co *Controller) readyEngines() (map[string][]weights.Host, map[string]registry.Record) {
 	hosts, records := map[string][]weights.Host{}, map[string]registry.Record{}
 	for _, st := range co.registry.All() {
 		re := st.Record
@@ -89,7 +91,8 @@
 	return hosts, records
 }
 
-// targets returns the models that engines serve, with the demand for each.
+// targets returns the models that the engines serve, with the newest version and the
+// demand of each. The caller holds mu.
 func (co *Controller) targets(hosts []weights.Host, named map[string]uint64) []weights.Target {
 	demand := map[string]float64{}
 	for _, so := range co.stores {
@@ -111,7 +114,8 @@
 	return out
 }
 
-// runningAt returns how many items the store that leads runs at a backend server.
+// runningAt returns how many items the leading store runs at a backend server. The
+// caller holds mu.
 func (co *Controller) runningAt(server string) int {
 	n := 0
 	for _, so := range co.stores {
@@ -123,13 +127,14 @@
 	return n
 }
 
-// swap orders one engine to load a version and waits until it serves it.
+// swap orders an engine to load a version, waits until it serves that version and
+// records the result.
 func (co *Controller) swap(ctx context.Context, held duty.Held, jo *weights.Joint, re registry.Record, we *backend.Weights) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 
 	began := co.cfg.Now()
-	err := co.swapOnce(ctx, held, re, we)
+	err := co.performSwap(ctx, held, re, we)
 	fl := log.Fields{
 		"server": re.ID, "model": we.Model, "version": we.Version, "oldVersion": re.Version(we.Model), "fencing": we.Fencing,
 		"sequence": we.Sequence, "ms": (co.cfg.Now() - began).Milliseconds(),
@@ -148,16 +153,16 @@
 	if err == nil {
 		co.registry.SetVersion(re.ID, re.BornMs, we.Model, we.Version)
 	}
-	co.touch()
+	co.wakePublish()
 	co.wakeSwaps()
 }
 
-func (co *Controller) swapOnce(ctx context.Context, held duty.Held, re registry.Record, we *backend.Weights) error {
-	before, err := co.report(ctx, re)
-	for ; err == nil && before.IsBusy; before, err = co.report(ctx, re) {
-		// An order is under way, perhaps one that a former holder gave.
+func (co *Controller) performSwap(ctx context.Context, held duty.Held, re registry.Record, we *backend.Weights) error {
+	before, err := co.fetchReport(ctx, re)
+	for ; err == nil && before.IsBusy; before, err = co.fetchReport(ctx, re) {
+		// The engine carries out another order, possibly from a former lease holder.
 		select {
-		case <-time.After(loadPoll):
+		case <-time.After(loadPollPeriod):
 		case <-ctx.Done():
 			return errLoadTimeout
 		}
@@ -175,7 +180,7 @@
 		return errLeaseLost
 	}
 	we.Fencing, we.Holder = fencing, co.cfg.Settings.Name
-	cctx, cancel := context.WithTimeout(ctx, terms.MaxCall)
+	cctx, cancel := context.WithTimeout(ctx, leaseTerms.MaxCall)
 	err = co.cfg.Client.Swap(cctx, re.Address, we)
 	cancel()
 	if err != nil && !backend.HasRun(err) {
@@ -185,7 +190,7 @@
 	return co.awaitVersion(ctx, re, we)
 }
 
-// wakeSwaps lets the next order follow at once.
+// wakeSwaps makes the duty plan the next orders at once.
 func (co *Controller) wakeSwaps() {
 	select {
 	case co.swapWake <- struct{}{}:
@@ -193,8 +198,8 @@
 	}
 }
 
-func (co *Controller) report(ctx context.Context, re registry.Record) (backend.Report, error) {
-	cctx, cancel := context.WithTimeout(ctx, terms.MaxCall)
+func (co *Controller) fetchReport(ctx context.Context, re registry.Record) (backend.Report, error) {
+	cctx, cancel := context.WithTimeout(ctx, leaseTerms.MaxCall)
 	defer cancel()
 	rep, err := co.cfg.Client.Report(cctx, re.Address)
 	if err == nil && rep.BornMs != 0 && rep.BornMs != re.BornMs {
@@ -204,21 +209,21 @@
 	return rep, err
 }
 
-// awaitVersion waits until the engine tells, in a heartbeat or asked, that it
+// awaitVersion waits until the engine reports, in a heartbeat or when polled, that it
 // serves the version.
 func (co *Controller) awaitVersion(ctx context.Context, re registry.Record, we *backend.Weights) error {
-	wait := loadFirst
+	wait := firstLoadPoll
 	for {
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
 			return errLoadTimeout
 		}
-		wait = loadPoll
-		if co.serves(re, we) {
+		wait = loadPollPeriod
+		if co.servesVersion(re, we) {
 			return nil
 		}
-		rep, err := co.report(ctx, re)
+		rep, err := co.fetchReport(ctx, re)
 		switch {
 		case err != nil:
 			return err
@@ -230,7 +235,7 @@
 	}
 }
 
-func (co *Controller) serves(re registry.Record, we *backend.Weights) bool {
+func (co *Controller) servesVersion(re registry.Record, we *backend.Weights) bool {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 
--- a/internal/registry/merged.go
+++ b/internal/registry/merged.go
@@ -5,49 +5,51 @@
 	"strings"
 )
 
-// Merged joins what several sources know, each a process that takes heartbeats.
-// A backend server that any source hears is alive; one that no source knows any
-// more is kept until a source that has listened long enough says so. It is not
-// safe for concurrent use.
+// Merged combines the registries of several sources, each a process that receives
+// heartbeats. A backend server is alive while any source receives its heartbeats. One
+// that no source knows any more is retained until a source that has listened long
+// enough sends an update without it. Merged is not safe for concurrent use.
 type Merged struct {
 	sources map[string]*source
-	known   map[string]Record // the newest of each ID, with its address still its own
+	known   map[string]Record // the newest record of each ID
 }
 
 type source struct {
 	statuses  map[string]Status
 	isSettled bool // it has listened longer than a backend server may be silent
-	isFresh   bool
+	isCurrent bool // updated since the last Reset or Lost; other sources don't count
 }
 
-// NewMerged returns an empty view.
+// NewMerged returns a view without sources.
 func NewMerged() *Merged {
 	return &Merged{sources: map[string]*source{}, known: map[string]Record{}}
 }
 
-// Reset forgets what a source told: its next Update holds everything.
+// Reset discards the statuses of a source, whose next Update is complete.
 func (me *Merged) Reset(name string) {
 	me.sources[name] = &source{statuses: map[string]Status{}}
 }
 
-// Update takes what changed at one source.
+// Update applies the changes at one source.
 func (me *Merged) Update(name string, changed []Status, forgotten []string, isSettled bool) {
 	so, ok := me.sources[name]
 	if !ok {
 		so = &source{statuses: map[string]Status{}}
 		me.sources[name] = so
 	}
-	so.isFresh, so.isSettled = true, isSettled
+	so.isCurrent, so.isSettled = true, isSettled
 	for _, id := range forgotten {
 		delete(so.statuses, id)
 	}
 	for _, st := range changed {
 		so.statuses[st.Record.ID] = st
-		me.learn(st.Record)
+		me.mergeRecord(st.Record)
 	}
 }
 
-func (me *Merged) learn(re Record) {
+// mergeRecord keeps the newer of the known and the given record. A server that has left
+// stays so for the same incarnation.
+func (me *Merged) mergeRecord(re Record) {
 	old, ok := me.known[re.ID]
 	switch {
 	case !ok:
@@ -60,17 +62,17 @@
 	me.known[re.ID] = re
 }
 
-// Lost says that a source is not heard any more: it has no say until its next Update.
+// Lost marks a source as unreachable: it is ignored until its next Update.
 func (me *Merged) Lost(name string) {
 	if so, ok := me.sources[name]; ok {
-		so.isFresh = false
+		so.isCurrent = false
 	}
 }
 
-// Live returns the backend servers that have neither left nor lapsed, in the order
-// of their IDs.
+// Live returns the backend servers that have neither left nor lapsed, sorted by ID. Of
+// several at one address only the last incarnation counts.
 func (me *Merged) Live() []Record {
-	latest := map[string]int64{} // address to the start of its last incarnation
+	latest := map[string]int64{} // address to BornMs of its last incarnation
 	for _, re := range me.known {
 		if re.State != Left {
 			latest[re.Address] = max(latest[re.Address], re.BornMs)
@@ -79,7 +81,7 @@
 
 	out := make([]Record, 0, len(me.known))
 	for id, re := range me.known {
-		if me.isForgotten(id) {
+		if me.isUnknownToAll(id) {
 			delete(me.known, id)
 
 			continue
@@ -94,11 +96,12 @@
 	return out
 }
 
-// isLapsed reports whether every source that has a say misses the backend server.
+// isLapsed reports whether no current source finds the backend server alive and at
+// least one finds it lapsed or, being settled, doesn't know it.
 func (me *Merged) isLapsed(id string) bool {
 	votes := 0
 	for _, so := range me.sources {
-		if !so.isFresh {
+		if !so.isCurrent {
 			continue
 		}
 		st, ok := so.statuses[id]
@@ -113,10 +116,11 @@
 	return votes > 0
 }
 
-// isLoading reports whether any source has an order to load weights under way.
+// isLoading reports whether any current source has an order to load weights in flight at this
+// incarnation.
 func (me *Merged) isLoading(re *Record) bool {
 	for _, so := range me.sources {
-		if st, ok := so.statuses[re.ID]; ok && so.isFresh && st.Record.IsLoading && st.Record.BornMs == re.BornMs {
+		if st, ok := so.statuses[re.ID]; ok && so.isCurrent && st.Record.IsLoading && st.Record.BornMs == re.BornMs {
 			return true
 		}
 	}
@@ -124,10 +128,11 @@
 	return false
 }
 
-// isForgotten reports whether all sources are settled and none knows the ID.
-func (me *Merged) isForgotten(id string) bool {
+// isUnknownToAll reports whether all sources are current and settled, and none knows
+// the ID.
+func (me *Merged) isUnknownToAll(id string) bool {
 	for _, so := range me.sources {
-		if _, ok := so.statuses[id]; ok || !so.isFresh || !so.isSettled {
+		if _, ok := so.statuses[id]; ok || !so.isCurrent || !so.isSettled {
 			return false
 		}
 	}
