--- a/internal/group/feed.go
+++ b/internal/group/feed.go
@@ -43,14 +43,14 @@
 		return result.New(result.NoLeader, "group: no upstream is configured")
 	}
 	gr.mu.Lock()
-	i := gr.upstream
+	i := gr.upstreamIndex
 	gr.mu.Unlock()
 
 	err := gr.callAddress(ctx, ups[i%len(ups)], method, req, rep)
 	if err != nil && isRetriable(err) {
 		gr.mu.Lock()
-		if gr.upstream == i {
-			gr.upstream++
+		if gr.upstreamIndex == i {
+			gr.upstreamIndex++
 		}
 		gr.mu.Unlock()
 	}
@@ -93,12 +93,12 @@
 		return err
 	}
 	if next != vi {
-		gr.keepDeltas(next, deltas)
+		gr.recordDeltas(next, deltas)
 		gr.setView(next)
 	}
 	// The answer was made after the request was sent, so the stamp is never too young.
 	if age := time.Duration(rep.GetAgeMs()) * time.Millisecond; at > age {
-		gr.confirm(at - age)
+		gr.recordConfirmation(at - age)
 	}
 
 	return nil
@@ -129,13 +129,13 @@
 			return nil, nil, err
 		}
 	}
-	next, err := vi.with(ds)
+	next, err := vi.withDeltas(ds)
 
 	return next, ds, err
 }
 
-// keepDeltas remembers changes for subscribers of a process that has no replica.
-func (gr *Group) keepDeltas(next *View, ds []machine.Delta) {
+// recordDeltas remembers changes for subscribers of a process that has no replica.
+func (gr *Group) recordDeltas(next *View, ds []machine.Delta) {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 
@@ -152,8 +152,8 @@
 	}
 }
 
-// since returns the changes after a position, and false if they are not all held.
-func (gr *Group) since(revision uint64) ([]machine.Delta, bool) {
+// deltasSince returns the changes after a position, and false if they are not all held.
+func (gr *Group) deltasSince(revision uint64) ([]machine.Delta, bool) {
 	var ds []machine.Delta
 	ok := false
 	if gr.Read(func(ma *machine.Machine) {
@@ -192,7 +192,7 @@
 		return result.New(result.QueueFull, "group: %d subscribers wait here", maxFeeds)
 	}
 
-	gr.waitBeyond(ctx, req.GetRevision(), time.Duration(req.GetWaitMs())*time.Millisecond)
+	gr.waitForRevision(ctx, req.GetRevision(), time.Duration(req.GetWaitMs())*time.Millisecond)
 	age, ok := gr.Age()
 	if !ok {
 		return result.New(result.NoLeader, "group: nothing heard from the group yet")
@@ -206,7 +206,7 @@
 	return st.Reply(rep)
 }
 
-func (gr *Group) waitBeyond(ctx context.Context, revision uint64, d time.Duration) {
+func (gr *Group) waitForRevision(ctx context.Context, revision uint64, d time.Duration) {
 	timer := time.NewTimer(min(d, feedWait))
 	defer timer.Stop()
 
@@ -233,7 +233,7 @@
 		return rep, nil
 	}
 
-	if ds, ok := gr.since(revision); ok && revision > 0 {
+	if ds, ok := gr.deltasSince(revision); ok && revision > 0 {
 		for _, d := range ds {
 			if d.Revision > vi.Revision {
 				break
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -70,22 +70,22 @@
 	identity identity
 	start    time.Time
 
-	ctx  context.Context
-	stop context.CancelFunc
-	tr   *transport
-	node atomic.Pointer[node]
-
-	view      atomic.Pointer[View]
-	elections atomic.Int64 // changes of the leader that were seen
-	moves     atomic.Int64 // changes of the membership that were seen
-	freshAt   atomic.Int64 // time.Duration since start, 0 before the first confirmation
-
-	mu        sync.Mutex
-	changed   chan struct{} // closed and replaced with each new view
-	addresses map[consensus.ReplicaID]string
-	peers     map[consensus.ReplicaID]string // as they stand in the data folder
-	upstream  int
-	feedLimit chan struct{}
+	ctx       context.Context
+	stop      context.CancelFunc
+	transport *transport
+	node      atomic.Pointer[node]
+
+	view              atomic.Pointer[View]
+	elections         atomic.Int64 // changes of the leader that were seen
+	membershipChanges atomic.Int64 // changes of the membership that were seen
+	freshAt           atomic.Int64 // time.Duration since start, 0 before the first confirmation
+
+	mu            sync.Mutex
+	changed       chan struct{} // closed and replaced with each new view
+	addresses     map[consensus.ReplicaID]string
+	storedPeers   map[consensus.ReplicaID]string // as they stand in the data folder
+	upstreamIndex int
+	feedLimit     chan struct{}
 
 	deltas      []machine.Delta // the last changes, where there is no replica
 	deltasAfter uint64          // every change after this position is in deltas
@@ -112,10 +112,10 @@
 			return nil, err
 		}
 		gr.cfg.Peer.Hello.Replica = string(gr.identity.Replica)
-		gr.peers = gr.identity.Peers
-		maps.Copy(gr.addresses, gr.peers)
+		gr.storedPeers = gr.identity.Peers
+		maps.Copy(gr.addresses, gr.storedPeers)
 	}
-	gr.tr = newTransport(gr.ctx, gr.cfg.Peer, cfg.Address)
+	gr.transport = newTransport(gr.ctx, gr.cfg.Peer, cfg.Address)
 
 	return gr, nil
 }
@@ -190,7 +190,7 @@
 	return nil
 }
 
-func (gr *Group) confirm(at time.Duration) {
+func (gr *Group) recordConfirmation(at time.Duration) {
 	for {
 		old := gr.freshAt.Load()
 		if int64(at) <= old || gr.freshAt.CompareAndSwap(old, int64(at)) {
@@ -202,7 +202,7 @@
 // Run takes part in the group until ctx ends. An error of the disk or of the
 // identity ends it early: the process must then exit.
 func (gr *Group) Run(ctx context.Context) error {
-	defer gr.tr.wait()
+	defer gr.transport.wait()
 	defer gr.stop()
 
 	if !gr.HasDisk() {
@@ -218,11 +218,11 @@
 	if err != nil {
 		return err
 	}
-	n.replayView(gr)
+	n.publishView(gr)
 	gr.node.Store(n)
 
 	for _, id := range n.replica.Membership().All() {
-		gr.tr.connect(gr.addressOf(id))
+		gr.transport.connect(gr.addressOf(id))
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -249,12 +249,12 @@
 		bootstrap: consensus.Membership{Voters: gr.identity.Bootstrap},
 		files:     gr.cfg.Files, dir: filepath.Join(gr.cfg.DataFolder, "group-1"),
 		election: gr.cfg.Election, heartbeat: gr.cfg.Heartbeat, wallMs: gr.cfg.WallMs,
-		send:    func(m consensus.Message) { gr.tr.send(gr.addressOf(m.To), m) },
+		send:    func(m consensus.Message) { gr.transport.send(gr.addressOf(m.To), m) },
 		onApply: gr.onApply, onStatus: gr.onStatus,
 	})
 }
 
-func (n *node) replayView(gr *Group) {
+func (n *node) publishView(gr *Group) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 
@@ -287,7 +287,7 @@
 
 func (gr *Group) nextView(ma *machine.Machine, vi *View) (*View, error) {
 	if ds, ok := ma.Since(vi.Revision); ok {
-		if next, err := vi.with(ds); err == nil {
+		if next, err := vi.withDeltas(ds); err == nil {
 			return next, nil
 		}
 	}
@@ -332,7 +332,7 @@
 	return ""
 }
 
-func (gr *Group) learnAddress(he *wire.Hello) {
+func (gr *Group) recordAddress(he *wire.Hello) {
 	if he.GetReplica() == "" || he.GetAddress() == "" {
 		return
 	}
@@ -355,7 +355,7 @@
 	case old.Term != st.Term:
 		gr.cfg.Log.WithFields(fl).Info("term changed")
 	case !old.Membership.Equal(st.Membership):
-		gr.moves.Add(1)
+		gr.membershipChanges.Add(1)
 		fl["learners"] = st.Membership.Learners
 		gr.cfg.Log.WithFields(fl).Info("membership changed")
 	default:
@@ -380,7 +380,7 @@
 	me.Gauge("group.leads", leads)
 	me.Gauge("group.voters", int64(len(st.Membership.Voters)))
 	me.Gauge("group.elections", gr.elections.Load())
-	me.Gauge("group.moves", gr.moves.Load())
+	me.Gauge("group.moves", gr.membershipChanges.Load())
 }
 
 // IsLeader reports whether this replica leads, as far as it knows.
@@ -440,7 +440,7 @@
 		return
 	}
 
-	err := n.do(ctx, func(now time.Duration, re *consensus.Replica) error {
+	err := n.runOnLoop(ctx, func(now time.Duration, re *consensus.Replica) error {
 		if !re.TransferLeadership(now) {
 			return consensus.ErrLastVoter
 		}
--- a/internal/group/membership.go
+++ b/internal/group/membership.go
@@ -19,11 +19,11 @@
 
 const (
 	formPeriod       = 200 * time.Millisecond
-	askTimeout       = time.Second
+	formCallTimeout  = time.Second
 	membershipPeriod = 250 * time.Millisecond
 	registerPeriod   = time.Second
 	supersededAfter  = time.Second            // silence after which a replica of the same name counts instead
-	askAllTimeout    = 400 * time.Millisecond // of questions to all known addresses at a start
+	discoveryTimeout = 400 * time.Millisecond // of questions to all known addresses at a start
 	rejoinPeriod     = 300 * time.Millisecond
 	rejoinAfter      = time.Second // without a leader after which a replica asks whether it still belongs to the group
 )
@@ -59,8 +59,8 @@
 	return nil
 }
 
-func (gr *Group) ask(ctx context.Context, address string) (*wire.IdentityReply, error) {
-	actx, cancel := context.WithTimeout(ctx, askTimeout)
+func (gr *Group) fetchIdentity(ctx context.Context, address string) (*wire.IdentityReply, error) {
+	actx, cancel := context.WithTimeout(ctx, formCallTimeout)
 	defer cancel()
 
 	var rep wire.IdentityReply
@@ -69,21 +69,21 @@
 	return &rep, err
 }
 
-// answer is what another replica said of itself.
-type answer struct {
+// discoveredPeer is what another replica said of itself.
+type discoveredPeer struct {
 	address string
 	reply   *wire.IdentityReply
 }
 
-// askAll asks every known address but the own one at once, and remembers where
+// discoverPeers asks every known address but the own one at once, and remembers where
 // the replicas are.
-func (gr *Group) askAll(ctx context.Context) []answer {
-	ctx, cancel := context.WithTimeout(ctx, askAllTimeout)
+func (gr *Group) discoverPeers(ctx context.Context) []discoveredPeer {
+	ctx, cancel := context.WithTimeout(ctx, discoveryTimeout)
 	defer cancel()
 
 	addresses := gr.cfg.Addresses()
 	gr.mu.Lock()
-	addresses = slices.AppendSeq(slices.Clone(addresses), maps.Values(gr.peers))
+	addresses = slices.AppendSeq(slices.Clone(addresses), maps.Values(gr.storedPeers))
 	gr.mu.Unlock()
 	slices.Sort(addresses)
 	addresses = slices.DeleteFunc(slices.Compact(addresses), func(a string) bool { return a == gr.cfg.Address })
@@ -93,21 +93,21 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			if rep, err := gr.ask(ctx, a); err == nil {
+			if rep, err := gr.fetchIdentity(ctx, a); err == nil {
 				replies[i] = rep
 			}
 		}()
 	}
 	wg.Wait()
 
-	var out []answer
+	var out []discoveredPeer
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 	for i, rep := range replies {
 		if rep == nil {
 			continue
 		}
-		out = append(out, answer{addresses[i], rep})
+		out = append(out, discoveredPeer{addresses[i], rep})
 		if rep.GetReplica() != "" {
 			gr.addresses[consensus.ReplicaID(rep.GetReplica())] = addresses[i]
 		}
@@ -118,7 +118,7 @@
 
 // checkCluster refuses to start beside replicas of another cluster.
 func (gr *Group) checkCluster(ctx context.Context) error {
-	for _, an := range gr.askAll(ctx) {
+	for _, an := range gr.discoverPeers(ctx) {
 		if an.reply.GetFormed() && an.reply.GetCluster() != gr.identity.Cluster {
 			return result.New(result.DataFolderForeign, "group: %s: of cluster %s, but %s is in cluster %s",
 				gr.cfg.DataFolder, gr.identity.Cluster, an.reply.GetName(), an.reply.GetCluster())
@@ -129,20 +129,20 @@
 }
 
 func (gr *Group) formOnce(ctx context.Context) (bool, error) {
-	answers := gr.askAll(ctx)
+	answers := gr.discoverPeers(ctx)
 	if gr.cfg.Formation != nil {
 		// Who forms the group is decided elsewhere, once.
 		if ids := gr.cfg.Formation(); slices.Contains(ids, gr.identity.Replica) {
 			ids = slices.Sorted(slices.Values(ids))
 
-			return true, gr.become(clusterID(ids), ids)
+			return true, gr.storeCluster(clusterID(ids), ids)
 		}
 	}
 
 	empty := []consensus.ReplicaID{gr.identity.Replica}
 	for _, an := range answers {
 		if an.reply.GetFormed() {
-			if done, err := gr.adopt(ctx, an.address, an.reply); done || err != nil {
+			if done, err := gr.joinCluster(ctx, an.address, an.reply); done || err != nil {
 				return done, err
 			}
 
@@ -159,10 +159,10 @@
 	}
 	slices.Sort(empty)
 
-	return true, gr.become(clusterID(empty), empty)
+	return true, gr.storeCluster(clusterID(empty), empty)
 }
 
-func (gr *Group) become(cluster string, bootstrap []consensus.ReplicaID) error {
+func (gr *Group) storeCluster(cluster string, bootstrap []consensus.ReplicaID) error {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 
@@ -177,22 +177,22 @@
 	return nil
 }
 
-// adopt starts as the voter that the first founder named, or joins as a learner.
-func (gr *Group) adopt(ctx context.Context, address string, rep *wire.IdentityReply) (bool, error) {
+// joinCluster starts as the voter that the first founder named, or joins as a learner.
+func (gr *Group) joinCluster(ctx context.Context, address string, rep *wire.IdentityReply) (bool, error) {
 	bootstrap := toReplicas(rep.GetBootstrap())
 	if !slices.Contains(bootstrap, gr.identity.Replica) {
-		if err := gr.join(ctx, address); err != nil {
+		if err := gr.requestJoin(ctx, address); err != nil {
 			gr.cfg.Log.WithError(err).WithField("peer", address).Info("the group could not be joined yet")
 
 			return false, nil // asked again after formPeriod
 		}
 	}
 
-	return true, gr.become(rep.GetCluster(), bootstrap)
+	return true, gr.storeCluster(rep.GetCluster(), bootstrap)
 }
 
-func (gr *Group) join(ctx context.Context, address string) error {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (gr *Group) requestJoin(ctx context.Context, address string) error {
+	ctx, cancel := context.WithTimeout(ctx, formCallTimeout)
 	defer cancel()
 	req := &wire.JoinRequest{
 		Name: gr.cfg.Name, Replica: string(gr.identity.Replica),
@@ -205,7 +205,7 @@
 // rejoinDuty asks to be let in again: the group may have replaced this replica
 // while it was silent.
 func (gr *Group) rejoinDuty(ctx context.Context) {
-	lonely := gr.now()
+	leaderless := gr.now()
 	for ctx.Err() == nil {
 		select {
 		case <-time.After(rejoinPeriod):
@@ -213,16 +213,16 @@
 			return
 		}
 		if gr.Status().Leader != "" || gr.cfg.IsRetiring(gr.cfg.Name) {
-			lonely = gr.now()
+			leaderless = gr.now()
 
 			continue
 		}
-		if gr.now() < lonely+rejoinAfter {
+		if gr.now() < leaderless+rejoinAfter {
 			continue
 		}
-		for _, an := range gr.askAll(ctx) {
-			if an.reply.GetFormed() && gr.join(ctx, an.address) == nil {
-				lonely = gr.now()
+		for _, an := range gr.discoverPeers(ctx) {
+			if an.reply.GetFormed() && gr.requestJoin(ctx, an.address) == nil {
+				leaderless = gr.now()
 
 				break
 			}
@@ -257,7 +257,7 @@
 		return err
 	}
 
-	return n.do(ctx, func(now time.Duration, re *consensus.Replica) error {
+	return n.runOnLoop(ctx, func(now time.Duration, re *consensus.Replica) error {
 		m := re.Membership()
 		if m.IsVoter(id) || m.IsLearner(id) {
 			return nil
@@ -281,7 +281,7 @@
 		if !known {
 			_ = gr.Propose(ctx, machine.KindRegister, want, nil) // tried again after registerPeriod
 		}
-		gr.rememberPeers()
+		gr.recordPeers()
 		select {
 		case <-time.After(registerPeriod):
 		case <-ctx.Done():
@@ -289,8 +289,8 @@
 	}
 }
 
-// rememberPeers keeps the addresses of the members beside the identity.
-func (gr *Group) rememberPeers() {
+// recordPeers keeps the addresses of the members beside the identity.
+func (gr *Group) recordPeers() {
 	peers := map[consensus.ReplicaID]string{}
 	for _, id := range gr.Status().Membership.All() {
 		if a := gr.addressOf(id); a != "" && id != gr.identity.Replica {
@@ -298,16 +298,16 @@
 		}
 	}
 
-	gr.keepPeers(peers)
+	gr.storePeers(peers)
 }
 
-// keepPeers stores addresses. The identity in memory stays as it is: other duties
+// storePeers stores addresses. The identity in memory stays as it is: other duties
 // read it without a lock.
-func (gr *Group) keepPeers(peers map[consensus.ReplicaID]string) {
+func (gr *Group) storePeers(peers map[consensus.ReplicaID]string) {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 
-	if len(peers) == 0 || maps.Equal(peers, gr.peers) {
+	if len(peers) == 0 || maps.Equal(peers, gr.storedPeers) {
 		return
 	}
 	id := gr.identity
@@ -317,7 +317,7 @@
 
 		return
 	}
-	gr.peers = peers
+	gr.storedPeers = peers
 }
 
 // membershipDuty repairs the membership while this replica leads.
@@ -339,8 +339,8 @@
 				names[id] = re.Name
 			}
 		})
-		_ = n.do(ctx, func(now time.Duration, re *consensus.Replica) error {
-			next, why := repair(now, re, names, gr.cfg.ReplaceAfter, gr.voters(), gr.cfg.IsRetiring)
+		_ = n.runOnLoop(ctx, func(now time.Duration, re *consensus.Replica) error {
+			next, why := nextMembership(now, re, names, gr.cfg.ReplaceAfter, gr.targetVoters(), gr.cfg.IsRetiring)
 			if why == "" {
 				return nil
 			}
@@ -354,8 +354,8 @@
 	}
 }
 
-// voters returns how many voters the group should have.
-func (gr *Group) voters() int {
+// targetVoters returns how many targetVoters the group should have.
+func (gr *Group) targetVoters() int {
 	if gr.cfg.Voters > 0 {
 		return gr.cfg.Voters
 	}
@@ -363,11 +363,11 @@
 	return len(gr.identity.Bootstrap)
 }
 
-// repair returns the next membership that brings the group nearer to target
+// nextMembership returns the next membership that brings the group nearer to target
 // living voters, with the reason, or "" when nothing is to be done. A spare is
 // promoted before the dead voter is removed. A replica of a VM that is being
 // emptied counts as dead.
-func repair(
+func nextMembership(
 	now time.Duration, re *consensus.Replica, names map[consensus.ReplicaID]string, after time.Duration, target int,
 	isRetiring func(name string) bool,
 ) (consensus.Membership, string) {
@@ -465,7 +465,7 @@
 		return gr.callLeader(ctx, methodMember, req, &wire.Empty{})
 	}
 
-	return n.do(ctx, func(now time.Duration, re *consensus.Replica) error {
+	return n.runOnLoop(ctx, func(now time.Duration, re *consensus.Replica) error {
 		m := re.Membership()
 		if !m.IsVoter(id) && !m.IsLearner(id) {
 			return result.New(result.UnknownObject, "group: %s is not a member", id)
--- a/internal/group/node.go
+++ b/internal/group/node.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	inboxSize      = 4096
-	batchLimit     = 1024
-	tickPeriod     = 20 * time.Millisecond
-	snapshotEvery  = 20_000 // entries
-	trailEntries   = 5_000  // kept behind a snapshot for slow followers
-	maxReadWaiters = 65_536
+	inboxSize       = 4096
+	maxBatchEvents  = 1024
+	tickPeriod      = 20 * time.Millisecond
+	snapshotEntries = 20_000 // entries
+	retainedEntries = 5_000  // kept behind a snapshot for slow followers
+	maxReadWaiters  = 65_536
 
 	// snapshotBytes of commands are applied between two snapshots at most, a tenth
 	// of the smallest disk.
 	snapshotBytes = 12 << 20
-	// trailBytes bounds the commands kept behind a snapshot in memory.
-	trailBytes = 4 << 20
+	// retainedBytes bounds the commands kept behind a snapshot in memory.
+	retainedBytes = 4 << 20
 )
 
 // event is one input of a node's loop; exactly one field is set.
@@ -54,9 +54,9 @@
 	err   error
 }
 
-type waiter struct {
-	term uint64
-	prop *proposal
+type pendingProposal struct {
+	term     uint64
+	proposal *proposal
 }
 
 // node runs one replica: it feeds the core, stores, sends and applies.
@@ -68,28 +68,28 @@
 	send    func(m consensus.Message)
 	onApply func()
 	// onStatus is told of each new status, with the one before it.
-	onStatus  func(old, st Status)
-	sinceSnap int // bytes of commands applied since the last snapshot was begun
+	onStatus           func(old, st Status)
+	bytesSinceSnapshot int // bytes of commands applied since the last snapshot was begun
 
 	// A snapshot is encoded and written beside the loop, at most one at a time.
-	isSaving   bool
-	saved      chan savedSnapshot
-	background sync.WaitGroup
-
-	inbox   chan event
-	waiters map[uint64]waiter
-	reads   map[uint64]*readRequest
-	readSeq uint64
-
-	mu       sync.RWMutex // guards machine and status
-	machine  *machine.Machine
-	status   Status
-	applied  chan struct{} // closed and replaced after each batch applied
-	lastSnap uint64
+	isSnapshotting  bool
+	snapshotResults chan snapshotResult
+	background      sync.WaitGroup
+
+	inbox            chan event
+	pendingProposals map[uint64]pendingProposal
+	pendingReads     map[uint64]*readRequest
+	lastReadID       uint64
+
+	mu                sync.RWMutex // guards machine and status
+	machine           *machine.Machine
+	status            Status
+	applied           chan struct{} // closed and replaced after each batch applied
+	lastSnapshotIndex uint64
 }
 
-// savedSnapshot is a snapshot, without its data, that was written or could not be.
-type savedSnapshot struct {
+// snapshotResult is a snapshot, without its data, that was written or could not be.
+type snapshotResult struct {
 	snapshot consensus.Snapshot
 	err      error
 }
@@ -138,8 +138,8 @@
 	}
 	n := &node{
 		store: st, start: time.Now(), wallMs: cfg.wallMs, send: cfg.send, onApply: cfg.onApply, onStatus: cfg.onStatus,
-		inbox: make(chan event, inboxSize), waiters: map[uint64]waiter{}, reads: map[uint64]*readRequest{},
-		machine: ma, applied: make(chan struct{}), lastSnap: re.Snapshot.Index, saved: make(chan savedSnapshot, 1),
+		inbox: make(chan event, inboxSize), pendingProposals: map[uint64]pendingProposal{}, pendingReads: map[uint64]*readRequest{},
+		machine: ma, applied: make(chan struct{}), lastSnapshotIndex: re.Snapshot.Index, snapshotResults: make(chan snapshotResult, 1),
 	}
 	n.replica = consensus.New(consensus.Config{
 		ID: cfg.id, Group: cfg.group, ElectionTimeout: cfg.election, HeartbeatPeriod: cfg.heartbeat,
@@ -157,7 +157,7 @@
 func (n *node) run(ctx context.Context) error {
 	ticker := time.NewTicker(tickPeriod)
 	defer ticker.Stop()
-	defer n.failAll(result.New(result.ShuttingDown, "group: the replica stops").With(result.Unknown))
+	defer n.failPending(result.New(result.ShuttingDown, "group: the replica stops").With(result.Unknown))
 	defer n.store.Close()
 	defer n.background.Wait()
 
@@ -165,30 +165,30 @@
 		var batch []*proposal
 		select {
 		case ev := <-n.inbox:
-			batch = n.take(ev, batch)
-		case sv := <-n.saved:
-			if err := n.adopt(sv); err != nil {
+			batch = n.handleEvent(ev, batch)
+		case sv := <-n.snapshotResults:
+			if err := n.adoptSnapshot(sv); err != nil {
 				return err
 			}
 		case <-ticker.C:
 		case <-ctx.Done():
 			return nil
 		}
-		batch = n.gather(batch)
+		batch = n.collectBatch(batch)
 		n.propose(batch)
 		n.replica.Tick(n.now())
-		if err := n.flush(); err != nil {
+		if err := n.processReady(); err != nil {
 			return err
 		}
 	}
 }
 
-// gather takes what else waits in the inbox, so that many entries share one sync.
-func (n *node) gather(batch []*proposal) []*proposal {
-	for range batchLimit {
+// collectBatch takes what else waits in the inbox, so that many entries share one sync.
+func (n *node) collectBatch(batch []*proposal) []*proposal {
+	for range maxBatchEvents {
 		select {
 		case ev := <-n.inbox:
-			batch = n.take(ev, batch)
+			batch = n.handleEvent(ev, batch)
 		default:
 			return batch
 		}
@@ -197,7 +197,7 @@
 	return batch
 }
 
-func (n *node) take(ev event, batch []*proposal) []*proposal {
+func (n *node) handleEvent(ev event, batch []*proposal) []*proposal {
 	switch {
 	case ev.message != nil:
 		n.replica.Step(n.now(), *ev.message)
@@ -230,28 +230,28 @@
 
 			continue
 		}
-		n.waiters[first+uint64(i)] = waiter{term: n.replica.Term(), prop: p}
+		n.pendingProposals[first+uint64(i)] = pendingProposal{term: n.replica.Term(), proposal: p}
 	}
 }
 
 func (n *node) startRead(rr *readRequest) {
-	if len(n.reads) >= maxReadWaiters {
-		rr.answer <- readAnswer{err: result.New(result.QueueFull, "group: %d reads wait", len(n.reads))}
+	if len(n.pendingReads) >= maxReadWaiters {
+		rr.answer <- readAnswer{err: result.New(result.QueueFull, "group: %d reads wait", len(n.pendingReads))}
 
 		return
 	}
 
-	n.readSeq++
-	if err := n.replica.ReadIndex(n.now(), n.readSeq); err != nil {
+	n.lastReadID++
+	if err := n.replica.ReadIndex(n.now(), n.lastReadID); err != nil {
 		rr.answer <- readAnswer{err: result.New(result.NotLeader, "group: %v", err)}
 
 		return
 	}
-	n.reads[n.readSeq] = rr
+	n.pendingReads[n.lastReadID] = rr
 }
 
-// flush carries out what the core wants until it wants nothing.
-func (n *node) flush() error {
+// processReady carries out what the core wants until it wants nothing.
+func (n *node) processReady() error {
 	for {
 		rd := n.replica.Ready()
 		if rd.Empty() {
@@ -282,12 +282,12 @@
 }
 
 func (n *node) finishRead(rs consensus.ReadState) {
-	rr, ok := n.reads[rs.Context]
+	rr, ok := n.pendingReads[rs.Context]
 	if !ok {
 		return
 	}
 
-	delete(n.reads, rs.Context)
+	delete(n.pendingReads, rs.Context)
 	an := readAnswer{index: rs.Index}
 	if !rs.OK {
 		an.err = result.New(result.NotLeader, "group: leadership was lost")
@@ -302,7 +302,7 @@
 			return err
 		}
 		n.mu.Lock()
-		n.machine, n.lastSnap = ma, rd.Snapshot.Index
+		n.machine, n.lastSnapshotIndex = ma, rd.Snapshot.Index
 		n.onApply()
 		n.signalApplied()
 		n.mu.Unlock()
@@ -316,11 +316,11 @@
 		var rep []byte
 		if en.Kind == consensus.EntryCommand {
 			rep = n.machine.Apply(en.Index, en.Data)
-			n.sinceSnap += len(en.Data)
+			n.bytesSinceSnapshot += len(en.Data)
 		} else {
 			n.machine.Skip(en.Index)
 		}
-		n.answer(en, rep)
+		n.answerProposal(en, rep)
 	}
 	// The view must be there before anybody can see that the entries are applied:
 	// a read that waited for them is answered from the view.
@@ -329,7 +329,7 @@
 	last := rd.Committed[len(rd.Committed)-1].Index
 	n.mu.Unlock()
 
-	if !n.isSaving && (last >= n.lastSnap+snapshotEvery || n.sinceSnap > snapshotBytes) {
+	if !n.isSnapshotting && (last >= n.lastSnapshotIndex+snapshotEntries || n.bytesSinceSnapshot > snapshotBytes) {
 		return n.snapshot(last)
 	}
 
@@ -342,19 +342,19 @@
 	n.applied = make(chan struct{})
 }
 
-func (n *node) answer(en consensus.Entry, rep []byte) {
-	w, ok := n.waiters[en.Index]
+func (n *node) answerProposal(en consensus.Entry, rep []byte) {
+	w, ok := n.pendingProposals[en.Index]
 	if !ok {
 		return
 	}
 
-	delete(n.waiters, en.Index)
+	delete(n.pendingProposals, en.Index)
 	if w.term != en.Term {
-		w.prop.answer <- proposalAnswer{err: result.New(result.NotLeader, "group: leadership was lost")}
+		w.proposal.answer <- proposalAnswer{err: result.New(result.NotLeader, "group: leadership was lost")}
 
 		return
 	}
-	w.prop.answer <- proposalAnswer{reply: rep}
+	w.proposal.answer <- proposalAnswer{reply: rep}
 }
 
 // snapshot begins to store the state after index. Entries are applied meanwhile: the
@@ -367,39 +367,39 @@
 
 	term, _ := n.replica.TermAt(index)
 	sn := consensus.Snapshot{Index: index, Term: term, Membership: n.replica.MembershipAt(index)}
-	n.isSaving, n.sinceSnap = true, 0
+	n.isSnapshotting, n.bytesSinceSnapshot = true, 0
 	n.background.Go(func() {
 		data, err := encode()
 		if err == nil {
-			whole := sn
-			whole.Data = data
-			err = n.store.WriteSnapshot(whole)
+			complete := sn
+			complete.Data = data
+			err = n.store.WriteSnapshot(complete)
 		}
-		n.saved <- savedSnapshot{snapshot: sn, err: err}
+		n.snapshotResults <- snapshotResult{snapshot: sn, err: err}
 	})
 
 	return nil
 }
 
-// adopt takes a written snapshot over and drops the log that it covers.
-func (n *node) adopt(sv savedSnapshot) error {
-	n.isSaving = false
+// adoptSnapshot takes a written snapshot over and drops the log that it covers.
+func (n *node) adoptSnapshot(sv snapshotResult) error {
+	n.isSnapshotting = false
 	sn := sv.snapshot
 	switch {
 	case sv.err != nil:
 		return sv.err
-	case sn.Index <= n.lastSnap:
+	case sn.Index <= n.lastSnapshotIndex:
 		return n.store.DropSnapshot(sn.Index) // the leader has sent a newer one
 	}
 	if err := n.store.AdoptSnapshot(sn, false); err != nil {
 		return err
 	}
-	n.lastSnap = sn.Index
-	keep := max(n.replica.TailFrom(trailBytes), 1) - 1
-	if sn.Index > trailEntries {
-		keep = max(keep, sn.Index-trailEntries)
+	n.lastSnapshotIndex = sn.Index
+	dropTo := max(n.replica.TailFrom(retainedBytes), 1) - 1
+	if sn.Index > retainedEntries {
+		dropTo = max(dropTo, sn.Index-retainedEntries)
 	}
-	n.replica.Compact(min(keep, sn.Index))
+	n.replica.Compact(min(dropTo, sn.Index))
 
 	return nil
 }
@@ -424,24 +424,24 @@
 		n.onStatus(old, st)
 	}
 
-	if re.Role() != consensus.RoleLeader && len(n.waiters) > 0 {
-		n.failAll(result.New(result.NotLeader, "group: leadership was lost").With(result.Unknown))
+	if re.Role() != consensus.RoleLeader && len(n.pendingProposals) > 0 {
+		n.failPending(result.New(result.NotLeader, "group: leadership was lost").With(result.Unknown))
 	}
 }
 
-func (n *node) failAll(err error) {
-	for i, w := range n.waiters {
-		w.prop.answer <- proposalAnswer{err: err}
-		delete(n.waiters, i)
+func (n *node) failPending(err error) {
+	for i, w := range n.pendingProposals {
+		w.proposal.answer <- proposalAnswer{err: err}
+		delete(n.pendingProposals, i)
 	}
-	for i, rr := range n.reads {
+	for i, rr := range n.pendingReads {
 		rr.answer <- readAnswer{err: err}
-		delete(n.reads, i)
+		delete(n.pendingReads, i)
 	}
 }
 
-// post puts an event into the inbox.
-func (n *node) post(ctx context.Context, ev event) error {
+// enqueue puts an event into the inbox.
+func (n *node) enqueue(ctx context.Context, ev event) error {
 	select {
 	case n.inbox <- ev:
 		return nil
@@ -450,10 +450,10 @@
 	}
 }
 
-// do runs f on the loop and waits for it.
-func (n *node) do(ctx context.Context, f func(now time.Duration, re *consensus.Replica) error) error {
+// runOnLoop runs f on the loop and waits for it.
+func (n *node) runOnLoop(ctx context.Context, f func(now time.Duration, re *consensus.Replica) error) error {
 	done := make(chan error, 1)
-	err := n.post(ctx, event{call: func(now time.Duration, re *consensus.Replica) { done <- f(now, re) }})
+	err := n.enqueue(ctx, event{call: func(now time.Duration, re *consensus.Replica) { done <- f(now, re) }})
 	if err != nil {
 		return err
 	}
@@ -468,7 +468,7 @@
 
 func (n *node) proposeLocal(ctx context.Context, command []byte) ([]byte, error) {
 	p := &proposal{command: command, answer: make(chan proposalAnswer, 1)}
-	if err := n.post(ctx, event{proposal: p}); err != nil {
+	if err := n.enqueue(ctx, event{proposal: p}); err != nil {
 		return nil, err
 	}
 
@@ -482,7 +482,7 @@
 
 func (n *node) readLocal(ctx context.Context) (uint64, error) {
 	rr := &readRequest{answer: make(chan readAnswer, 1)}
-	if err := n.post(ctx, event{read: rr}); err != nil {
+	if err := n.enqueue(ctx, event{read: rr}); err != nil {
 		return 0, err
 	}
 
--- a/internal/group/node_test.go
+++ b/internal/group/node_test.go
@@ -18,8 +18,8 @@
 	"github.com/tamarackbay/tamarackbay/internal/storage"
 )
 
-// alone runs the only replica of a group; done gets why it ended.
-func alone(files storage.Files, dir string) (n *node, cancel context.CancelFunc, done chan error) {
+// startSingleReplica runs the only replica of a group; done gets why it ended.
+func startSingleReplica(files storage.Files, dir string) (n *node, cancel context.CancelFunc, done chan error) {
 	n, err := openNode(nodeConfig{
 		id: "a", group: 1, bootstrap: consensus.Membership{Voters: []consensus.ReplicaID{"a"}}, files: files, dir: dir,
 		election: 100 * time.Millisecond, heartbeat: 20 * time.Millisecond, wallMs: func() int64 { return 1 },
@@ -54,23 +54,23 @@
 }
 
 var _ = ginkgo.Describe("a snapshot of a large state", func() {
-	const each = 1 << 20
+	const commandBytes = 1 << 20
 
 	ginkgo.It("holds up no proposal while it is encoded and written", func() {
-		const write = 2 * time.Second
+		const writeDelay = 2 * time.Second
 		dir := ginkgo.GinkgoT().TempDir()
 		files := storage.OSFiles()
 		create := files.Create
 		files.Create = func(path string) (storage.File, error) {
 			if strings.Contains(path, "snapshot") {
-				time.Sleep(write)
+				time.Sleep(writeDelay)
 			}
 
 			return create(path)
 		}
-		n, cancel, done := alone(files, dir)
-		for i := range snapshotBytes/each + 4 {
-			Expect(submit(n, fmt.Sprintf("j%d", i), each)).To(BeNumerically("<", write/4))
+		n, cancel, done := startSingleReplica(files, dir)
+		for i := range snapshotBytes/commandBytes + 4 {
+			Expect(submit(n, fmt.Sprintf("j%d", i), commandBytes)).To(BeNumerically("<", writeDelay/4))
 		}
 		snapshots := func() []string {
 			names, err := filepath.Glob(filepath.Join(dir, "snapshot-*"))
@@ -82,15 +82,15 @@
 		cancel()
 		Expect(<-done).To(Succeed())
 
-		n, cancel, done = alone(storage.OSFiles(), dir)
+		n, cancel, done = startSingleReplica(storage.OSFiles(), dir)
 		defer func() {
 			cancel()
 			Expect(<-done).To(Succeed())
 		}()
 		n.mu.RLock()
 		defer n.mu.RUnlock()
-		Expect(n.machine.Jobs().Jobs()).To(HaveLen(snapshotBytes/each + 4))
-		Expect(n.lastSnap).To(BeNumerically(">", 0), "the state comes from a snapshot and the log after it")
+		Expect(n.machine.Jobs().Jobs()).To(HaveLen(snapshotBytes/commandBytes + 4))
+		Expect(n.lastSnapshotIndex).To(BeNumerically(">", 0), "the state comes from a snapshot and the log after it")
 	})
 
 	ginkgo.It("that cannot be written ends the replica", func() {
@@ -104,7 +104,7 @@
 
 			return create(path)
 		}
-		n, cancel, done := alone(files, dir)
+		n, cancel, done := startSingleReplica(files, dir)
 		defer cancel()
 		// One command is enough for a snapshot to be due.
 		submit(n, "j", snapshotBytes)
--- a/internal/group/peers_test.go
+++ b/internal/group/peers_test.go
@@ -30,11 +30,11 @@
 		go func() {
 			defer wg.Done()
 			for i := range 20 {
-				gr.keepPeers(map[consensus.ReplicaID]string{"b-1": fmt.Sprint(i)})
+				gr.storePeers(map[consensus.ReplicaID]string{"b-1": fmt.Sprint(i)})
 			}
 		}()
 		for range 2000 {
-			Expect(gr.voters()).To(BeZero())
+			Expect(gr.targetVoters()).To(BeZero())
 			Expect(gr.identity.Replica).NotTo(BeEmpty())
 		}
 		wg.Wait()
--- a/internal/group/propose.go
+++ b/internal/group/propose.go
@@ -21,7 +21,7 @@
 	confirmTimeout = time.Second
 	retryMin       = 10 * time.Millisecond
 	retryMax       = 60 * time.Millisecond
-	sessionWait    = 500 * time.Millisecond
+	sessionTimeout = 500 * time.Millisecond
 )
 
 // Methods of calls between processes of a group.
@@ -61,7 +61,7 @@
 		return result.New(result.DataFolderForeign, "group: %s is no replica", he.GetName())
 	}
 
-	gr.learnAddress(he)
+	gr.recordAddress(he)
 	for {
 		st.SetDeadline(time.Now().Add(rawStreamTimeout))
 		var w wire.ConsensusMessage
@@ -182,9 +182,9 @@
 }
 
 func (gr *Group) callAddress(ctx context.Context, address, method string, req, rep message) error {
-	wctx, cancel := context.WithTimeout(ctx, sessionWait)
+	wctx, cancel := context.WithTimeout(ctx, sessionTimeout)
 	defer cancel()
-	se, err := gr.tr.session(wctx, address)
+	se, err := gr.transport.session(wctx, address)
 	if err != nil {
 		return err
 	}
@@ -271,7 +271,7 @@
 	if err := gr.node.Load().waitApplied(ctx, i); err != nil {
 		return err
 	}
-	gr.confirm(at)
+	gr.recordConfirmation(at)
 
 	return nil
 }
@@ -316,7 +316,7 @@
 	})
 	var far, near []string
 	for a, d := range domains {
-		if a == gr.cfg.Address || gr.tr.outbox(a).link.Session() == nil {
+		if a == gr.cfg.Address || gr.transport.outbox(a).link.Session() == nil {
 			continue
 		}
 		if d == failureDomain {
@@ -374,9 +374,9 @@
 
 // Open starts a call with several answers on another gateway.
 func (gr *Group) Open(ctx context.Context, address, method string, req message) (*peer.Stream, error) {
-	wctx, cancel := context.WithTimeout(ctx, sessionWait)
+	wctx, cancel := context.WithTimeout(ctx, sessionTimeout)
 	defer cancel()
-	se, err := gr.tr.session(wctx, address)
+	se, err := gr.transport.session(wctx, address)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/group/transport.go
+++ b/internal/group/transport.go
@@ -11,49 +11,49 @@
 )
 
 const (
-	peerRing         = 512 // messages waiting for one peer; further ones are dropped
+	outboxSize       = 512 // messages waiting for one peer; further ones are dropped
 	rawStreamTimeout = 24 * time.Hour
 	rawWriteTimeout  = 5 * time.Second
 	methodConsensus  = "raw.consensus"
-	// sessionPatience is how long a message waits for its peer's session: less than
+	// messageSessionTimeout is how long a message waits for its peer's session: less than
 	// the time in which the protocol would send it again.
-	sessionPatience = 200 * time.Millisecond
+	messageSessionTimeout = 200 * time.Millisecond
 )
 
 // transport carries messages to the other replicas, one link and one goroutine an address.
 type transport struct {
-	links *peer.Links
-	own   string // own address, never dialled
-	ctx   context.Context
-	mu    sync.Mutex
-	outs  map[string]*outbox
-	wg    sync.WaitGroup
+	links      *peer.Links
+	ownAddress string // own address, never dialled
+	ctx        context.Context
+	mu         sync.Mutex
+	outboxes   map[string]*outbox
+	wg         sync.WaitGroup
 }
 
 type outbox struct {
-	link *peer.Link
-	ring chan *wire.ConsensusMessage
+	link  *peer.Link
+	queue chan *wire.ConsensusMessage
 }
 
 func newTransport(ctx context.Context, cfg peer.Config, own string) *transport {
-	return &transport{links: peer.NewLinks(ctx, cfg), own: own, ctx: ctx, outs: map[string]*outbox{}}
+	return &transport{links: peer.NewLinks(ctx, cfg), ownAddress: own, ctx: ctx, outboxes: map[string]*outbox{}}
 }
 
 func (tr *transport) outbox(address string) *outbox {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 
-	ob, ok := tr.outs[address]
+	ob, ok := tr.outboxes[address]
 	if ok {
 		return ob
 	}
 
-	ob = &outbox{link: tr.links.To(address), ring: make(chan *wire.ConsensusMessage, peerRing)}
-	tr.outs[address] = ob
+	ob = &outbox{link: tr.links.To(address), queue: make(chan *wire.ConsensusMessage, outboxSize)}
+	tr.outboxes[address] = ob
 	tr.wg.Add(1)
 	go func() {
 		defer tr.wg.Done()
-		ob.drain(tr.ctx)
+		ob.writeMessages(tr.ctx)
 	}()
 
 	return ob
@@ -66,7 +66,7 @@
 
 // connect opens the session to address before the first message needs it.
 func (tr *transport) connect(address string) {
-	if address != "" && address != tr.own {
+	if address != "" && address != tr.ownAddress {
 		tr.outbox(address)
 	}
 }
@@ -79,18 +79,18 @@
 
 // send hands a message over; it is dropped when the peer's ring is full.
 func (tr *transport) send(address string, m consensus.Message) {
-	if address == "" || address == tr.own {
+	if address == "" || address == tr.ownAddress {
 		return
 	}
 
 	select {
-	case tr.outbox(address).ring <- toWire(m):
+	case tr.outbox(address).queue <- toWire(m):
 	default:
 	}
 }
 
-// drain writes the messages of one peer to a raw stream.
-func (ob *outbox) drain(ctx context.Context) {
+// writeMessages writes the messages of one peer to a raw stream.
+func (ob *outbox) writeMessages(ctx context.Context) {
 	var st *peer.Stream
 	defer func() {
 		if st != nil {
@@ -101,13 +101,13 @@
 	for {
 		var m *wire.ConsensusMessage
 		select {
-		case m = <-ob.ring:
+		case m = <-ob.queue:
 		case <-ctx.Done():
 			return
 		}
 
 		if st == nil {
-			wctx, wcancel := context.WithTimeout(ctx, sessionPatience)
+			wctx, wcancel := context.WithTimeout(ctx, messageSessionTimeout)
 			se, err := ob.link.Wait(wctx)
 			wcancel()
 			if err != nil {
--- a/internal/group/view.go
+++ b/internal/group/view.go
@@ -26,8 +26,8 @@
 	return vi, vi.Set.Apply(fu.Ops)
 }
 
-// with returns the view after deltas. It copies only what they change.
-func (vi *View) with(deltas []machine.Delta) (*View, error) {
+// withDeltas returns the view after deltas. It copies only what they change.
+func (vi *View) withDeltas(deltas []machine.Delta) (*View, error) {
 	n := *vi
 	changedSet, changedQuarantine := false, false
 	for _, d := range deltas {
