--- a/internal/group/feed.go
+++ b/internal/group/feed.go
@@ -17,9 +17,9 @@
 type message = proto.Message
 
 const (
-	feedWait    = 500 * time.Millisecond // a feed answers at the latest after it
+	feedWait    = 500 * time.Millisecond // longest wait of a feed request for a change
 	feedTimeout = 2 * time.Second
-	// maxRelayDeltas is the number of changes that a process without a replica keeps for its subscribers.
+	// maxRelayDeltas is the number of changes that a process without a replica retains for its subscribers.
 	maxRelayDeltas = 1024
 )
 
@@ -36,7 +36,7 @@
 	return out
 }
 
-// callUpstream calls the current upstream of a subscriber and moves to the next one when it fails.
+// callUpstream calls the current upstream and switches to the next one after a retriable error.
 func (gr *Group) callUpstream(ctx context.Context, method string, req, rep message) error {
 	ups := gr.upstreams()
 	if len(ups) == 0 {
@@ -58,7 +58,7 @@
 	return err
 }
 
-// follow keeps a subscriber's view and freshness stamp.
+// follow updates the view and the freshness time of a process without a replica until ctx ends.
 func (gr *Group) follow(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := gr.followOnce(ctx); err != nil {
@@ -82,13 +82,13 @@
 		return err
 	}
 	if rep.GetRevision() < vi.Revision {
-		// The upstream knows less than this process: its configuration would be a step back.
-		return result.New(result.StaleProcess, "group: the upstream is at %d, this process at %d", rep.GetRevision(), vi.Revision)
+		// The upstream lags behind this process: its configuration would move the view back.
+		return result.New(result.StaleProcess, "group: the upstream is at revision %d, behind this process at revision %d", rep.GetRevision(), vi.Revision)
 	}
 
 	next, deltas, err := viewAfter(vi, &rep)
 	if err != nil {
-		gr.cfg.Log.WithFields(log.Fields{"error": err.Error()}).Error("the feed could not be read")
+		gr.cfg.Log.WithFields(log.Fields{"error": err.Error()}).Error("feed reply could not be decoded")
 
 		return err
 	}
@@ -96,7 +96,8 @@
 		gr.recordDeltas(next, deltas)
 		gr.setView(next)
 	}
-	// The answer was made after the request was sent, so the stamp is never too young.
+	// The upstream measures the age after the request was sent, so at-age is never
+	// later than the confirmation itself.
 	if age := time.Duration(rep.GetAgeMs()) * time.Millisecond; at > age {
 		gr.recordConfirmation(at - age)
 	}
@@ -104,12 +105,12 @@
 	return nil
 }
 
-// viewAfter returns the view after a feed, and the deltas that led to it, none
-// where the feed was everything anew.
+// viewAfter returns the view after a feed reply and the deltas that led to it. There
+// are no deltas if the reply holds the full configuration.
 func viewAfter(vi *View, rep *wire.FeedReply) (*View, []machine.Delta, error) {
 	if rep.GetFull() {
 		if len(rep.GetDeltas()) != 1 {
-			return nil, nil, result.New(result.Internal, "group: a full feed holds %d parts", len(rep.GetDeltas()))
+			return nil, nil, result.New(result.Internal, "group: a full feed reply holds %d parts instead of one", len(rep.GetDeltas()))
 		}
 		var fu machine.Full
 		if err := decode(rep.GetDeltas()[0], &fu); err != nil {
@@ -134,12 +135,12 @@
 	return next, ds, err
 }
 
-// recordDeltas remembers changes for subscribers of a process that has no replica.
+// recordDeltas retains the latest changes for subscribers of a process without a replica.
 func (gr *Group) recordDeltas(next *View, ds []machine.Delta) {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 
-	if len(ds) == 0 { // everything came anew
+	if len(ds) == 0 { // the reply held the full configuration
 		gr.cfg.Count("feed.full")
 		gr.deltas, gr.deltasAfter = nil, next.Revision
 
@@ -152,7 +153,8 @@
 	}
 }
 
-// deltasSince returns the changes after a position, and false if they are not all held.
+// deltasSince returns the changes after a revision, and false if some of them are not
+// retained any more.
 func (gr *Group) deltasSince(revision uint64) ([]machine.Delta, bool) {
 	var ds []machine.Delta
 	ok := false
@@ -177,8 +179,8 @@
 	return append([]machine.Delta(nil), gr.deltas[n:]...), true
 }
 
-// handleFeed answers what changed since the subscriber's position, at once or
-// after a change. Any process may serve it, so that feeds form a tree.
+// handleFeed answers with what changed after the subscriber's revision; without a
+// change it waits for one. Any process may serve it, so that feeds form a tree.
 func (gr *Group) handleFeed(ctx context.Context, st *peer.Stream) error {
 	var req wire.FeedRequest
 	if err := st.Request(&req); err != nil {
@@ -189,13 +191,13 @@
 	case gr.feedLimit <- struct{}{}:
 		defer func() { <-gr.feedLimit }()
 	default:
-		return result.New(result.QueueFull, "group: %d subscribers wait here", maxFeeds)
+		return result.New(result.QueueFull, "group: the limit of %d waiting subscribers is reached", maxFeeds)
 	}
 
 	gr.waitForRevision(ctx, req.GetRevision(), time.Duration(req.GetWaitMs())*time.Millisecond)
 	age, ok := gr.Age()
 	if !ok {
-		return result.New(result.NoLeader, "group: nothing heard from the group yet")
+		return result.New(result.NoLeader, "group: nothing received from the group yet")
 	}
 	rep, err := gr.feedReply(req.GetRevision())
 	if err != nil {
@@ -206,6 +208,7 @@
 	return st.Reply(rep)
 }
 
+// waitForRevision waits until the view is newer than revision, for d or feedWait at most.
 func (gr *Group) waitForRevision(ctx context.Context, revision uint64, d time.Duration) {
 	timer := time.NewTimer(min(d, feedWait))
 	defer timer.Stop()
@@ -226,7 +229,7 @@
 }
 
 func (gr *Group) feedReply(revision uint64) (*wire.FeedReply, error) {
-	// The age was read before the view: the view is at least as young.
+	// The caller has read the age before: the view is at least as recent as it says.
 	vi := gr.View()
 	rep := &wire.FeedReply{Version: vi.Version, Revision: vi.Revision}
 	if vi.Revision <= revision {
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -24,10 +24,11 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// MainGroup is the group that holds everything in today's deployments.
+// MainGroup is the only group of a deployment today.
 const MainGroup consensus.GroupID = 1
 
-// Founder is a process that forms the cluster when all founders are empty.
+// Founder is one of the processes that form the cluster, which requires that none of
+// them belongs to a cluster yet.
 type Founder struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
@@ -36,7 +37,7 @@
 // Config describes a process's part in a group.
 type Config struct {
 	Name           string
-	Address        string // of the own peer listener
+	Address        string // of this process's peer listener
 	FailureDomain  string
 	DataFolder     string // "" for a subscriber
 	Founders       []Founder
@@ -46,25 +47,25 @@
 	Election       time.Duration
 	Heartbeat      time.Duration
 	FreshnessBound time.Duration
-	ReplaceAfter   time.Duration // how long a voter may be silent before a spare takes its place
-	Voters         int           // that the group should have; as many as formed it where 0
-	// Addresses returns where other replicas may be found, the founders where nil.
+	ReplaceAfter   time.Duration // how long a voter may be silent before a caught-up learner replaces it
+	Voters         int           // target number; 0 means as many as formed the group
+	// Addresses returns where other replicas may be found; the founders' addresses where nil.
 	Addresses func() []string
 	// Formation returns the replicas that form the group, none where that is not
-	// known or this process may not form it. The founders decide where nil.
+	// known or this process may not form it. Where nil, the first founder decides.
 	Formation func() []consensus.ReplicaID
 	// Locate returns the address of a replica, "" where it is not known.
 	Locate func(id consensus.ReplicaID) string
 	// IsRetiring reports whether the replicas of a VM are to leave the group.
 	IsRetiring func(name string) bool
-	// OnStatus takes each change of role, leader, term or membership. It must not block.
+	// OnStatus is called with each change of role, leader, term or membership. It must not block.
 	OnStatus func(st Status)
 	WallMs   func() int64
 	Count    func(counter string)
 	Log      log.Interface
 }
 
-// Group is a process's part in a group.
+// Group is a process's part in a replication group.
 type Group struct {
 	cfg      Config
 	identity identity
@@ -76,25 +77,25 @@
 	node      atomic.Pointer[node]
 
 	view              atomic.Pointer[View]
-	elections         atomic.Int64 // changes of the leader that were seen
-	membershipChanges atomic.Int64 // changes of the membership that were seen
-	freshAt           atomic.Int64 // time.Duration since start, 0 before the first confirmation
+	elections         atomic.Int64 // observed changes of the leader
+	membershipChanges atomic.Int64 // observed changes of the membership
+	freshAt           atomic.Int64 // latest confirmation, a time.Duration since start; 0 before the first one
 
 	mu            sync.Mutex
 	changed       chan struct{} // closed and replaced with each new view
 	addresses     map[consensus.ReplicaID]string
-	storedPeers   map[consensus.ReplicaID]string // as they stand in the data folder
+	storedPeers   map[consensus.ReplicaID]string // as stored in the data folder
 	upstreamIndex int
 	feedLimit     chan struct{}
 
-	deltas      []machine.Delta // the last changes, where there is no replica
+	deltas      []machine.Delta // the latest changes; used only without a replica
 	deltasAfter uint64          // every change after this position is in deltas
 }
 
-// maxFeeds bounds the subscribers that wait on one process.
+// maxFeeds bounds the subscribers that wait at one process.
 const maxFeeds = 4096
 
-// New loads the identity. Handlers may be served before Run.
+// New loads the identity from the data folder or creates it. Handlers may be served before Run.
 func New(cfg Config) (*Group, error) {
 	gr := &Group{
 		cfg: cfg, start: time.Now(), changed: make(chan struct{}),
@@ -151,7 +152,7 @@
 // HasDisk reports whether this process runs a replica.
 func (gr *Group) HasDisk() bool { return gr.cfg.DataFolder != "" }
 
-// View returns the configuration as known here.
+// View returns the configuration as last known to this process.
 func (gr *Group) View() *View { return gr.view.Load() }
 
 // Changed returns a channel that is closed with the next view.
@@ -170,26 +171,29 @@
 	gr.mu.Unlock()
 }
 
-// Age returns how old the knowledge of this process is, and false if it has none.
+// Age returns the time since this process's view was last confirmed, and false before
+// the first confirmation.
 func (gr *Group) Age() (time.Duration, bool) {
 	at := gr.freshAt.Load()
 
 	return gr.now() - time.Duration(at), at > 0
 }
 
-// Fresh returns an error when the process must refuse new work.
+// Fresh returns an error when the view is too old, so that the process must refuse new work.
 func (gr *Group) Fresh() error {
 	age, ok := gr.Age()
 	switch {
 	case !ok:
-		return result.New(result.StaleProcess, "group: nothing heard from the group yet").After(time.Second)
+		return result.New(result.StaleProcess, "group: nothing received from the group yet").After(time.Second)
 	case age > gr.cfg.FreshnessBound:
-		return result.New(result.StaleProcess, "group: nothing heard for %v, the bound is %v", age.Round(time.Millisecond), gr.cfg.FreshnessBound).After(time.Second)
+		return result.New(result.StaleProcess, "group: nothing received from the group for %v, the limit is %v", age.Round(time.Millisecond), gr.cfg.FreshnessBound).After(time.Second)
 	}
 
 	return nil
 }
 
+// recordConfirmation records that the view was current at a time. An earlier time than
+// the latest one has no effect.
 func (gr *Group) recordConfirmation(at time.Duration) {
 	for {
 		old := gr.freshAt.Load()
@@ -254,6 +258,7 @@
 	})
 }
 
+// publishView sets the group's first view from the restored state machine.
 func (n *node) publishView(gr *Group) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -278,7 +283,7 @@
 
 	next, err := gr.nextView(ma, vi)
 	if err != nil {
-		gr.cfg.Log.WithError(err).Error("the configuration could not be read")
+		gr.cfg.Log.WithError(err).Error("configuration could not be read from the state machine")
 
 		return
 	}
@@ -300,7 +305,7 @@
 	return newView(fu)
 }
 
-// addressOf returns where a replica can be reached, or "".
+// addressOf returns the address of a replica, or "" if it is not known.
 func (gr *Group) addressOf(id consensus.ReplicaID) string {
 	gr.mu.Lock()
 	a, ok := gr.addresses[id]
@@ -342,7 +347,7 @@
 	gr.mu.Unlock()
 }
 
-// onStatus tells of changes in who leads and who belongs to the group.
+// onStatus logs and reports changes of the leader, the term and the membership.
 func (gr *Group) onStatus(old, st Status) {
 	fl := log.Fields{"role": st.Role, "leader": st.Leader, "term": st.Term, "commit": st.Commit, "voters": st.Membership.Voters}
 	switch {
@@ -383,7 +388,7 @@
 	me.Gauge("group.moves", gr.membershipChanges.Load())
 }
 
-// IsLeader reports whether this replica leads, as far as it knows.
+// IsLeader reports whether this replica is the leader by its last known status.
 func (gr *Group) IsLeader() bool { return gr.Status().Role == consensus.RoleLeader.String() }
 
 // Replica returns the identity of the own replica, "" on a subscriber.
@@ -433,7 +438,7 @@
 	return n.applied
 }
 
-// TransferLeadership gives the lead away before the process stops.
+// TransferLeadership passes leadership to another voter before the process stops.
 func (gr *Group) TransferLeadership(ctx context.Context) {
 	n := gr.node.Load()
 	if n == nil || n.getStatus().Role != consensus.RoleLeader.String() {
@@ -448,7 +453,7 @@
 		return nil
 	})
 	if err != nil {
-		return // nobody is there to take over
+		return // no other voter can take over
 	}
 	for ctx.Err() == nil && n.getStatus().Role == consensus.RoleLeader.String() {
 		time.Sleep(tickPeriod)
@@ -458,7 +463,7 @@
 // decode reads a CBOR payload.
 func decode(b []byte, v any) error {
 	if err := cbor.Unmarshal(b, v); err != nil {
-		return result.New(result.Internal, "group: %v", err)
+		return result.New(result.Internal, "group: decoding a payload: %v", err)
 	}
 
 	return nil
--- a/internal/group/identity.go
+++ b/internal/group/identity.go
@@ -21,22 +21,22 @@
 	replicaIDBytes = 8
 )
 
-// identity is what makes a replica itself. It lives in the data folder: an
-// emptied folder makes a new replica, which never votes under the old name.
+// identity identifies a replica. It is stored in the data folder: a replica whose
+// folder was emptied gets a new ID and never votes under the old one.
 type identity struct {
 	Format    int                   `json:"format"`
 	Name      string                `json:"name"`
 	Replica   consensus.ReplicaID   `json:"replica"`
 	Cluster   string                `json:"cluster,omitempty"` // "" until formed or joined
 	Bootstrap []consensus.ReplicaID `json:"bootstrap,omitempty"`
-	// Peers are the addresses of the members when they were last known: after a
-	// restart the replicated ones are not applied before a leader is elected.
+	// Peers are the last known addresses of the members. A restarted replica needs them
+	// because the replicated addresses are applied only after a leader is elected.
 	Peers map[consensus.ReplicaID]string `json:"peers,omitempty"`
 }
 
 func loadIdentity(files storage.Files, dir, name string) (identity, error) {
 	if err := files.MkdirAll(dir); err != nil {
-		return identity{}, result.New(result.DataFolderWrite, "group: %s: %v", dir, err)
+		return identity{}, result.New(result.DataFolderWrite, "group: creating the data folder %s: %v", dir, err)
 	}
 
 	path := filepath.Join(dir, identityFile)
@@ -47,21 +47,21 @@
 		return id, id.save(files, dir)
 	}
 	if err != nil {
-		return identity{}, result.New(result.DataFolderWrite, "group: %s: %v", path, err)
+		return identity{}, result.New(result.DataFolderWrite, "group: reading %s: %v", path, err)
 	}
 
 	var id identity
 	if err := json.Unmarshal(b, &id); err != nil {
-		return identity{}, result.New(result.DataFolderDamaged, "group: %s: %v", path, err)
+		return identity{}, result.New(result.DataFolderDamaged, "group: decoding %s: %v", path, err)
 	}
 	switch {
 	case id.Format > identityFormat:
-		return identity{}, result.New(result.DataFolderNewer, "group: %s: format %d, this program knows %d", path, id.Format, identityFormat)
+		return identity{}, result.New(result.DataFolderNewer, "group: %s: format %d is newer than %d, the newest that this program reads", path, id.Format, identityFormat)
 	case id.Name != name:
-		return identity{}, result.New(result.DataFolderForeign, "group: %s: belongs to %q, the settings say %q", path, id.Name, name)
+		return identity{}, result.New(result.DataFolderForeign, "group: %s: belongs to the process %q, but the settings name it %q", path, id.Name, name)
 	}
 
-	return id, id.save(files, dir) // shows at once whether the folder can be written
+	return id, id.save(files, dir) // fails early if the folder is not writable
 }
 
 func (id identity) save(files storage.Files, dir string) error {
@@ -70,7 +70,7 @@
 		return err
 	}
 	if err := files.WriteAtomic(filepath.Join(dir, identityFile), b); err != nil {
-		return result.New(result.DataFolderWrite, "group: %s: %v", dir, err)
+		return result.New(result.DataFolderWrite, "group: saving the identity in %s: %v", dir, err)
 	}
 
 	return nil
--- a/internal/group/membership.go
+++ b/internal/group/membership.go
@@ -22,10 +22,10 @@
 	formCallTimeout  = time.Second
 	membershipPeriod = 250 * time.Millisecond
 	registerPeriod   = time.Second
-	supersededAfter  = time.Second            // silence after which a replica of the same name counts instead
-	discoveryTimeout = 400 * time.Millisecond // of questions to all known addresses at a start
+	supersededAfter  = time.Second            // silence after which another replica of the same name supersedes a member
+	discoveryTimeout = 400 * time.Millisecond // for the identity requests to all known addresses
 	rejoinPeriod     = 300 * time.Millisecond
-	rejoinAfter      = time.Second // without a leader after which a replica asks whether it still belongs to the group
+	rejoinAfter      = time.Second // time without a leader after which a replica asks to join again
 )
 
 func (gr *Group) handleIdentity(_ context.Context, st *peer.Stream) error {
@@ -39,8 +39,9 @@
 	})
 }
 
-// form finds the cluster or forms it. Only the first founder decides on the
-// members, when every founder answers and all are empty; the others take its word.
+// form joins the existing cluster or forms a new one. Without Config.Formation only the
+// first founder chooses the members, once every founder answers and none belongs to a
+// cluster; the others adopt its choice.
 func (gr *Group) form(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if gr.identity.isFormed() {
@@ -69,14 +70,14 @@
 	return &rep, err
 }
 
-// discoveredPeer is what another replica said of itself.
+// discoveredPeer is the identity that the process at an address reported.
 type discoveredPeer struct {
 	address string
 	reply   *wire.IdentityReply
 }
 
-// discoverPeers asks every known address but the own one at once, and remembers where
-// the replicas are.
+// discoverPeers requests the identity from every known address but its own, all at
+// once, and records the addresses of the replicas that answer.
 func (gr *Group) discoverPeers(ctx context.Context) []discoveredPeer {
 	ctx, cancel := context.WithTimeout(ctx, discoveryTimeout)
 	defer cancel()
@@ -116,11 +117,11 @@
 	return out
 }
 
-// checkCluster refuses to start beside replicas of another cluster.
+// checkCluster returns an error if a replica that answers belongs to another cluster.
 func (gr *Group) checkCluster(ctx context.Context) error {
 	for _, an := range gr.discoverPeers(ctx) {
 		if an.reply.GetFormed() && an.reply.GetCluster() != gr.identity.Cluster {
-			return result.New(result.DataFolderForeign, "group: %s: of cluster %s, but %s is in cluster %s",
+			return result.New(result.DataFolderForeign, "group: %s: belongs to cluster %s, but the peer %s belongs to cluster %s",
 				gr.cfg.DataFolder, gr.identity.Cluster, an.reply.GetName(), an.reply.GetCluster())
 		}
 	}
@@ -131,7 +132,7 @@
 func (gr *Group) formOnce(ctx context.Context) (bool, error) {
 	answers := gr.discoverPeers(ctx)
 	if gr.cfg.Formation != nil {
-		// Who forms the group is decided elsewhere, once.
+		// The formation is decided once, outside this group.
 		if ids := gr.cfg.Formation(); slices.Contains(ids, gr.identity.Replica) {
 			ids = slices.Sorted(slices.Values(ids))
 
@@ -162,6 +163,7 @@
 	return true, gr.storeCluster(clusterID(empty), empty)
 }
 
+// storeCluster saves the ID of the cluster and the replicas that formed it in the identity.
 func (gr *Group) storeCluster(cluster string, bootstrap []consensus.ReplicaID) error {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
@@ -172,19 +174,20 @@
 		return err
 	}
 	gr.identity = id
-	gr.cfg.Log.WithFields(log.Fields{"cluster": cluster, "bootstrap": bootstrap}).Info("cluster known")
+	gr.cfg.Log.WithFields(log.Fields{"cluster": cluster, "bootstrap": bootstrap}).Info("cluster identity stored")
 
 	return nil
 }
 
-// joinCluster starts as the voter that the first founder named, or joins as a learner.
+// joinCluster adopts the cluster of the process at address. A replica that is not among
+// its founding voters asks to join as a learner first.
 func (gr *Group) joinCluster(ctx context.Context, address string, rep *wire.IdentityReply) (bool, error) {
 	bootstrap := toReplicas(rep.GetBootstrap())
 	if !slices.Contains(bootstrap, gr.identity.Replica) {
 		if err := gr.requestJoin(ctx, address); err != nil {
-			gr.cfg.Log.WithError(err).WithField("peer", address).Info("the group could not be joined yet")
+			gr.cfg.Log.WithError(err).WithField("peer", address).Info("joining the group failed, will be retried")
 
-			return false, nil // asked again after formPeriod
+			return false, nil // retried after formPeriod
 		}
 	}
 
@@ -202,8 +205,8 @@
 	return gr.callAddress(ctx, address, methodJoin, req, &wire.Empty{})
 }
 
-// rejoinDuty asks to be let in again: the group may have replaced this replica
-// while it was silent.
+// rejoinDuty asks to join again after a time without a leader: the group may have
+// replaced this replica while it was unreachable.
 func (gr *Group) rejoinDuty(ctx context.Context) {
 	leaderless := gr.now()
 	for ctx.Err() == nil {
@@ -242,7 +245,7 @@
 	}
 	if n.getStatus().Role != consensus.RoleLeader.String() {
 		if st.Session().Remote().GetReplica() != req.GetReplica() {
-			return result.New(result.NotLeader, "group: this replica does not lead")
+			return result.New(result.NotLeader, "group: this replica is not the leader")
 		}
 
 		return gr.callLeader(ctx, methodJoin, &req, &wire.Empty{})
@@ -250,7 +253,7 @@
 
 	id := consensus.ReplicaID(req.GetReplica())
 	if gr.cfg.IsRetiring(req.GetName()) {
-		return result.New(result.MembershipRefused, "group: %s is being emptied", req.GetName())
+		return result.New(result.MembershipRefused, "group: VM %s is retiring, its replica may not join", req.GetName())
 	}
 	reg := machine.Register{Replica: id, Name: req.GetName(), Address: req.GetAddress(), FailureDomain: req.GetFailureDomain()}
 	if err := gr.Propose(ctx, machine.KindRegister, reg, nil); err != nil {
@@ -263,14 +266,14 @@
 			return nil
 		}
 		if _, err := re.ProposeMembership(now, m.WithLearner(id)); err != nil {
-			return result.New(result.MembershipRefused, "group: join of %s: %v", id, err)
+			return result.New(result.MembershipRefused, "group: adding replica %s as a learner: %v", id, err)
 		}
 
 		return nil
 	})
 }
 
-// registerDuty tells the group where this replica can be reached.
+// registerDuty keeps this replica's address registered in the group.
 func (gr *Group) registerDuty(ctx context.Context) {
 	for ctx.Err() == nil {
 		want := machine.Register{
@@ -279,7 +282,7 @@
 		known := false
 		gr.Read(func(ma *machine.Machine) { known = ma.Replicas()[want.Replica] == want })
 		if !known {
-			_ = gr.Propose(ctx, machine.KindRegister, want, nil) // tried again after registerPeriod
+			_ = gr.Propose(ctx, machine.KindRegister, want, nil) // retried after registerPeriod
 		}
 		gr.recordPeers()
 		select {
@@ -289,7 +292,7 @@
 	}
 }
 
-// recordPeers keeps the addresses of the members beside the identity.
+// recordPeers stores the last known addresses of the other members in the data folder.
 func (gr *Group) recordPeers() {
 	peers := map[consensus.ReplicaID]string{}
 	for _, id := range gr.Status().Membership.All() {
@@ -301,8 +304,8 @@
 	gr.storePeers(peers)
 }
 
-// storePeers stores addresses. The identity in memory stays as it is: other duties
-// read it without a lock.
+// storePeers saves addresses with the identity. gr.identity itself does not change:
+// other goroutines read it without a lock.
 func (gr *Group) storePeers(peers map[consensus.ReplicaID]string) {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
@@ -313,14 +316,14 @@
 	id := gr.identity
 	id.Peers = peers
 	if err := id.save(gr.cfg.Files, gr.cfg.DataFolder); err != nil {
-		gr.cfg.Log.WithError(err).Warn("the addresses of the other replicas are not kept")
+		gr.cfg.Log.WithError(err).Warn("addresses of the other replicas could not be stored")
 
 		return
 	}
 	gr.storedPeers = peers
 }
 
-// membershipDuty repairs the membership while this replica leads.
+// membershipDuty repairs the membership while this replica is the leader.
 func (gr *Group) membershipDuty(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -347,14 +350,14 @@
 			if _, err := re.ProposeMembership(now, next); err != nil {
 				return err
 			}
-			gr.cfg.Log.WithFields(log.Fields{"why": why, "voters": next.Voters, "learners": next.Learners}).Info("membership changes")
+			gr.cfg.Log.WithFields(log.Fields{"why": why, "voters": next.Voters, "learners": next.Learners}).Info("membership change proposed")
 
 			return nil
 		})
 	}
 }
 
-// targetVoters returns how many targetVoters the group should have.
+// targetVoters returns how many voters the group should have.
 func (gr *Group) targetVoters() int {
 	if gr.cfg.Voters > 0 {
 		return gr.cfg.Voters
@@ -363,10 +366,9 @@
 	return len(gr.identity.Bootstrap)
 }
 
-// nextMembership returns the next membership that brings the group nearer to target
-// living voters, with the reason, or "" when nothing is to be done. A spare is
-// promoted before the dead voter is removed. A replica of a VM that is being
-// emptied counts as dead.
+// nextMembership returns the next membership on the way to target living voters and the
+// reason for the change, or "" if none is needed. A caught-up learner is promoted before
+// the dead voter is removed. A replica of a retiring VM counts as dead.
 func nextMembership(
 	now time.Duration, re *consensus.Replica, names map[consensus.ReplicaID]string, after time.Duration, target int,
 	isRetiring func(name string) bool,
@@ -416,8 +418,8 @@
 	return m, ""
 }
 
-// isSuperseded reports whether a replica of the same name is heard while id is
-// silent, which happens when a data folder was emptied.
+// isSuperseded reports whether id is silent while another replica of the same name was
+// heard from later, which happens when a data folder was emptied.
 func isSuperseded(now time.Duration, id consensus.ReplicaID, re *consensus.Replica, names map[consensus.ReplicaID]string) bool {
 	heard, ok := re.HeardFrom(id)
 	if !ok || now < heard+supersededAfter {
@@ -453,7 +455,7 @@
 	MemberRemove  = "remove"
 )
 
-// ChangeMember promotes a learner or removes a replica by an operator's order.
+// ChangeMember promotes a learner or removes a replica at an operator's request.
 func (gr *Group) ChangeMember(ctx context.Context, action string, id consensus.ReplicaID) error {
 	n := gr.node.Load()
 	if n == nil || n.getStatus().Role != consensus.RoleLeader.String() {
@@ -468,7 +470,7 @@
 	return n.runOnLoop(ctx, func(now time.Duration, re *consensus.Replica) error {
 		m := re.Membership()
 		if !m.IsVoter(id) && !m.IsLearner(id) {
-			return result.New(result.UnknownObject, "group: %s is not a member", id)
+			return result.New(result.UnknownObject, "group: replica %s is not a member", id)
 		}
 		next := m.Without(id)
 		if action == MemberPromote {
--- a/internal/group/node.go
+++ b/internal/group/node.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	inboxSize       = 4096
-	maxBatchEvents  = 1024
+	inboxSize       = 4096 // events
+	maxBatchEvents  = 1024 // events that may share one sync
 	tickPeriod      = 20 * time.Millisecond
-	snapshotEntries = 20_000 // entries
-	retainedEntries = 5_000  // kept behind a snapshot for slow followers
+	snapshotEntries = 20_000 // applied entries after which a snapshot is due
+	retainedEntries = 5_000  // retained for slow followers although a snapshot covers them
 	maxReadWaiters  = 65_536
 
-	// snapshotBytes of commands are applied between two snapshots at most, a tenth
-	// of the smallest disk.
+	// snapshotBytes is the size of the applied commands after which a snapshot is due: a
+	// tenth of the smallest disk.
 	snapshotBytes = 12 << 20
-	// retainedBytes bounds the commands kept behind a snapshot in memory.
+	// retainedBytes bounds the commands in memory that are retained although a snapshot covers them.
 	retainedBytes = 4 << 20
 )
 
@@ -59,7 +59,8 @@
 	proposal *proposal
 }
 
-// node runs one replica: it feeds the core, stores, sends and applies.
+// node runs one replica: it passes events to the consensus core, stores and sends what
+// the core returns, and applies committed entries.
 type node struct {
 	replica *consensus.Replica
 	store   *storage.Store
@@ -67,11 +68,11 @@
 	wallMs  func() int64
 	send    func(m consensus.Message)
 	onApply func()
-	// onStatus is told of each new status, with the one before it.
+	// onStatus is called with the previous and the current status.
 	onStatus           func(old, st Status)
 	bytesSinceSnapshot int // bytes of commands applied since the last snapshot was begun
 
-	// A snapshot is encoded and written beside the loop, at most one at a time.
+	// A snapshot is encoded and written in the background, at most one at a time.
 	isSnapshotting  bool
 	snapshotResults chan snapshotResult
 	background      sync.WaitGroup
@@ -88,7 +89,7 @@
 	lastSnapshotIndex uint64
 }
 
-// snapshotResult is a snapshot, without its data, that was written or could not be.
+// snapshotResult is the outcome of writing a snapshot; the data of the snapshot is left out.
 type snapshotResult struct {
 	snapshot consensus.Snapshot
 	err      error
@@ -104,7 +105,7 @@
 	Applied    uint64               `json:"applied"`
 	Membership consensus.Membership `json:"membership"`
 	// IsSettled reports whether this replica leads and has applied everything that
-	// former leaders committed.
+	// earlier leaders committed.
 	IsSettled bool `json:"isSettled"`
 }
 
@@ -183,7 +184,7 @@
 	}
 }
 
-// collectBatch takes what else waits in the inbox, so that many entries share one sync.
+// collectBatch handles the other events in the inbox, so that many entries share one sync.
 func (n *node) collectBatch(batch []*proposal) []*proposal {
 	for range maxBatchEvents {
 		select {
@@ -197,6 +198,7 @@
 	return batch
 }
 
+// handleEvent passes an event to the replica; a proposal is only appended to batch.
 func (n *node) handleEvent(ev event, batch []*proposal) []*proposal {
 	switch {
 	case ev.message != nil:
@@ -236,7 +238,7 @@
 
 func (n *node) startRead(rr *readRequest) {
 	if len(n.pendingReads) >= maxReadWaiters {
-		rr.answer <- readAnswer{err: result.New(result.QueueFull, "group: %d reads wait", len(n.pendingReads))}
+		rr.answer <- readAnswer{err: result.New(result.QueueFull, "group: %d reads are pending, the limit", len(n.pendingReads))}
 
 		return
 	}
@@ -250,7 +252,7 @@
 	n.pendingReads[n.lastReadID] = rr
 }
 
-// processReady carries out what the core wants until it wants nothing.
+// processReady carries out what the consensus core requests, until nothing is left.
 func (n *node) processReady() error {
 	for {
 		rd := n.replica.Ready()
@@ -322,8 +324,8 @@
 		}
 		n.answerProposal(en, rep)
 	}
-	// The view must be there before anybody can see that the entries are applied:
-	// a read that waited for them is answered from the view.
+	// The view is updated before the lock is released and waiters are notified: a read
+	// that waited for these entries is answered from the view.
 	n.onApply()
 	n.signalApplied()
 	last := rd.Committed[len(rd.Committed)-1].Index
@@ -336,7 +338,7 @@
 	return nil
 }
 
-// signalApplied wakes those that wait for entries; n.mu is held.
+// signalApplied notifies those that wait for entries to be applied; n.mu is held.
 func (n *node) signalApplied() {
 	close(n.applied)
 	n.applied = make(chan struct{})
@@ -357,8 +359,8 @@
 	w.proposal.answer <- proposalAnswer{reply: rep}
 }
 
-// snapshot begins to store the state after index. Entries are applied meanwhile: the
-// encoding of a large state takes longer than followers wait for their leader.
+// snapshot starts to store the state after index. Entries are applied meanwhile: encoding
+// a large state can take longer than the followers' election timeout.
 func (n *node) snapshot(index uint64) error {
 	encode, err := n.machine.Freeze()
 	if err != nil {
@@ -381,7 +383,8 @@
 	return nil
 }
 
-// adoptSnapshot takes a written snapshot over and drops the log that it covers.
+// adoptSnapshot makes a written snapshot the current one and drops the log that it
+// covers, except for the entries that are retained for slow followers.
 func (n *node) adoptSnapshot(sv snapshotResult) error {
 	n.isSnapshotting = false
 	sn := sv.snapshot
@@ -389,7 +392,7 @@
 	case sv.err != nil:
 		return sv.err
 	case sn.Index <= n.lastSnapshotIndex:
-		return n.store.DropSnapshot(sn.Index) // the leader has sent a newer one
+		return n.store.DropSnapshot(sn.Index) // the leader has sent a newer one meanwhile
 	}
 	if err := n.store.AdoptSnapshot(sn, false); err != nil {
 		return err
@@ -404,8 +407,8 @@
 	return nil
 }
 
-// updateStatus publishes the state of the replica and answers proposals that it
-// cannot answer any more.
+// updateStatus publishes the state of the replica. When it is not the leader any more,
+// all pending proposals and reads fail.
 func (n *node) updateStatus() {
 	re := n.replica
 	st := Status{
@@ -507,7 +510,7 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return result.New(result.GroupTimeout, "group: position %d is not applied yet", index)
+			return result.New(result.GroupTimeout, "group: entry %d was not applied in time", index)
 		}
 	}
 }
--- a/internal/group/node_test.go
+++ b/internal/group/node_test.go
@@ -18,7 +18,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/storage"
 )
 
-// startSingleReplica runs the only replica of a group; done gets why it ended.
+// startSingleReplica runs the only replica of a group; done receives the error that ended it.
 func startSingleReplica(files storage.Files, dir string) (n *node, cancel context.CancelFunc, done chan error) {
 	n, err := openNode(nodeConfig{
 		id: "a", group: 1, bootstrap: consensus.Membership{Voters: []consensus.ReplicaID{"a"}}, files: files, dir: dir,
@@ -39,7 +39,8 @@
 	return n, cancel, done
 }
 
-// submit proposes a job whose item has a body of so many bytes.
+// submit proposes a job whose item has a body of so many bytes, and returns how long the
+// answer took.
 func submit(n *node, id string, bytes int) time.Duration {
 	b, err := machine.Encode(machine.KindSubmitJob, job.Submit{Spec: job.Spec{ID: id, Items: []job.Item{{ID: "i", Body: make([]byte, bytes)}}}})
 	Expect(err).NotTo(HaveOccurred())
@@ -56,7 +57,7 @@
 var _ = ginkgo.Describe("a snapshot of a large state", func() {
 	const commandBytes = 1 << 20
 
-	ginkgo.It("holds up no proposal while it is encoded and written", func() {
+	ginkgo.It("delays no proposal while it is encoded and written", func() {
 		const writeDelay = 2 * time.Second
 		dir := ginkgo.GinkgoT().TempDir()
 		files := storage.OSFiles()
@@ -93,7 +94,7 @@
 		Expect(n.lastSnapshotIndex).To(BeNumerically(">", 0), "the state comes from a snapshot and the log after it")
 	})
 
-	ginkgo.It("that cannot be written ends the replica", func() {
+	ginkgo.It("terminates the replica if it cannot be written", func() {
 		dir := ginkgo.GinkgoT().TempDir()
 		files := storage.OSFiles()
 		create := files.Create
--- a/internal/group/peers_test.go
+++ b/internal/group/peers_test.go
@@ -18,8 +18,8 @@
 func TestSuite(t *testing.T) { suite.Run(t, "group") }
 
 var _ = ginkgo.Describe("the addresses of the other replicas", func() {
-	// The race detector is the check.
-	ginkgo.It("are kept while other duties read the identity, and are there after a restart", func() {
+	// The race detector is what checks the access to the identity here.
+	ginkgo.It("are stored while other goroutines read the identity, and are restored after a restart", func() {
 		dir := ginkgo.GinkgoT().TempDir()
 		cfg := Config{Name: "a", Address: "x", DataFolder: dir, Files: storage.OSFiles(), Log: logging.Discard()}
 		cfg.Peer.Hello = &wire.Hello{}
--- a/internal/group/propose.go
+++ b/internal/group/propose.go
@@ -36,7 +36,7 @@
 	methodQuery         = "group.query"
 )
 
-// Handlers returns the calls that other processes may make.
+// Handlers returns the handlers of the calls from other processes.
 func (gr *Group) Handlers() peer.Mux {
 	return peer.Mux{
 		methodConsensus: gr.handleConsensus,
@@ -58,7 +58,7 @@
 func (gr *Group) handleConsensus(_ context.Context, st *peer.Stream) error {
 	he := st.Session().Remote()
 	if he.GetReplica() == "" {
-		return result.New(result.DataFolderForeign, "group: %s is no replica", he.GetName())
+		return result.New(result.DataFolderForeign, "group: %s sent consensus messages but has no replica", he.GetName())
 	}
 
 	gr.recordAddress(he)
@@ -81,8 +81,8 @@
 	}
 }
 
-// Propose commits a command and decodes its reply into out. It tries again while
-// the leader changes: every command is idempotent.
+// Propose commits a command and decodes its reply into out. It retries while no leader
+// can be reached, which is safe as every command is idempotent.
 func (gr *Group) Propose(ctx context.Context, kind machine.Kind, body, out any) error {
 	command, err := machine.Encode(kind, body)
 	if err != nil {
@@ -106,13 +106,14 @@
 		select {
 		case <-time.After(retryMin + rand.N(retryMax-retryMin)):
 		case <-ctx.Done():
-			return result.New(result.GroupTimeout, "group: %v", err).With(result.Unknown)
+			return result.New(result.GroupTimeout, "group: the command was not confirmed in time: %v", err).With(result.Unknown)
 		}
 	}
 }
 
-// ProposeLocal commits a command if this replica leads, and otherwise refuses it at
-// once. A failure after it was taken into the log says that its outcome is unknown.
+// ProposeLocal commits a command if this replica is the leader, and otherwise returns an
+// error at once. If the command may still be committed after a failure, the execution of
+// the error is Unknown.
 func (gr *Group) ProposeLocal(ctx context.Context, kind machine.Kind, body, out any) error {
 	command, err := machine.Encode(kind, body)
 	if err != nil {
@@ -163,7 +164,8 @@
 	return rep.GetResult(), nil
 }
 
-// callLeader calls the replica that leads, if it is another one.
+// callLeader calls the last known leader. It returns NoLeader if none is known or if
+// this replica is the leader itself.
 func (gr *Group) callLeader(ctx context.Context, method string, req, rep message) error {
 	n := gr.node.Load()
 	if n == nil {
@@ -175,7 +177,7 @@
 	}
 	a := gr.addressOf(st.Leader)
 	if a == "" {
-		return result.New(result.NoLeader, "group: the address of %s is not known", st.Leader)
+		return result.New(result.NoLeader, "group: the address of the leader %s is not known", st.Leader)
 	}
 
 	return gr.callAddress(ctx, a, method, req, rep)
@@ -198,7 +200,7 @@
 		return err
 	}
 
-	if !gr.HasDisk() && mayForward { // a relay passes commands on towards the group
+	if !gr.HasDisk() && mayForward { // without a replica, commands are forwarded upstream
 		var rep wire.ProposeReply
 		if err := gr.callUpstream(ctx, methodPropose, &req, &rep); err != nil {
 			return err
@@ -219,7 +221,7 @@
 		return st.Reply(&wire.ProposeReply{Result: rep})
 	}
 	if !mayForward {
-		return result.New(result.NotLeader, "group: this replica does not lead")
+		return result.New(result.NotLeader, "group: this replica is not the leader")
 	}
 
 	var rep wire.ProposeReply
@@ -230,7 +232,8 @@
 	return st.Reply(&rep)
 }
 
-// readIndex asks the leader for a position that covers all that is committed.
+// readIndex returns a log position that covers everything committed before the call,
+// as confirmed by the leader.
 func (gr *Group) readIndex(ctx context.Context) (uint64, error) {
 	n := gr.node.Load()
 	if n == nil {
@@ -276,7 +279,7 @@
 	return nil
 }
 
-// confirmDuty keeps the freshness stamp of a replica young.
+// confirmDuty renews the freshness time of a replica periodically.
 func (gr *Group) confirmDuty(ctx context.Context) {
 	for ctx.Err() == nil {
 		cctx, cancel := context.WithTimeout(ctx, confirmTimeout)
@@ -293,10 +296,10 @@
 	}
 }
 
-// Call calls another gateway by its peer address.
+// Call calls another process by its peer address.
 func (gr *Group) Call(ctx context.Context, address, method string, req, rep message) error {
 	if address == gr.cfg.Address {
-		return result.New(result.Internal, "group: %s is this process", address)
+		return result.New(result.Internal, "group: %s is the address of this process", address)
 	}
 
 	return gr.callAddress(ctx, address, method, req, rep)
@@ -329,7 +332,7 @@
 	return append(far, near...)
 }
 
-// QueryStep returns a step as the leader's ledger has it.
+// QueryStep returns a step as recorded at the upstream, which may lag behind the leader.
 func (gr *Group) QueryStep(ctx context.Context, key string) (*step.Step, error) {
 	var rep wire.ProposeReply
 	req := &wire.QueryRequest{Kind: "step", Payload: []byte(key)}
@@ -342,7 +345,8 @@
 	return &st, decode(rep.GetResult(), &st)
 }
 
-// handleQuery answers from the state as applied here; a relay passes it on.
+// handleQuery answers from the state that is applied at this replica. A process without
+// a replica forwards the query upstream.
 func (gr *Group) handleQuery(ctx context.Context, st *peer.Stream) error {
 	var req wire.QueryRequest
 	if err := st.Request(&req); err != nil {
@@ -358,7 +362,7 @@
 	}
 
 	var b []byte
-	err := error(result.New(result.NotLeader, "group: this process has no ledger"))
+	err := error(result.New(result.NotLeader, "group: the replica has not started"))
 	gr.Read(func(ma *machine.Machine) {
 		var s *step.Step
 		if s, err = ma.Steps().Get(string(req.GetPayload())); err == nil {
@@ -372,7 +376,7 @@
 	return st.Reply(&wire.ProposeReply{Result: b})
 }
 
-// Open starts a call with several answers on another gateway.
+// Open starts a call with several answers at another process.
 func (gr *Group) Open(ctx context.Context, address, method string, req message) (*peer.Stream, error) {
 	wctx, cancel := context.WithTimeout(ctx, sessionTimeout)
 	defer cancel()
--- a/internal/group/transport.go
+++ b/internal/group/transport.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	outboxSize       = 512 // messages waiting for one peer; further ones are dropped
+	outboxSize       = 512 // messages queued for one peer; further ones are dropped
 	rawStreamTimeout = 24 * time.Hour
 	rawWriteTimeout  = 5 * time.Second
 	methodConsensus  = "raw.consensus"
 	// messageSessionTimeout is how long a message waits for its peer's session: less than
-	// the time in which the protocol would send it again.
+	// the time after which the protocol sends it again.
 	messageSessionTimeout = 200 * time.Millisecond
 )
 
-// transport carries messages to the other replicas, one link and one goroutine an address.
+// transport sends messages to the other replicas; each address has a link and a goroutine.
 type transport struct {
 	links      *peer.Links
 	ownAddress string // own address, never dialled
@@ -30,6 +30,7 @@
 	wg         sync.WaitGroup
 }
 
+// outbox holds the messages to one address that are not written yet.
 type outbox struct {
 	link  *peer.Link
 	queue chan *wire.ConsensusMessage
@@ -59,7 +60,7 @@
 	return ob
 }
 
-// session returns the open session to address.
+// session waits for the session to address and returns it.
 func (tr *transport) session(ctx context.Context, address string) (*peer.Session, error) {
 	return tr.outbox(address).link.Wait(ctx)
 }
@@ -71,13 +72,13 @@
 	}
 }
 
-// wait returns once all links and rings have ended.
+// wait returns once all links and outboxes have ended.
 func (tr *transport) wait() {
 	tr.wg.Wait()
 	tr.links.Wait()
 }
 
-// send hands a message over; it is dropped when the peer's ring is full.
+// send queues a message; it is dropped when the peer's queue is full.
 func (tr *transport) send(address string, m consensus.Message) {
 	if address == "" || address == tr.ownAddress {
 		return
@@ -89,7 +90,7 @@
 	}
 }
 
-// writeMessages writes the messages of one peer to a raw stream.
+// writeMessages writes the queued messages to a raw stream until ctx ends.
 func (ob *outbox) writeMessages(ctx context.Context) {
 	var st *peer.Stream
 	defer func() {
@@ -111,7 +112,7 @@
 			se, err := ob.link.Wait(wctx)
 			wcancel()
 			if err != nil {
-				continue // the protocol sends again what matters
+				continue // the message is dropped; the protocol repeats what matters
 			}
 			octx, cancel := context.WithTimeout(ctx, rawStreamTimeout)
 			st, err = se.Open(octx, methodConsensus, &wire.Empty{})
--- a/internal/group/view.go
+++ b/internal/group/view.go
@@ -6,7 +6,8 @@
 	"github.com/tamarackbay/tamarackbay/internal/quarantine"
 )
 
-// View is what a process knows of the configuration. It is never changed, only replaced.
+// View is a process's copy of the configuration and the quarantine. It is never changed,
+// only replaced.
 type View struct {
 	Version    uint64
 	Revision   uint64
@@ -26,7 +27,7 @@
 	return vi, vi.Set.Apply(fu.Ops)
 }
 
-// withDeltas returns the view after deltas. It copies only what they change.
+// withDeltas returns the view with deltas applied. It copies only what they change.
 func (vi *View) withDeltas(deltas []machine.Delta) (*View, error) {
 	n := *vi
 	changedSet, changedQuarantine := false, false
