--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -19,10 +19,10 @@
 const Method = "feed.follow"
 
 const (
-	// quietPeriod is how often a controller is heard even if nothing changes.
-	quietPeriod = 500 * time.Millisecond
-	// lostAfter is the silence after which a follower takes a controller for lost.
-	lostAfter = 3 * quietPeriod
+	// heartbeatPeriod is how often a controller is heard even if nothing changes.
+	heartbeatPeriod = 500 * time.Millisecond
+	// controllerTimeout is the silence after which a follower takes a controller for lost.
+	controllerTimeout = 3 * heartbeatPeriod
 	// streamTimeout ends a stream that was followed for long, to be opened anew.
 	streamTimeout = 10 * time.Minute
 )
@@ -60,8 +60,8 @@
 	return roster{Controllers: st.Controllers, Stores: st.Stores, Formation: st.Formation}
 }
 
-// frame is what changed of a State; nil parts have not.
-type frame struct {
+// stateDelta is what changed of a State; nil parts have not.
+type stateDelta struct {
 	Config    *routing.Config   `cbor:"1,keyasint,omitempty"`
 	Versions  map[string]uint64 `cbor:"2,keyasint,omitempty"`
 	Roster    *roster           `cbor:"3,keyasint,omitempty"`
@@ -72,16 +72,16 @@
 }
 
 // diff returns the frame that leads from old to st.
-func diff(old, st *State) *frame {
-	fr := &frame{IsSettled: st.IsSettled, AgeMs: st.Age.Milliseconds()}
+func diff(old, st *State) *stateDelta {
+	de := &stateDelta{IsSettled: st.IsSettled, AgeMs: st.Age.Milliseconds()}
 	if st.Config != nil && (old.Config == nil || st.Config.Version > old.Config.Version) {
-		fr.Config = st.Config
+		de.Config = st.Config
 	}
 	if !maps.Equal(old.Versions, st.Versions) {
-		fr.Versions = st.Versions
+		de.Versions = st.Versions
 	}
 	if ro := st.roster(); !reflect.DeepEqual(old.roster(), ro) {
-		fr.Roster = &ro
+		de.Roster = &ro
 	}
 
 	before := make(map[string]*registry.Status, len(old.Servers))
@@ -91,21 +91,21 @@
 	for i := range st.Servers {
 		se := &st.Servers[i]
 		if o, ok := before[se.Record.ID]; !ok || !reflect.DeepEqual(*o, *se) {
-			fr.Changed = append(fr.Changed, *se)
+			de.Changed = append(de.Changed, *se)
 		}
 		delete(before, se.Record.ID)
 	}
 	for id := range before {
-		fr.Forgotten = append(fr.Forgotten, id)
+		de.Forgotten = append(de.Forgotten, id)
 	}
-	slices.Sort(fr.Forgotten)
+	slices.Sort(de.Forgotten)
 
-	return fr
+	return de
 }
 
 // isEmpty reports whether a frame tells nothing but that its sender lives.
-func (fr *frame) isEmpty() bool {
-	return fr.Config == nil && fr.Versions == nil && fr.Roster == nil && len(fr.Changed) == 0 && len(fr.Forgotten) == 0
+func (de *stateDelta) isEmpty() bool {
+	return de.Config == nil && de.Versions == nil && de.Roster == nil && len(de.Changed) == 0 && len(de.Forgotten) == 0
 }
 
 // View is what a follower knows. It is never changed, only replaced.
@@ -131,21 +131,21 @@
 }
 
 // merge takes a frame into the view; it never lets anything go back.
-func (vi *View) merge(fr *frame) {
-	if fr.Config != nil && (vi.Table == nil || fr.Config.Version > vi.Table.Version()) {
-		vi.Table = routing.NewTable(fr.Config)
+func (vi *View) merge(de *stateDelta) {
+	if de.Config != nil && (vi.Table == nil || de.Config.Version > vi.Table.Version()) {
+		vi.Table = routing.NewTable(de.Config)
 	}
-	if fr.Versions != nil {
+	if de.Versions != nil {
 		next := maps.Clone(vi.Versions)
 		if next == nil {
 			next = map[string]uint64{}
 		}
-		for mo, v := range fr.Versions {
+		for mo, v := range de.Versions {
 			next[mo] = max(next[mo], v)
 		}
 		vi.Versions = next
 	}
-	if ro := fr.Roster; ro != nil {
+	if ro := de.Roster; ro != nil {
 		if len(ro.Controllers) > 0 {
 			vi.Controllers = ro.Controllers
 		}
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -27,33 +27,33 @@
 		b := &State{
 			Config: &routing.Config{Version: 4}, Versions: map[string]uint64{"m": 2}, Servers: []registry.Status{server("x", 2)},
 		}
-		fr := diff(a, b)
-		Expect(fr.Config.Version).To(Equal(uint64(4)))
-		Expect(fr.Versions).To(BeNil())
-		Expect(fr.Roster).To(BeNil())
-		Expect(fr.Changed).To(Equal([]registry.Status{server("x", 2)}))
-		Expect(fr.Forgotten).To(Equal([]string{"y"}))
+		de := diff(a, b)
+		Expect(de.Config.Version).To(Equal(uint64(4)))
+		Expect(de.Versions).To(BeNil())
+		Expect(de.Roster).To(BeNil())
+		Expect(de.Changed).To(Equal([]registry.Status{server("x", 2)}))
+		Expect(de.Forgotten).To(Equal([]string{"y"}))
 	})
 })
 
 var _ = ginkgo.Describe("what a follower knows", func() {
 	ginkgo.It("never goes back, whichever controller lags", func() {
 		vi := &View{}
-		vi.merge(&frame{Config: &routing.Config{Version: 5}, Versions: map[string]uint64{"m": 4, "n": 1}})
-		vi.merge(&frame{Config: &routing.Config{Version: 4}, Versions: map[string]uint64{"m": 3, "n": 2}})
+		vi.merge(&stateDelta{Config: &routing.Config{Version: 5}, Versions: map[string]uint64{"m": 4, "n": 1}})
+		vi.merge(&stateDelta{Config: &routing.Config{Version: 4}, Versions: map[string]uint64{"m": 3, "n": 2}})
 		Expect(vi.Table.Version()).To(Equal(uint64(5)))
 		Expect(vi.Versions).To(Equal(map[string]uint64{"m": 4, "n": 2}))
 	})
 
 	ginkgo.It("names the leader of the highest term, and forgets no store that one controller knows", func() {
 		vi := &View{}
-		vi.merge(&frame{Roster: &roster{Stores: []Store{{Name: "a", Leads: true, Term: 3}, {Name: "b", Term: 3}}}})
-		vi.merge(&frame{Roster: &roster{Stores: []Store{{Name: "b", Leads: true, Term: 4, Retiring: true}}}})
+		vi.merge(&stateDelta{Roster: &roster{Stores: []Store{{Name: "a", Leads: true, Term: 3}, {Name: "b", Term: 3}}}})
+		vi.merge(&stateDelta{Roster: &roster{Stores: []Store{{Name: "b", Leads: true, Term: 4, Retiring: true}}}})
 		Expect(vi.Stores).To(HaveLen(2))
 		st, ok := vi.Leader()
 		Expect(ok).To(BeTrue())
 		Expect(st.Name).To(Equal("b"))
-		vi.merge(&frame{Roster: &roster{Stores: []Store{{Name: "a", Leads: true, Term: 3}, {Name: "b", Term: 3}}}})
+		vi.merge(&stateDelta{Roster: &roster{Stores: []Store{{Name: "a", Leads: true, Term: 3}, {Name: "b", Term: 3}}}})
 		st, _ = vi.Leader()
 		Expect(st.Name).To(Equal("b"), "a controller that lags tells an old leader")
 	})
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -76,10 +76,10 @@
 
 	for ctx.Err() == nil {
 		changed := fo.Changed()
-		fo.spread(ctx)
+		fo.syncControllers(ctx)
 		select {
 		case <-changed:
-		case <-time.After(quietPeriod):
+		case <-time.After(heartbeatPeriod):
 		case <-ctx.Done():
 		}
 	}
@@ -106,8 +106,8 @@
 	}
 }
 
-// spread follows each controller that is known and leaves those that are not any more.
-func (fo *Follower) spread(ctx context.Context) {
+// syncControllers follows each controller that is known and leaves those that are not any more.
+func (fo *Follower) syncControllers(ctx context.Context) {
 	want := fo.Controllers()
 
 	fo.mu.Lock()
@@ -130,9 +130,9 @@
 
 func (fo *Follower) follow(ctx context.Context, address string) {
 	for ctx.Err() == nil {
-		heard, err := fo.followOnce(ctx, address)
-		fo.lost(address)
-		if heard && ctx.Err() == nil {
+		received, err := fo.followOnce(ctx, address)
+		fo.dropController(address)
+		if received && ctx.Err() == nil {
 			fo.cfg.Log.WithFields(log.Fields{"controller": address, "error": err.Error()}).Warn("controller lost")
 		}
 		select {
@@ -160,46 +160,46 @@
 	stop := context.AfterFunc(ctx, st.Close)
 	defer stop()
 
-	heard := false
+	received := false
 	for {
 		sent := time.Now()
-		st.SetDeadline(sent.Add(lostAfter))
+		st.SetDeadline(sent.Add(controllerTimeout))
 		var pa wire.Payload
 		if err := st.Recv(&pa); err != nil {
 			se.Close() // it may be silent for good: the next session is a new connection
 
-			return heard, err
+			return received, err
 		}
-		var fr frame
-		if err := cbor.Unmarshal(pa.GetRecord(), &fr); err != nil {
-			return heard, result.New(result.Internal, "feed: %v", err)
+		var de stateDelta
+		if err := cbor.Unmarshal(pa.GetRecord(), &de); err != nil {
+			return received, result.New(result.Internal, "feed: %v", err)
 		}
-		if !heard {
-			heard = true
+		if !received {
+			received = true
 			fo.cfg.Log.WithField("controller", address).Info("controller followed")
 		}
-		fo.take(address, &fr, time.Now())
+		fo.applyDelta(address, &de, time.Now())
 	}
 }
 
-func (fo *Follower) take(address string, fr *frame, at time.Time) {
+func (fo *Follower) applyDelta(address string, de *stateDelta, at time.Time) {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 
-	if t := at.Add(-time.Duration(fr.AgeMs) * time.Millisecond); t.After(fo.confirmed) {
+	if t := at.Add(-time.Duration(de.AgeMs) * time.Millisecond); t.After(fo.confirmed) {
 		fo.confirmed = t
 	}
 	old := fo.View()
-	fo.merged.Update(address, fr.Changed, fr.Forgotten, fr.IsSettled)
+	fo.merged.Update(address, de.Changed, de.Forgotten, de.IsSettled)
 	servers := fo.merged.Live()
-	if fr.isEmpty() && sameServers(old.Servers, servers) {
+	if de.isEmpty() && sameServers(old.Servers, servers) {
 		return
 	}
 
 	next := *old
-	next.merge(fr)
+	next.merge(de)
 	next.Servers = servers
-	fo.tell(address, old, &next)
+	fo.logChanges(address, old, &next)
 	fo.publish(&next)
 }
 
@@ -209,8 +209,8 @@
 	fo.changed = make(chan struct{})
 }
 
-// tell logs what this process believes from now on.
-func (fo *Follower) tell(source string, old, next *View) {
+// logChanges logs what this process believes from now on.
+func (fo *Follower) logChanges(source string, old, next *View) {
 	if next.Table != old.Table {
 		fo.cfg.Log.WithFields(log.Fields{
 			"version": next.Table.Version(), "routes": len(next.Table.Config().Routes), "source": source,
@@ -228,8 +228,8 @@
 	registry.TellChanges(fo.cfg.Log, old.Servers, next.Servers)
 }
 
-// lost takes away the say of a controller that is not heard any more.
-func (fo *Follower) lost(address string) {
+// dropController takes away the say of a controller that is not heard any more.
+func (fo *Follower) dropController(address string) {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 
--- a/internal/feed/server.go
+++ b/internal/feed/server.go
@@ -29,16 +29,16 @@
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 
-	fr := diff(sv.state, st)
-	wake := !fr.isEmpty() || sv.state.IsSettled != st.IsSettled
+	de := diff(sv.state, st)
+	notify := !de.isEmpty() || sv.state.IsSettled != st.IsSettled
 	sv.state = st
-	if wake {
+	if notify {
 		close(sv.changed)
 		sv.changed = make(chan struct{})
 	}
 }
 
-func (sv *Server) get() (*State, <-chan struct{}) {
+func (sv *Server) current() (*State, <-chan struct{}) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 
@@ -49,12 +49,12 @@
 func (sv *Server) Handlers() peer.Mux { return peer.Mux{Method: sv.handle} }
 
 func (sv *Server) handle(ctx context.Context, st *peer.Stream) error {
-	ticker := time.NewTicker(quietPeriod)
+	ticker := time.NewTicker(heartbeatPeriod)
 	defer ticker.Stop()
 
 	sent := &State{}
 	for {
-		now, changed := sv.get()
+		now, changed := sv.current()
 		b, err := cbor.Marshal(diff(sent, now))
 		if err != nil {
 			return result.New(result.Internal, "feed: %v", err)
