--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -1,7 +1,7 @@
-// Package feed passes what controllers know on to every other process: the
-// configuration, the weight versions that were named, who stores batch jobs, and
-// the backend servers. A follower listens to every controller at once, so that the
-// loss of one costs nothing.
+// Package feed sends the state of the controllers to every other process: the
+// configuration, the newest weight versions, the VMs that store batch jobs, and the
+// backend servers. A follower follows every controller at once, so that it lacks nothing
+// when one of them fails.
 package feed
 
 import (
@@ -19,11 +19,12 @@
 const Method = "feed.follow"
 
 const (
-	// heartbeatPeriod is how often a controller is heard even if nothing changes.
+	// heartbeatPeriod is the longest time between two messages of a controller; without a
+	// change it sends an empty delta.
 	heartbeatPeriod = 500 * time.Millisecond
-	// controllerTimeout is the silence after which a follower takes a controller for lost.
+	// controllerTimeout is the silence after which a follower drops a controller.
 	controllerTimeout = 3 * heartbeatPeriod
-	// streamTimeout ends a stream that was followed for long, to be opened anew.
+	// streamTimeout bounds the life of a stream; the follower then opens a new one.
 	streamTimeout = 10 * time.Minute
 )
 
@@ -33,11 +34,11 @@
 	Replica  string `cbor:"2,keyasint"`
 	Address  string `cbor:"3,keyasint"` // of its peer listener
 	Leads    bool   `cbor:"4,keyasint"`
-	Term     uint64 `cbor:"5,keyasint"` // in which it leads
+	Term     uint64 `cbor:"5,keyasint"` // of its leadership
 	Retiring bool   `cbor:"6,keyasint"`
 }
 
-// State is what one controller knows. It is never changed, only replaced.
+// State is what one controller reports. It is never changed, only replaced.
 type State struct {
 	Config      *routing.Config
 	Versions    map[string]uint64 // newest named weight version of each model
@@ -45,8 +46,8 @@
 	Stores      []Store
 	Formation   []string // replicas that formed the store group
 	Servers     []registry.Status
-	IsSettled   bool          // this controller has heard every backend server that is alive
-	Age         time.Duration // since the replicated part was confirmed
+	IsSettled   bool          // every backend server that is alive has reported to this controller
+	Age         time.Duration // since the replicated part was last confirmed
 }
 
 // roster is the part of a State that changes with the VMs.
@@ -60,7 +61,7 @@
 	return roster{Controllers: st.Controllers, Stores: st.Stores, Formation: st.Formation}
 }
 
-// stateDelta is what changed of a State; nil parts have not.
+// stateDelta is the difference between two States; parts that did not change are nil.
 type stateDelta struct {
 	Config    *routing.Config   `cbor:"1,keyasint,omitempty"`
 	Versions  map[string]uint64 `cbor:"2,keyasint,omitempty"`
@@ -71,7 +72,7 @@
 	AgeMs     int64             `cbor:"7,keyasint"`
 }
 
-// diff returns the frame that leads from old to st.
+// diff returns the delta that leads from old to st.
 func diff(old, st *State) *stateDelta {
 	de := &stateDelta{IsSettled: st.IsSettled, AgeMs: st.Age.Milliseconds()}
 	if st.Config != nil && (old.Config == nil || st.Config.Version > old.Config.Version) {
@@ -103,12 +104,13 @@
 	return de
 }
 
-// isEmpty reports whether a frame tells nothing but that its sender lives.
+// isEmpty reports whether a delta changes nothing, so that it is only a heartbeat.
 func (de *stateDelta) isEmpty() bool {
 	return de.Config == nil && de.Versions == nil && de.Roster == nil && len(de.Changed) == 0 && len(de.Forgotten) == 0
 }
 
-// View is what a follower knows. It is never changed, only replaced.
+// View is the merged state of all controllers that a follower follows. It is never
+// changed, only replaced.
 type View struct {
 	Table       *routing.Table    // nil before the first configuration
 	Versions    map[string]uint64 // newest named weight version of each model
@@ -118,7 +120,8 @@
 	Servers     []registry.Record // alive, in the order of their IDs
 }
 
-// Leader returns the store that leads, as far as is known.
+// Leader returns the store that leads with the highest known term, and false if none is
+// known to lead.
 func (vi *View) Leader() (Store, bool) {
 	var best Store
 	for _, st := range vi.Stores {
@@ -130,7 +133,8 @@
 	return best, best.Name != ""
 }
 
-// merge takes a frame into the view; it never lets anything go back.
+// merge applies a delta to the view. Versions and terms never decrease, so a controller
+// that lags behind cannot undo what another one reported.
 func (vi *View) merge(de *stateDelta) {
 	if de.Config != nil && (vi.Table == nil || de.Config.Version > vi.Table.Version()) {
 		vi.Table = routing.NewTable(de.Config)
@@ -156,7 +160,8 @@
 	}
 }
 
-// mergeStores joins what two controllers know: who leads is told by the highest term.
+// mergeStores merges the stores that two controllers reported. Where they disagree on
+// the leader, the highest term decides.
 func mergeStores(old, next []Store) []Store {
 	out := slices.Clone(next)
 	for _, st := range old {
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -17,8 +17,8 @@
 	return registry.Status{Record: registry.Record{ID: id, Sequence: seq, State: registry.Ready}}
 }
 
-var _ = ginkgo.Describe("what a controller tells", func() {
-	ginkgo.It("is only what changed", func() {
+var _ = ginkgo.Describe("the delta that a controller sends", func() {
+	ginkgo.It("holds only what changed", func() {
 		a := &State{
 			Config: &routing.Config{Version: 3}, Versions: map[string]uint64{"m": 2}, Servers: []registry.Status{server("x", 1), server("y", 1)},
 		}
@@ -36,7 +36,7 @@
 	})
 })
 
-var _ = ginkgo.Describe("what a follower knows", func() {
+var _ = ginkgo.Describe("a follower's view", func() {
 	ginkgo.It("never goes back, whichever controller lags", func() {
 		vi := &View{}
 		vi.merge(&stateDelta{Config: &routing.Config{Version: 5}, Versions: map[string]uint64{"m": 4, "n": 1}})
@@ -45,7 +45,7 @@
 		Expect(vi.Versions).To(Equal(map[string]uint64{"m": 4, "n": 2}))
 	})
 
-	ginkgo.It("names the leader of the highest term, and forgets no store that one controller knows", func() {
+	ginkgo.It("names the leader of the highest term, and retains every store that one controller has reported", func() {
 		vi := &View{}
 		vi.merge(&stateDelta{Roster: &roster{Stores: []Store{{Name: "a", Leads: true, Term: 3}, {Name: "b", Term: 3}}}})
 		vi.merge(&stateDelta{Roster: &roster{Stores: []Store{{Name: "b", Leads: true, Term: 4, Retiring: true}}}})
@@ -55,6 +55,6 @@
 		Expect(st.Name).To(Equal("b"))
 		vi.merge(&stateDelta{Roster: &roster{Stores: []Store{{Name: "a", Leads: true, Term: 3}, {Name: "b", Term: 3}}}})
 		st, _ = vi.Leader()
-		Expect(st.Name).To(Equal("b"), "a controller that lags tells an old leader")
+		Expect(st.Name).To(Equal("b"), "a controller that lags reports an old leader")
 	})
 })
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -17,18 +17,18 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// retryPeriod is the pause before a controller is followed again.
+// retryPeriod is the pause before a follower reconnects to a controller.
 const retryPeriod = 200 * time.Millisecond
 
-// Config builds a Follower.
+// Config holds the settings of a Follower.
 type Config struct {
 	Links *peer.Links
 	Seeds func() []string // peer addresses of some controllers
-	Own   string          // own peer address, never followed
+	Own   string          // own peer address, which is not followed
 	Log   log.Interface
 }
 
-// Follower follows every controller that it knows of.
+// Follower merges the state of every controller that it knows of.
 type Follower struct {
 	cfg  Config
 	view atomic.Pointer[View]
@@ -37,11 +37,11 @@
 	changed   chan struct{} // closed and replaced with each new view
 	merged    *registry.Merged
 	following map[string]context.CancelFunc
-	confirmed time.Time // when the replicated part of the view was last known to be true
+	confirmed time.Time // when the replicated part of the view was last confirmed
 	wg        sync.WaitGroup
 }
 
-// NewFollower returns a follower that knows nothing yet.
+// NewFollower returns a follower with an empty view.
 func NewFollower(cfg Config) *Follower {
 	fo := &Follower{
 		cfg: cfg, changed: make(chan struct{}), merged: registry.NewMerged(), following: map[string]context.CancelFunc{},
@@ -51,7 +51,7 @@
 	return fo
 }
 
-// View returns what is known.
+// View returns the current view.
 func (fo *Follower) View() *View { return fo.view.Load() }
 
 // Changed returns a channel that is closed with the next view.
@@ -62,7 +62,8 @@
 	return fo.changed
 }
 
-// Age returns how old the knowledge of the configuration is, false before the first one.
+// Age returns the time since the view's configuration was last confirmed, and false
+// before the first confirmation.
 func (fo *Follower) Age() (time.Duration, bool) {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
@@ -70,7 +71,7 @@
 	return time.Since(fo.confirmed), !fo.confirmed.IsZero()
 }
 
-// Run follows until ctx ends.
+// Run follows all known controllers until ctx ends.
 func (fo *Follower) Run(ctx context.Context) {
 	defer fo.wg.Wait()
 
@@ -106,7 +107,8 @@
 	}
 }
 
-// syncControllers follows each controller that is known and leaves those that are not any more.
+// syncControllers starts to follow newly known controllers and stops following those
+// that are not known any more.
 func (fo *Follower) syncControllers(ctx context.Context) {
 	want := fo.Controllers()
 
@@ -142,7 +144,8 @@
 	}
 }
 
-// followOnce follows a controller until it falls silent, and reports whether it was heard.
+// followOnce follows a controller until its stream ends or times out, and reports
+// whether anything was received.
 func (fo *Follower) followOnce(ctx context.Context, address string) (bool, error) {
 	se, err := fo.cfg.Links.To(address).Wait(ctx)
 	if err != nil {
@@ -166,13 +169,13 @@
 		st.SetDeadline(sent.Add(controllerTimeout))
 		var pa wire.Payload
 		if err := st.Recv(&pa); err != nil {
-			se.Close() // it may be silent for good: the next session is a new connection
+			se.Close() // the connection may be dead: the next session dials a new one
 
 			return received, err
 		}
 		var de stateDelta
 		if err := cbor.Unmarshal(pa.GetRecord(), &de); err != nil {
-			return received, result.New(result.Internal, "feed: %v", err)
+			return received, result.New(result.Internal, "feed: decoding a state delta: %v", err)
 		}
 		if !received {
 			received = true
@@ -209,7 +212,7 @@
 	fo.changed = make(chan struct{})
 }
 
-// logChanges logs what this process believes from now on.
+// logChanges logs the differences between two views.
 func (fo *Follower) logChanges(source string, old, next *View) {
 	if next.Table != old.Table {
 		fo.cfg.Log.WithFields(log.Fields{
@@ -228,7 +231,8 @@
 	registry.TellChanges(fo.cfg.Log, old.Servers, next.Servers)
 }
 
-// dropController takes away the say of a controller that is not heard any more.
+// dropController discards the reports of an unreachable controller about backend servers,
+// until it is followed again.
 func (fo *Follower) dropController(address string) {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
@@ -246,7 +250,7 @@
 	return slices.EqualFunc(a, b, func(x, y registry.Record) bool { return x.Equal(&y) })
 }
 
-// Measure sets the gauges of what is believed here, and of how old it is.
+// Measure sets the gauges of the view's size, version and age.
 func (fo *Follower) Measure(me *meter.Meter) {
 	vi := fo.View()
 	me.Gauge("servers.known", int64(len(vi.Servers)))
--- a/internal/feed/server.go
+++ b/internal/feed/server.go
@@ -12,19 +12,19 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// Server tells followers what this controller knows.
+// Server sends this controller's state to followers.
 type Server struct {
 	mu      sync.Mutex
 	state   *State
 	changed chan struct{} // closed and replaced with each new state
 }
 
-// NewServer returns a server that knows nothing yet.
+// NewServer returns a server with an empty state.
 func NewServer() *Server {
 	return &Server{state: &State{}, changed: make(chan struct{})}
 }
 
-// Publish replaces what this controller knows.
+// Publish replaces the state and notifies followers if it has changed.
 func (sv *Server) Publish(st *State) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
@@ -45,7 +45,7 @@
 	return sv.state, sv.changed
 }
 
-// Handlers returns the calls of followers.
+// Handlers returns the handler of the calls of followers.
 func (sv *Server) Handlers() peer.Mux { return peer.Mux{Method: sv.handle} }
 
 func (sv *Server) handle(ctx context.Context, st *peer.Stream) error {
@@ -57,7 +57,7 @@
 		now, changed := sv.current()
 		b, err := cbor.Marshal(diff(sent, now))
 		if err != nil {
-			return result.New(result.Internal, "feed: %v", err)
+			return result.New(result.Internal, "feed: encoding a state delta: %v", err)
 		}
 		if err := st.Send(&wire.Payload{Record: b}); err != nil {
 			return err
