--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,6 +1,6 @@
-// Package roster holds which VMs store batch jobs: who has announced itself, which
-// replicas formed the store group, and which VMs are being emptied. It is a part
-// of the replicated state of the controllers.
+// Package roster records which VMs store batch jobs: the VMs that have announced
+// themselves, the replicas that formed the store group, and the VMs that are being
+// drained. It is a part of the replicated state of the controllers.
 package roster
 
 import (
@@ -19,32 +19,32 @@
 	FailureDomain string              `cbor:"4,keyasint"`
 }
 
-// Announce adds a member or renews what is known of it.
+// Announce adds a member or replaces its record.
 type Announce struct {
 	Member Member `cbor:"1,keyasint"`
 }
 
-// Form fixes the replicas that form the store group. Only the first one counts.
+// Form sets the replicas that form the store group. Only the first Form has an effect.
 type Form struct {
 	Replicas []consensus.ReplicaID `cbor:"1,keyasint"`
 }
 
-// Retirement is the state of a VM that is being emptied.
+// Retirement is the state of a VM that is being drained before it is removed.
 type Retirement uint8
 
 // States of a retirement.
 const (
 	Retiring Retirement = iota + 1
-	Retired             // its VM may be taken away
+	Retired             // the VM may be removed
 )
 
-// Retire asks for a VM to be emptied. Keep is the number of members that must remain.
+// Retire requests that a VM is drained. Keep is the number of other members that must remain.
 type Retire struct {
 	Name string `cbor:"1,keyasint"`
 	Keep int    `cbor:"2,keyasint"`
 }
 
-// Finish says that a VM holds nothing any more that counts.
+// Finish reports that a VM holds no data any more that the group needs.
 type Finish struct {
 	Name string `cbor:"1,keyasint"`
 }
@@ -54,14 +54,14 @@
 	im Image
 }
 
-// Image is a Book in a snapshot.
+// Image is the content of a Book as stored in a snapshot.
 type Image struct {
 	Members     map[string]Member     `cbor:"1,keyasint"` // by name
 	Formation   []consensus.ReplicaID `cbor:"2,keyasint"`
 	Retirements map[string]Retirement `cbor:"3,keyasint"` // by name
 }
 
-// NewBook returns the book of an image.
+// NewBook returns a book with the content of an image.
 func NewBook(im Image) *Book {
 	if im.Members == nil {
 		im.Members = map[string]Member{}
@@ -76,7 +76,7 @@
 // Image returns the book's content for a snapshot.
 func (bo *Book) Image() Image { return bo.im }
 
-// Announce notes a member. It reports whether that changed anything.
+// Announce records a member and reports whether that changed anything.
 func (bo *Book) Announce(an Announce) bool {
 	if bo.im.Members[an.Member.Name] == an.Member {
 		return false
@@ -86,7 +86,8 @@
 	return true
 }
 
-// Form fixes the founders of the store group unless it is fixed already.
+// Form sets the replicas that form the store group and reports whether it did. It has no
+// effect if they are already set.
 func (bo *Book) Form(fo Form) bool {
 	if len(bo.im.Formation) > 0 || len(fo.Replicas) == 0 {
 		return false
@@ -96,7 +97,7 @@
 	return true
 }
 
-// Retire begins to empty a VM.
+// Retire starts to drain a VM. It returns an error if too few members would remain.
 func (bo *Book) Retire(re Retire) error {
 	if _, ok := bo.im.Members[re.Name]; !ok {
 		return result.New(result.UnknownObject, "roster: no VM %q stores batch jobs", re.Name)
@@ -105,14 +106,14 @@
 		return nil
 	}
 	if n := len(bo.im.Members) - len(bo.im.Retirements) - 1; n < re.Keep {
-		return result.New(result.MembershipRefused, "roster: %d VMs would store batch jobs, at least %d must", n, re.Keep)
+		return result.New(result.MembershipRefused, "roster: only %d VMs would be left to store batch jobs, at least %d must be", n, re.Keep)
 	}
 	bo.im.Retirements[re.Name] = Retiring
 
 	return nil
 }
 
-// Finish ends a retirement.
+// Finish ends the retirement of a VM and reports whether one was in progress.
 func (bo *Book) Finish(fi Finish) bool {
 	if bo.im.Retirements[fi.Name] != Retiring {
 		return false
@@ -122,10 +123,10 @@
 	return true
 }
 
-// Retirement returns how far a VM is emptied, 0 when that was not asked for.
+// Retirement returns the state of the retirement of a VM, 0 if none was requested.
 func (bo *Book) Retirement(name string) Retirement { return bo.im.Retirements[name] }
 
-// Formation returns the replicas that formed the store group, none before that.
+// Formation returns the replicas that formed the store group, none before they are set.
 func (bo *Book) Formation() []consensus.ReplicaID { return bo.im.Formation }
 
 // Members returns all members in the order of their names.
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -31,7 +31,7 @@
 		Expect(bo.Formation()).To(HaveLen(3))
 	})
 
-	ginkgo.It("lets a VM be emptied as long as enough others remain", func() {
+	ginkgo.It("lets a VM be drained as long as enough others remain", func() {
 		bo := four()
 		for _, tc := range []struct {
 			name string
@@ -39,7 +39,7 @@
 		}{
 			{"none", result.UnknownObject},
 			{"b", 0},
-			{"b", 0}, // asked again
+			{"b", 0}, // requested again
 			{"c", result.MembershipRefused},
 		} {
 			err := bo.Retire(roster.Retire{Name: tc.name, Keep: 3})
