--- a/internal/peer/coalesce.go
+++ b/internal/peer/coalesce.go
@@ -5,20 +5,20 @@
 	"sync"
 )
 
-// maxPending bounds the bytes that wait for one connection.
-const maxPending = 1 << 20
+// maxPendingBytes bounds the bytes that wait for one connection.
+const maxPendingBytes = 1 << 20
 
 // coalescer gathers the small writes of many streams into few system calls. A
 // write returns once its bytes are queued; an error of the connection comes back
 // with a later write, and ends the session as it does without the queue.
 type coalescer struct {
 	net.Conn
-	mu      sync.Mutex
-	changed *sync.Cond
-	pending []byte
-	spare   []byte
-	err     error
-	closed  bool
+	mu          sync.Mutex
+	changed     *sync.Cond
+	pending     []byte
+	spareBuffer []byte
+	err         error
+	closed      bool
 }
 
 func newCoalescer(conn net.Conn) *coalescer {
@@ -34,7 +34,7 @@
 	co.mu.Lock()
 	defer co.mu.Unlock()
 
-	for len(co.pending) > maxPending && co.err == nil && !co.closed {
+	for len(co.pending) > maxPendingBytes && co.err == nil && !co.closed {
 		co.changed.Wait()
 	}
 	if co.closed {
@@ -64,13 +64,13 @@
 			return
 		}
 		b := co.pending
-		co.pending = co.spare[:0]
+		co.pending = co.spareBuffer[:0]
 		co.changed.Broadcast()
 		co.mu.Unlock()
 		_, err := co.Conn.Write(b)
 		co.mu.Lock()
-		if co.spare = b; cap(b) > maxPending {
-			co.spare = nil
+		if co.spareBuffer = b; cap(b) > maxPendingBytes {
+			co.spareBuffer = nil
 		}
 		if err != nil {
 			co.err = err
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -38,8 +38,8 @@
 	Log         log.Interface // where lost and regained sessions are told, nil for nowhere
 }
 
-// redial returns the pause before a session is opened again.
-func (c *Config) redial() time.Duration {
+// redialPause returns the pause before a session is opened again.
+func (c *Config) redialPause() time.Duration {
 	if c.DialTimeout > 0 {
 		return min(redialPeriod, c.DialTimeout/4)
 	}
@@ -110,7 +110,7 @@
 	}
 	defer li.remove(se)
 
-	if err := li.greet(se); err != nil {
+	if err := li.receiveHello(se); err != nil {
 		se.Close()
 
 		return
@@ -118,19 +118,19 @@
 	se.serve()
 }
 
-// greet answers the first call of a session, which must be the hello.
-func (li *Listener) greet(se *Session) error {
+// receiveHello answers the first call of a session, which must be the hello.
+func (li *Listener) receiveHello(se *Session) error {
 	timer := time.AfterFunc(dialTimeout, se.Close)
 	defer timer.Stop()
 
-	ys, err := se.ys.AcceptStream()
+	ys, err := se.yamuxSession.AcceptStream()
 	if err != nil {
 		return err
 	}
 	defer ys.Close()
 
 	hello := make(chan *wire.Hello, 1)
-	first := &Session{ys: se.ys, done: se.done, mux: Mux{methodHello: func(_ context.Context, st *Stream) error {
+	first := &Session{yamuxSession: se.yamuxSession, done: se.done, mux: Mux{methodHello: func(_ context.Context, st *Stream) error {
 		var he wire.Hello
 		if err := st.Request(&he); err != nil {
 			return err
@@ -142,7 +142,7 @@
 
 		return st.Reply(li.cfg.Hello)
 	}}}
-	first.handleCall(newLane(ys))
+	first.handleCall(newReusableStream(ys))
 
 	select {
 	case he := <-hello:
@@ -249,13 +249,13 @@
 
 // Run keeps the session open until ctx ends.
 func (li *Link) Run(ctx context.Context) {
-	defer li.set(nil)
+	defer li.setSession(nil)
 
 	for ctx.Err() == nil {
 		se, err := Dial(ctx, li.address, li.cfg)
 		if err == nil {
-			li.tell("peer regained")
-			li.set(se)
+			li.logState("peer regained")
+			li.setSession(se)
 			if li.onUp != nil {
 				go li.onUp(se)
 			}
@@ -264,26 +264,26 @@
 			case <-ctx.Done():
 				se.Close()
 			}
-			li.set(nil)
+			li.setSession(nil)
 			if ctx.Err() == nil {
-				li.tell("peer lost")
+				li.logState("peer lost")
 			}
 		}
 
 		select {
 		case <-ctx.Done():
-		case <-time.After(li.cfg.redial()):
+		case <-time.After(li.cfg.redialPause()):
 		}
 	}
 }
 
-func (li *Link) tell(what string) {
+func (li *Link) logState(what string) {
 	if li.cfg.Log != nil {
 		li.cfg.Log.WithField("peer", li.address).Info(what)
 	}
 }
 
-func (li *Link) set(se *Session) {
+func (li *Link) setSession(se *Session) {
 	li.mu.Lock()
 	defer li.mu.Unlock()
 
--- a/internal/peer/session.go
+++ b/internal/peer/session.go
@@ -42,29 +42,29 @@
 
 // Session is one connection between two processes.
 type Session struct {
-	ys      *yamux.Session
-	mux     Mux
-	remote  *wire.Hello
-	streams chan struct{}
-	done    chan struct{}
-	once    sync.Once
+	yamuxSession *yamux.Session
+	mux          Mux
+	remote       *wire.Hello
+	streamSlots  chan struct{}
+	done         chan struct{}
+	closeOnce    sync.Once
 
 	mu   sync.Mutex
-	idle []*lane // ready for another call, last used last
+	idle []*reusableStream // ready for another call, last used last
 }
 
-// lane is a yamux stream that carries one call after the other.
-type lane struct {
-	ys *yamux.Stream
-	rd *bufio.Reader
+// reusableStream is a yamux stream that carries one call after the other.
+type reusableStream struct {
+	yamuxStream *yamux.Stream
+	reader      *bufio.Reader
 }
 
-func newLane(ys *yamux.Stream) *lane {
-	return &lane{ys: ys, rd: bufio.NewReaderSize(ys, readBufferBytes)}
+func newReusableStream(ys *yamux.Stream) *reusableStream {
+	return &reusableStream{yamuxStream: ys, reader: bufio.NewReaderSize(ys, readBufferBytes)}
 }
 
-// maxIdleLanes bounds the lanes that a session keeps for further calls.
-const maxIdleLanes = 128
+// maxIdleStreams bounds the lanes that a session keeps for further calls.
+const maxIdleStreams = 128
 
 func yamuxConfig() *yamux.Config {
 	yc := yamux.DefaultConfig()
@@ -89,7 +89,7 @@
 		return nil, err
 	}
 
-	return &Session{ys: ys, mux: mux, streams: make(chan struct{}, maxSessionStreams), done: make(chan struct{})}, nil
+	return &Session{yamuxSession: ys, mux: mux, streamSlots: make(chan struct{}, maxSessionStreams), done: make(chan struct{})}, nil
 }
 
 // Remote returns what the other end said of itself.
@@ -100,9 +100,9 @@
 
 // Close ends the session and every stream of it.
 func (se *Session) Close() {
-	se.once.Do(func() {
+	se.closeOnce.Do(func() {
 		close(se.done)
-		_ = se.ys.Close()
+		_ = se.yamuxSession.Close()
 	})
 }
 
@@ -111,16 +111,16 @@
 	defer se.Close()
 
 	for {
-		ys, err := se.ys.AcceptStream()
+		ys, err := se.yamuxSession.AcceptStream()
 		if err != nil {
 			return
 		}
 
 		select {
-		case se.streams <- struct{}{}:
+		case se.streamSlots <- struct{}{}:
 			go func() {
-				defer func() { <-se.streams }()
-				se.handle(ys)
+				defer func() { <-se.streamSlots }()
+				se.handleStream(ys)
 			}()
 		default:
 			_ = ys.Close()
@@ -128,18 +128,18 @@
 	}
 }
 
-// handle answers the calls of one lane until the caller closes it.
-func (se *Session) handle(ys *yamux.Stream) {
+// handleStream answers the calls of one lane until the caller closes it.
+func (se *Session) handleStream(ys *yamux.Stream) {
 	defer ys.Close()
 
-	la := newLane(ys)
-	for se.handleCall(la) {
+	rs := newReusableStream(ys)
+	for se.handleCall(rs) {
 	}
 }
 
 // handleCall answers one call and reports whether the lane may carry another.
-func (se *Session) handleCall(la *lane) bool {
-	st := &Stream{lane: la, session: se}
+func (se *Session) handleCall(rs *reusableStream) bool {
+	st := &Stream{stream: rs, session: se}
 	var ca wire.Call
 	if err := st.read(&ca); err != nil {
 		return false
@@ -151,7 +151,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	_ = la.ys.SetWriteDeadline(time.Now().Add(timeout))
+	_ = rs.yamuxStream.SetWriteDeadline(time.Now().Add(timeout))
 
 	st.payload = ca.GetPayload()
 	h, ok := se.mux[ca.GetMethod()]
@@ -161,7 +161,7 @@
 		}
 	}
 	if isRaw(ca.GetMethod()) {
-		_ = st.finish(h(ctx, st)) // the caller learns of it by the end of the stream
+		_ = st.sendEnd(h(ctx, st)) // the caller learns of it by the end of the stream
 
 		return false
 	}
@@ -169,13 +169,13 @@
 	// The next byte is the next call, or the end of the stream: the caller has gone.
 	next := make(chan bool, 1)
 	go func() {
-		_, err := la.rd.Peek(1)
+		_, err := rs.reader.Peek(1)
 		if err != nil {
 			cancel()
 		}
 		next <- err == nil
 	}()
-	if st.finish(h(ctx, st)) != nil {
+	if st.sendEnd(h(ctx, st)) != nil {
 		return false
 	}
 
@@ -184,13 +184,13 @@
 
 // Stream carries the messages of one call.
 type Stream struct {
-	lane    *lane
-	session *Session
-	single  bool // the lane carries this call alone
-	wmu     sync.Mutex
-	buf     []byte
-	payload []byte
-	last    []byte // goes out with the end mark
+	stream      *reusableStream
+	session     *Session
+	isSingleUse bool // the lane carries this call alone
+	writeMu     sync.Mutex
+	writeBuffer []byte
+	payload     []byte
+	lastPayload []byte // goes out with the end mark
 
 	mu       sync.Mutex
 	ended    bool // the end mark was read
@@ -242,13 +242,13 @@
 // handler returns what it returns.
 func (st *Stream) Reply(m proto.Message) error {
 	b, err := proto.Marshal(m)
-	st.last = b
+	st.lastPayload = b
 
 	return err
 }
 
-func (st *Stream) finish(err error) error {
-	fr := &wire.Frame{End: true, Payload: st.last}
+func (st *Stream) sendEnd(err error) error {
+	fr := &wire.Frame{End: true, Payload: st.lastPayload}
 	if err != nil {
 		er := result.From(err)
 		fr.Code, fr.Execution, fr.Message = uint32(er.Code), uint32(er.Execution), er.Message
@@ -259,24 +259,24 @@
 }
 
 func (st *Stream) write(m proto.Message) error {
-	st.wmu.Lock()
-	defer st.wmu.Unlock()
+	st.writeMu.Lock()
+	defer st.writeMu.Unlock()
 
-	b := append(st.buf[:0], 0, 0, 0, 0)
+	b := append(st.writeBuffer[:0], 0, 0, 0, 0)
 	b, err := proto.MarshalOptions{}.MarshalAppend(b, m)
 	if err != nil {
 		return err
 	}
 	binary.LittleEndian.PutUint32(b, uint32(len(b)-4))
-	st.buf = b
-	_, err = st.lane.ys.Write(b)
+	st.writeBuffer = b
+	_, err = st.stream.yamuxStream.Write(b)
 
 	return err
 }
 
 func (st *Stream) read(m proto.Message) error {
 	var h [4]byte
-	if _, err := io.ReadFull(st.lane.rd, h[:]); err != nil {
+	if _, err := io.ReadFull(st.stream.reader, h[:]); err != nil {
 		return err
 	}
 
@@ -285,15 +285,15 @@
 		return result.New(result.BodyTooLarge, "peer: message of %d bytes", n)
 	}
 	b := make([]byte, n)
-	if _, err := io.ReadFull(st.lane.rd, b); err != nil {
+	if _, err := io.ReadFull(st.stream.reader, b); err != nil {
 		return err
 	}
 
 	return proto.Unmarshal(b, m)
 }
 
-// errCut says that the stream ended before its end mark.
-var errCut = errors.New("peer: the stream ended before its end mark")
+// errStreamCut says that the stream ended before its end mark.
+var errStreamCut = errors.New("peer: the stream ended before its end mark")
 
 // Recv reads the next message of the answer. It returns io.EOF after the end mark alone.
 func (st *Stream) Recv(m proto.Message) error {
@@ -308,7 +308,7 @@
 			return er
 		}
 
-		return result.New(result.StreamCut, "%v: %v", errCut, err).With(result.Unknown)
+		return result.New(result.StreamCut, "%v: %v", errStreamCut, err).With(result.Unknown)
 	}
 	if !fr.GetEnd() {
 		return proto.Unmarshal(fr.GetPayload(), m)
@@ -347,42 +347,42 @@
 		return
 	}
 	st.released = true
-	if st.single || !st.ended || !st.session.keep(st.lane) {
-		_ = st.lane.ys.Close()
+	if st.isSingleUse || !st.ended || !st.session.releaseStream(st.stream) {
+		_ = st.stream.yamuxStream.Close()
 	}
 }
 
-// keep takes a lane back whose call has ended.
-func (se *Session) keep(la *lane) bool {
+// releaseStream takes a lane back whose call has ended.
+func (se *Session) releaseStream(rs *reusableStream) bool {
 	se.mu.Lock()
 	defer se.mu.Unlock()
 
-	if len(se.idle) >= maxIdleLanes {
+	if len(se.idle) >= maxIdleStreams {
 		return false
 	}
-	se.idle = append(se.idle, la)
+	se.idle = append(se.idle, rs)
 
 	return true
 }
 
-// lane returns an idle lane, or a new one.
-func (se *Session) lane() (*lane, error) {
+// acquireStream returns an idle acquireStream, or a new one.
+func (se *Session) acquireStream() (*reusableStream, error) {
 	se.mu.Lock()
 	if n := len(se.idle); n > 0 {
-		la := se.idle[n-1]
+		rs := se.idle[n-1]
 		se.idle = se.idle[:n-1]
 		se.mu.Unlock()
 
-		return la, nil
+		return rs, nil
 	}
 	se.mu.Unlock()
 
-	ys, err := se.ys.OpenStream()
+	ys, err := se.yamuxSession.OpenStream()
 	if err != nil {
 		return nil, err
 	}
 
-	return newLane(ys), nil
+	return newReusableStream(ys), nil
 }
 
 // Open starts a call whose answer is read with Recv. The caller closes the stream.
@@ -400,13 +400,13 @@
 	if left <= 0 {
 		return nil, result.New(result.DeadlinePassed, "peer: %s: %v", method, context.DeadlineExceeded)
 	}
-	la, err := se.lane()
+	rs, err := se.acquireStream()
 	if err != nil {
 		return nil, result.New(result.BackendUnreachable, "peer: %s: %v", method, err)
 	}
 
-	st := &Stream{lane: la, session: se, single: isRaw(method)}
-	_ = la.ys.SetDeadline(dl)
+	st := &Stream{stream: rs, session: se, isSingleUse: isRaw(method)}
+	_ = rs.yamuxStream.SetDeadline(dl)
 	if err := st.write(&wire.Call{Method: method, TimeoutMs: uint32(left.Milliseconds()) + 1, Payload: payload}); err != nil {
 		st.Close()
 
@@ -449,4 +449,4 @@
 func (st *Stream) Read(m proto.Message) error { return st.read(m) }
 
 // SetDeadline bounds the next reads and writes of a raw stream.
-func (st *Stream) SetDeadline(t time.Time) { _ = st.lane.ys.SetDeadline(t) }
+func (st *Stream) SetDeadline(t time.Time) { _ = st.stream.yamuxStream.SetDeadline(t) }
