--- a/internal/peer/coalesce.go
+++ b/internal/peer/coalesce.go
@@ -5,10 +5,11 @@
 	"sync"
 )
 
-// maxPendingBytes bounds the bytes that wait for one connection.
+// maxPendingBytes bounds the bytes that wait to be written to one connection; a single
+// write may exceed it.
 const maxPendingBytes = 1 << 20
 
-// coalescer gathers the small writes of many streams into few system calls. A
+// coalescer combines the small writes of many streams into few system calls. A
 // write returns once its bytes are queued; an error of the connection comes back
 // with a later write, and ends the session as it does without the queue.
 type coalescer struct {
@@ -16,7 +17,7 @@
 	mu          sync.Mutex
 	changed     *sync.Cond
 	pending     []byte
-	spareBuffer []byte
+	spareBuffer []byte // the buffer written last, reused for pending
 	err         error
 	closed      bool
 }
@@ -29,7 +30,7 @@
 	return co
 }
 
-// Write queues b.
+// Write queues b. It blocks while more than maxPendingBytes are queued.
 func (co *coalescer) Write(b []byte) (int, error) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
@@ -49,7 +50,7 @@
 	return len(b), nil
 }
 
-// flushDuty writes what is queued until the connection ends.
+// flushDuty writes what is queued until the connection is closed or fails.
 func (co *coalescer) flushDuty() {
 	co.mu.Lock()
 	defer co.mu.Unlock()
@@ -78,7 +79,7 @@
 	}
 }
 
-// Close sends what is queued and closes the connection.
+// Close returns at once; flushDuty writes what is queued and then closes the connection.
 func (co *coalescer) Close() error {
 	co.mu.Lock()
 	defer co.mu.Unlock()
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -14,7 +14,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// ProtocolVersion is sent in each Hello; processes of another one are refused.
+// ProtocolVersion is sent in each Hello; a process of another version is refused.
 const ProtocolVersion = 1
 
 const (
@@ -24,21 +24,22 @@
 	acceptBackoff = 50 * time.Millisecond
 )
 
-// Config describes the own end of sessions.
+// Config describes this process's end of sessions.
 type Config struct {
 	Hello     *wire.Hello
 	Mux       Mux
-	Bind      string // IP number that is dialled from, "" for any
+	Bind      string // local IP number to dial from, "" for any
 	ServerTLS *tls.Config
 	ClientTLS *tls.Config
-	Silence   time.Duration // a session whose peer acknowledges nothing for so long is cut; 0 leaves it to yamux
-	// DialTimeout bounds the opening of a session, a default where 0. The first
-	// packet to a VM that is just starting is lost and only sent again after a second.
+	Silence   time.Duration // a session whose peer acknowledges nothing for so long is ended; 0 leaves that to the yamux keep-alive
+	// DialTimeout bounds the opening of a session; 0 means dialTimeout. The first packet to
+	// a VM that is just starting is lost, and TCP repeats it only after a second.
 	DialTimeout time.Duration
-	Log         log.Interface // where lost and regained sessions are told, nil for nowhere
+	Log         log.Interface // logs opened and lost sessions; may be nil
 }
 
-// redialPause returns the pause before a session is opened again.
+// redialPause returns the pause before a session is opened again: at most a quarter of
+// DialTimeout where that is set.
 func (c *Config) redialPause() time.Duration {
 	if c.DialTimeout > 0 {
 		return min(redialPeriod, c.DialTimeout/4)
@@ -57,7 +58,7 @@
 	closed   bool
 }
 
-// Listen opens the address, an IP number with a port.
+// Listen listens on an address, an IP number with a port.
 func Listen(address string, cfg Config) (*Listener, error) {
 	ln, err := dialer.Listen(address, cfg.Silence)
 	if err != nil {
@@ -70,7 +71,7 @@
 	return &Listener{cfg: cfg, ln: ln, sessions: map[*Session]struct{}{}}, nil
 }
 
-// Address returns the address that is listened on.
+// Address returns the address of the listener.
 func (li *Listener) Address() string { return li.ln.Addr().String() }
 
 // Serve accepts sessions until Close.
@@ -118,7 +119,8 @@
 	se.serve()
 }
 
-// receiveHello answers the first call of a session, which must be the hello.
+// receiveHello answers the first call of a session, which must be the hello, and stores
+// what the other end reported.
 func (li *Listener) receiveHello(se *Session) error {
 	timer := time.AfterFunc(dialTimeout, se.Close)
 	defer timer.Stop()
@@ -136,7 +138,7 @@
 			return err
 		}
 		if he.GetProtocol() != ProtocolVersion {
-			return result.New(result.Internal, "peer: protocol %d, this process speaks %d", he.GetProtocol(), ProtocolVersion)
+			return result.New(result.Internal, "peer: protocol %d, this process uses protocol %d", he.GetProtocol(), ProtocolVersion)
 		}
 		hello <- &he
 
@@ -189,7 +191,7 @@
 	}
 }
 
-// Dial opens a session to address.
+// Dial opens a session to address and exchanges hellos.
 func Dial(ctx context.Context, address string, cfg Config) (*Session, error) {
 	limit := cfg.DialTimeout
 	if limit == 0 {
@@ -231,7 +233,7 @@
 	return se, nil
 }
 
-// Link keeps one session to an address open, dialling again when it ends.
+// Link keeps one session to an address open and dials again when it ends.
 type Link struct {
 	cfg     Config
 	address string
@@ -242,7 +244,7 @@
 	changed chan struct{}
 }
 
-// NewLink returns a link; onUp may be nil and is called with each new session.
+// NewLink returns a link. onUp is called with each new session and may be nil.
 func NewLink(address string, cfg Config, onUp func(se *Session)) *Link {
 	return &Link{cfg: cfg, address: address, onUp: onUp, changed: make(chan struct{})}
 }
@@ -254,7 +256,7 @@
 	for ctx.Err() == nil {
 		se, err := Dial(ctx, li.address, li.cfg)
 		if err == nil {
-			li.logState("peer regained")
+			li.logState("peer session opened")
 			li.setSession(se)
 			if li.onUp != nil {
 				go li.onUp(se)
@@ -266,7 +268,7 @@
 			}
 			li.setSession(nil)
 			if ctx.Err() == nil {
-				li.logState("peer lost")
+				li.logState("peer session lost")
 			}
 		}
 
@@ -300,7 +302,7 @@
 	return li.session
 }
 
-// Wait returns the session once it is open.
+// Wait waits for the open session and returns it.
 func (li *Link) Wait(ctx context.Context) (*Session, error) {
 	for {
 		li.mu.Lock()
--- a/internal/peer/links.go
+++ b/internal/peer/links.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// Links keeps one link for each address, from its first use until Close.
+// Links holds one link for each address, from its first use until Close.
 type Links struct {
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -23,7 +23,7 @@
 	return &Links{ctx: ctx, cancel: cancel, cfg: cfg, links: map[string]*Link{}}
 }
 
-// To returns the link to address.
+// To returns the link to address, and starts it on its first use.
 func (ls *Links) To(address string) *Link {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -45,10 +45,10 @@
 	ls.Wait()
 }
 
-// Wait returns once all links have ended, after ctx.
+// Wait returns once all links have ended, which they do after ctx.
 func (ls *Links) Wait() { ls.wg.Wait() }
 
-// Call calls a method at address and waits for its session if need be.
+// Call waits for the session to address and calls a method on it.
 func (ls *Links) Call(ctx context.Context, address, method string, req, rep Message) error {
 	se, err := ls.To(address).Wait(ctx)
 	if err != nil {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -95,7 +95,7 @@
 		Expect(se.Call(ctx, "wait", &wire.Empty{}, &wire.Empty{})).NotTo(Succeed())
 	})
 
-	It("tells a cut stream from an ended one", func() {
+	It("distinguishes a cut stream from an ended one", func() {
 		st, err := se.Open(context.Background(), "wait", &wire.Empty{})
 		Expect(err).NotTo(HaveOccurred())
 		li.Close()
@@ -104,7 +104,7 @@
 		Expect(result.From(err).Execution).To(Equal(result.Unknown))
 	})
 
-	It("never lets a late close or cancel of one call touch the next one", func() {
+	It("does not let a late close or cancel of one call affect the next one", func() {
 		for range 300 {
 			ctx, cancel := context.WithCancel(context.Background())
 			st, err := se.Open(ctx, "three", &wire.Empty{})
@@ -114,7 +114,7 @@
 				Expect(st.Recv(&wire.Empty{})).To(Succeed())
 			}
 			Expect(errors.Is(st.Recv(&wire.Empty{}), io.EOF)).To(BeTrue())
-			st.Close() // the lane is free for the next call
+			st.Close() // the next call may use the yamux stream
 			go cancel()
 			var m wire.Hello
 			Expect(se.Call(context.Background(), "echo", &wire.Hello{Name: "next"}, &m)).To(Succeed())
@@ -124,13 +124,13 @@
 		}
 	})
 
-	It("is refused to a process that speaks another protocol", func() {
+	It("is refused to a process that uses another protocol version", func() {
 		_, err := peer.Dial(context.Background(), li.Address(), peer.Config{Hello: &wire.Hello{Protocol: 99}})
 		Expect(err).To(MatchError(ContainSubstring("protocol 99")))
 	})
 })
 
-// BenchmarkCall shows the cost of a call between two processes, both ends in one.
+// BenchmarkCall measures a call with both ends of the session in one process.
 func BenchmarkCall(b *testing.B) {
 	li, se, err := pair(peer.Mux{"echo": func(_ context.Context, st *peer.Stream) error { return st.Reply(&wire.LoadReply{WindowSeconds: 1}) }})
 	if err != nil {
--- a/internal/peer/session.go
+++ b/internal/peer/session.go
@@ -31,13 +31,13 @@
 	readBufferBytes    = 4096
 )
 
-// Message is what calls carry.
+// Message is a request or a message of an answer.
 type Message = proto.Message
 
 // Handler answers one call. It may send any number of messages on st before it returns.
 type Handler func(ctx context.Context, st *Stream) error
 
-// Mux finds the handler of a method.
+// Mux maps methods to their handlers.
 type Mux map[string]Handler
 
 // Session is one connection between two processes.
@@ -45,12 +45,12 @@
 	yamuxSession *yamux.Session
 	mux          Mux
 	remote       *wire.Hello
-	streamSlots  chan struct{}
+	streamSlots  chan struct{} // bounds the accepted streams that are served at once
 	done         chan struct{}
 	closeOnce    sync.Once
 
 	mu   sync.Mutex
-	idle []*reusableStream // ready for another call, last used last
+	idle []*reusableStream // ready for another call, in the order of their last use
 }
 
 // reusableStream is a yamux stream that carries one call after the other.
@@ -63,7 +63,7 @@
 	return &reusableStream{yamuxStream: ys, reader: bufio.NewReaderSize(ys, readBufferBytes)}
 }
 
-// maxIdleStreams bounds the lanes that a session keeps for further calls.
+// maxIdleStreams bounds the streams that a session retains for further calls.
 const maxIdleStreams = 128
 
 func yamuxConfig() *yamux.Config {
@@ -92,7 +92,7 @@
 	return &Session{yamuxSession: ys, mux: mux, streamSlots: make(chan struct{}, maxSessionStreams), done: make(chan struct{})}, nil
 }
 
-// Remote returns what the other end said of itself.
+// Remote returns what the other end reported in its hello.
 func (se *Session) Remote() *wire.Hello { return se.remote }
 
 // Done is closed when the session has ended.
@@ -128,7 +128,7 @@
 	}
 }
 
-// handleStream answers the calls of one lane until the caller closes it.
+// handleStream answers the calls of one stream until the caller closes it.
 func (se *Session) handleStream(ys *yamux.Stream) {
 	defer ys.Close()
 
@@ -137,7 +137,7 @@
 	}
 }
 
-// handleCall answers one call and reports whether the lane may carry another.
+// handleCall answers one call and reports whether the stream may carry another.
 func (se *Session) handleCall(rs *reusableStream) bool {
 	st := &Stream{stream: rs, session: se}
 	var ca wire.Call
@@ -161,12 +161,13 @@
 		}
 	}
 	if isRaw(ca.GetMethod()) {
-		_ = st.sendEnd(h(ctx, st)) // the caller learns of it by the end of the stream
+		_ = st.sendEnd(h(ctx, st)) // the caller notices a lost error by the end of the stream
 
 		return false
 	}
 
-	// The next byte is the next call, or the end of the stream: the caller has gone.
+	// The next byte is the next call. A read error means that the caller has closed the
+	// stream, which cancels this call.
 	next := make(chan bool, 1)
 	go func() {
 		_, err := rs.reader.Peek(1)
@@ -186,18 +187,18 @@
 type Stream struct {
 	stream      *reusableStream
 	session     *Session
-	isSingleUse bool // the lane carries this call alone
+	isSingleUse bool // the underlying stream carries no further call
 	writeMu     sync.Mutex
 	writeBuffer []byte
 	payload     []byte
-	lastPayload []byte // goes out with the end mark
+	lastPayload []byte // is sent with the end mark
 
 	mu       sync.Mutex
-	ended    bool // the end mark was read
+	ended    bool // the end mark was received
 	released bool
 }
 
-// rawPrefix marks methods whose caller goes on sending messages.
+// rawPrefix marks methods whose caller sends further messages after the request.
 const rawPrefix = "raw."
 
 func isRaw(method string) bool { return strings.HasPrefix(method, rawPrefix) }
@@ -208,21 +209,21 @@
 // Request decodes the request of the call.
 func (st *Stream) Request(m proto.Message) error {
 	if err := proto.Unmarshal(st.payload, m); err != nil {
-		return result.New(result.MalformedBody, "peer: %v", err)
+		return result.New(result.MalformedBody, "peer: decoding a request: %v", err)
 	}
 
 	return nil
 }
 
-// RequestRecord decodes the request of a call that carries a record of the project's
-// own format.
+// RequestRecord decodes the request of a call that carries a CBOR record in a
+// wire.Payload.
 func (st *Stream) RequestRecord(out any) error {
 	var pa wire.Payload
 	if err := st.Request(&pa); err != nil {
 		return err
 	}
 	if err := cbor.Unmarshal(pa.GetRecord(), out); err != nil {
-		return result.New(result.MalformedBody, "peer: %v", err)
+		return result.New(result.MalformedBody, "peer: decoding the record of a request: %v", err)
 	}
 
 	return nil
@@ -238,8 +239,8 @@
 	return st.write(&wire.Frame{Payload: b})
 }
 
-// Reply sends the last message of the answer together with its end mark. The
-// handler returns what it returns.
+// Reply sets the last message of the answer, which is sent together with the end mark
+// when the handler has returned. The handler returns the error of Reply.
 func (st *Stream) Reply(m proto.Message) error {
 	b, err := proto.Marshal(m)
 	st.lastPayload = b
@@ -282,7 +283,7 @@
 
 	n := binary.LittleEndian.Uint32(h[:])
 	if n > maxMessageBytes {
-		return result.New(result.BodyTooLarge, "peer: message of %d bytes", n)
+		return result.New(result.BodyTooLarge, "peer: message of %d bytes is longer than the limit", n)
 	}
 	b := make([]byte, n)
 	if _, err := io.ReadFull(st.stream.reader, b); err != nil {
@@ -292,10 +293,11 @@
 	return proto.Unmarshal(b, m)
 }
 
-// errStreamCut says that the stream ended before its end mark.
+// errStreamCut reports that the stream ended before its end mark.
 var errStreamCut = errors.New("peer: the stream ended before its end mark")
 
-// Recv reads the next message of the answer. It returns io.EOF after the end mark alone.
+// Recv reads the next message of the answer. It returns io.EOF if the end mark carries
+// neither a message nor an error, and after the end mark.
 func (st *Stream) Recv(m proto.Message) error {
 	if st.isEnded() {
 		return io.EOF
@@ -337,8 +339,8 @@
 	return st.ended
 }
 
-// Close ends the call; the handler's context ends with it. After the end mark the
-// lane is kept for another call.
+// Close ends the call and cancels the handler's context. If the end mark was received,
+// the underlying stream is retained for another call.
 func (st *Stream) Close() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -352,7 +354,7 @@
 	}
 }
 
-// releaseStream takes a lane back whose call has ended.
+// releaseStream retains a stream whose call has ended, and returns false if enough are idle.
 func (se *Session) releaseStream(rs *reusableStream) bool {
 	se.mu.Lock()
 	defer se.mu.Unlock()
@@ -365,7 +367,7 @@
 	return true
 }
 
-// acquireStream returns an idle acquireStream, or a new one.
+// acquireStream returns an idle stream or opens a new one.
 func (se *Session) acquireStream() (*reusableStream, error) {
 	se.mu.Lock()
 	if n := len(se.idle); n > 0 {
@@ -429,7 +431,7 @@
 
 	if err := st.Recv(reply); err != nil {
 		if errors.Is(err, io.EOF) {
-			return nil // the handler had nothing to say
+			return nil // the handler sent no message
 		}
 
 		return err
