--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -51,7 +51,7 @@
 
 // Book is the replicated roster.
 type Book struct {
-	im Image
+	image Image
 }
 
 // Image is the content of a Book as stored in a snapshot.
@@ -70,18 +70,18 @@
 		im.Retirements = map[string]Retirement{}
 	}
 
-	return &Book{im: im}
+	return &Book{image: im}
 }
 
 // Image returns the book's content for a snapshot.
-func (bo *Book) Image() Image { return bo.im }
+func (bo *Book) Image() Image { return bo.image }
 
 // Announce records a member and reports whether that changed anything.
 func (bo *Book) Announce(an Announce) bool {
-	if bo.im.Members[an.Member.Name] == an.Member {
+	if bo.image.Members[an.Member.Name] == an.Member {
 		return false
 	}
-	bo.im.Members[an.Member.Name] = an.Member
+	bo.image.Members[an.Member.Name] = an.Member
 
 	return true
 }
@@ -89,50 +89,50 @@
 // Form sets the replicas that form the store group and reports whether it did. It has no
 // effect if they are already set.
 func (bo *Book) Form(fo Form) bool {
-	if len(bo.im.Formation) > 0 || len(fo.Replicas) == 0 {
+	if len(bo.image.Formation) > 0 || len(fo.Replicas) == 0 {
 		return false
 	}
-	bo.im.Formation = slices.Clone(fo.Replicas)
+	bo.image.Formation = slices.Clone(fo.Replicas)
 
 	return true
 }
 
 // Retire starts to drain a VM. It returns an error if too few members would remain.
 func (bo *Book) Retire(re Retire) error {
-	if _, ok := bo.im.Members[re.Name]; !ok {
+	if _, ok := bo.image.Members[re.Name]; !ok {
 		return result.New(result.UnknownObject, "roster: no VM %q stores batch jobs", re.Name)
 	}
-	if bo.im.Retirements[re.Name] != 0 {
+	if bo.image.Retirements[re.Name] != 0 {
 		return nil
 	}
-	if n := len(bo.im.Members) - len(bo.im.Retirements) - 1; n < re.Keep {
+	if n := len(bo.image.Members) - len(bo.image.Retirements) - 1; n < re.Keep {
 		return result.New(result.MembershipRefused, "roster: only %d VMs would be left to store batch jobs, at least %d must be", n, re.Keep)
 	}
-	bo.im.Retirements[re.Name] = Retiring
+	bo.image.Retirements[re.Name] = Retiring
 
 	return nil
 }
 
 // Finish ends the retirement of a VM and reports whether one was in progress.
 func (bo *Book) Finish(fi Finish) bool {
-	if bo.im.Retirements[fi.Name] != Retiring {
+	if bo.image.Retirements[fi.Name] != Retiring {
 		return false
 	}
-	bo.im.Retirements[fi.Name] = Retired
+	bo.image.Retirements[fi.Name] = Retired
 
 	return true
 }
 
 // Retirement returns the state of the retirement of a VM, 0 if none was requested.
-func (bo *Book) Retirement(name string) Retirement { return bo.im.Retirements[name] }
+func (bo *Book) Retirement(name string) Retirement { return bo.image.Retirements[name] }
 
 // Formation returns the replicas that formed the store group, none before they are set.
-func (bo *Book) Formation() []consensus.ReplicaID { return bo.im.Formation }
+func (bo *Book) Formation() []consensus.ReplicaID { return bo.image.Formation }
 
 // Members returns all members in the order of their names.
 func (bo *Book) Members() []Member {
-	out := make([]Member, 0, len(bo.im.Members))
-	for _, me := range bo.im.Members {
+	out := make([]Member, 0, len(bo.image.Members))
+	for _, me := range bo.image.Members {
 		out = append(out, me)
 	}
 	slices.SortFunc(out, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
