--- a/internal/group/feed.go
+++ b/internal/group/feed.go
@@ -70,6 +70,7 @@
 	}
 }
 
+// followOnce makes one feed request and applies its reply.
 func (gr *Group) followOnce(ctx context.Context) error {
 	at := gr.now()
 	vi := gr.View()
@@ -188,8 +189,8 @@
 	}
 
 	select {
-	case gr.feedLimit <- struct{}{}:
-		defer func() { <-gr.feedLimit }()
+	case gr.feedSlots <- struct{}{}:
+		defer func() { <-gr.feedSlots }()
 	default:
 		return result.New(result.QueueFull, "group: the limit of %d waiting subscribers is reached", maxFeeds)
 	}
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -86,7 +86,7 @@
 	addresses     map[consensus.ReplicaID]string
 	storedPeers   map[consensus.ReplicaID]string // as stored in the data folder
 	upstreamIndex int
-	feedLimit     chan struct{}
+	feedSlots     chan struct{} // holds one element for each subscriber that waits
 
 	deltas      []machine.Delta // the latest changes; used only without a replica
 	deltasAfter uint64          // every change after this position is in deltas
@@ -99,7 +99,7 @@
 func New(cfg Config) (*Group, error) {
 	gr := &Group{
 		cfg: cfg, start: time.Now(), changed: make(chan struct{}),
-		addresses: map[consensus.ReplicaID]string{}, feedLimit: make(chan struct{}, maxFeeds),
+		addresses: map[consensus.ReplicaID]string{}, feedSlots: make(chan struct{}, maxFeeds),
 	}
 	gr.cfg.defaults()
 	vi, err := newView(machine.Full{})
--- a/internal/group/membership.go
+++ b/internal/group/membership.go
@@ -129,6 +129,7 @@
 	return nil
 }
 
+// formOnce tries to join or form the cluster, and reports whether it has.
 func (gr *Group) formOnce(ctx context.Context) (bool, error) {
 	answers := gr.discoverPeers(ctx)
 	if gr.cfg.Formation != nil {
--- a/internal/group/node.go
+++ b/internal/group/node.go
@@ -54,6 +54,8 @@
 	err   error
 }
 
+// pendingProposal is a proposal in the log that is not applied yet, with the term in
+// which it was appended.
 type pendingProposal struct {
 	term     uint64
 	proposal *proposal
@@ -236,6 +238,7 @@
 	}
 }
 
+// startRead begins a read; its answer follows once the leader is confirmed by a quorum.
 func (n *node) startRead(rr *readRequest) {
 	if len(n.pendingReads) >= maxReadWaiters {
 		rr.answer <- readAnswer{err: result.New(result.QueueFull, "group: %d reads are pending, the limit", len(n.pendingReads))}
@@ -432,6 +435,7 @@
 	}
 }
 
+// failPending answers all pending proposals and reads with err.
 func (n *node) failPending(err error) {
 	for i, w := range n.pendingProposals {
 		w.proposal.answer <- proposalAnswer{err: err}
--- a/internal/group/propose.go
+++ b/internal/group/propose.go
@@ -19,9 +19,9 @@
 	proposeTimeout = 5 * time.Second
 	confirmPeriod  = 500 * time.Millisecond
 	confirmTimeout = time.Second
-	retryMin       = 10 * time.Millisecond
-	retryMax       = 60 * time.Millisecond
-	sessionTimeout = 500 * time.Millisecond
+	retryMin       = 10 * time.Millisecond  // shortest pause before a retry
+	retryMax       = 60 * time.Millisecond  // longest pause before a retry
+	sessionTimeout = 500 * time.Millisecond // of the wait for a session before a call
 )
 
 // Methods of calls between processes of a group.
