--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -24,10 +24,11 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// MainGroup is the group that holds everything in today's deployments.
+// MainGroup is the only group of a deployment today.
 const MainGroup consensus.GroupID = 1
 
-// Founder is a process that forms the cluster when all founders are empty.
+// Founder is one of the processes that form the cluster, which requires that none of
+// them belongs to a cluster yet.
 type Founder struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
@@ -36,7 +37,7 @@
 // Config describes a process's part in a group.
 type Config struct {
 	Name           string
-	Address        string // of the own peer listener
+	Address        string // of this process's peer listener
 	FailureDomain  string
 	DataFolder     string // "" for a subscriber
 	Founders       []Founder
@@ -46,59 +47,59 @@
 	Election       time.Duration
 	Heartbeat      time.Duration
 	FreshnessBound time.Duration
-	ReplaceAfter   time.Duration // how long a voter may be silent before a spare takes its place
-	Voters         int           // that the group should have; as many as formed it where 0
-	// Addresses returns where other replicas may be found, the founders where nil.
+	ReplaceAfter   time.Duration // how long a voter may be silent before a caught-up learner replaces it
+	Voters         int           // target number; 0 means as many as formed the group
+	// Addresses returns where other replicas may be found; the founders' addresses where nil.
 	Addresses func() []string
 	// Formation returns the replicas that form the group, none where that is not
-	// known or this process may not form it. The founders decide where nil.
+	// known or this process may not form it. Where nil, the first founder decides.
 	Formation func() []consensus.ReplicaID
 	// Locate returns the address of a replica, "" where it is not known.
 	Locate func(id consensus.ReplicaID) string
 	// IsRetiring reports whether the replicas of a VM are to leave the group.
 	IsRetiring func(name string) bool
-	// OnStatus takes each change of role, leader, term or membership. It must not block.
+	// OnStatus is called with each change of role, leader, term or membership. It must not block.
 	OnStatus func(st Status)
 	WallMs   func() int64
 	Count    func(counter string)
 	Log      log.Interface
 }
 
-// Group is a process's part in a group.
+// Group is a process's part in a replication group.
 type Group struct {
 	cfg      Config
 	identity identity
 	start    time.Time
 
-	ctx  context.Context
-	stop context.CancelFunc
-	tr   *transport
-	node atomic.Pointer[node]
+	ctx       context.Context
+	stop      context.CancelFunc
+	transport *transport
+	node      atomic.Pointer[node]
 
-	view      atomic.Pointer[View]
-	elections atomic.Int64 // changes of the leader that were seen
-	moves     atomic.Int64 // changes of the membership that were seen
-	freshAt   atomic.Int64 // time.Duration since start, 0 before the first confirmation
+	view              atomic.Pointer[View]
+	elections         atomic.Int64 // observed changes of the leader
+	membershipChanges atomic.Int64 // observed changes of the membership
+	freshAt           atomic.Int64 // latest confirmation, a time.Duration since start; 0 before the first one
 
-	mu        sync.Mutex
-	changed   chan struct{} // closed and replaced with each new view
-	addresses map[consensus.ReplicaID]string
-	peers     map[consensus.ReplicaID]string // as they stand in the data folder
-	upstream  int
-	feedLimit chan struct{}
+	mu            sync.Mutex
+	changed       chan struct{} // closed and replaced with each new view
+	addresses     map[consensus.ReplicaID]string
+	storedPeers   map[consensus.ReplicaID]string // as stored in the data folder
+	upstreamIndex int
+	feedSlots     chan struct{} // holds one element for each subscriber that waits
 
-	deltas      []machine.Delta // the last changes, where there is no replica
+	deltas      []machine.Delta // the latest changes; used only without a replica
 	deltasAfter uint64          // every change after this position is in deltas
 }
 
-// maxFeeds bounds the subscribers that wait on one process.
+// maxFeeds bounds the subscribers that wait at one process.
 const maxFeeds = 4096
 
-// New loads the identity. Handlers may be served before Run.
+// New loads the identity from the data folder or creates it. Handlers may be served before Run.
 func New(cfg Config) (*Group, error) {
 	gr := &Group{
 		cfg: cfg, start: time.Now(), changed: make(chan struct{}),
-		addresses: map[consensus.ReplicaID]string{}, feedLimit: make(chan struct{}, maxFeeds),
+		addresses: map[consensus.ReplicaID]string{}, feedSlots: make(chan struct{}, maxFeeds),
 	}
 	gr.cfg.defaults()
 	vi, err := newView(machine.Full{})
@@ -112,10 +113,10 @@
 			return nil, err
 		}
 		gr.cfg.Peer.Hello.Replica = string(gr.identity.Replica)
-		gr.peers = gr.identity.Peers
-		maps.Copy(gr.addresses, gr.peers)
+		gr.storedPeers = gr.identity.Peers
+		maps.Copy(gr.addresses, gr.storedPeers)
 	}
-	gr.tr = newTransport(gr.ctx, gr.cfg.Peer, cfg.Address)
+	gr.transport = newTransport(gr.ctx, gr.cfg.Peer, cfg.Address)
 
 	return gr, nil
 }
@@ -151,7 +152,7 @@
 // HasDisk reports whether this process runs a replica.
 func (gr *Group) HasDisk() bool { return gr.cfg.DataFolder != "" }
 
-// View returns the configuration as known here.
+// View returns the configuration as last known to this process.
 func (gr *Group) View() *View { return gr.view.Load() }
 
 // Changed returns a channel that is closed with the next view.
@@ -170,27 +171,30 @@
 	gr.mu.Unlock()
 }
 
-// Age returns how old the knowledge of this process is, and false if it has none.
+// Age returns the time since this process's view was last confirmed, and false before
+// the first confirmation.
 func (gr *Group) Age() (time.Duration, bool) {
 	at := gr.freshAt.Load()
 
 	return gr.now() - time.Duration(at), at > 0
 }
 
-// Fresh returns an error when the process must refuse new work.
+// Fresh returns an error when the view is too old, so that the process must refuse new work.
 func (gr *Group) Fresh() error {
 	age, ok := gr.Age()
 	switch {
 	case !ok:
-		return result.New(result.StaleProcess, "group: nothing heard from the group yet").After(time.Second)
+		return result.New(result.StaleProcess, "group: nothing received from the group yet").After(time.Second)
 	case age > gr.cfg.FreshnessBound:
-		return result.New(result.StaleProcess, "group: nothing heard for %v, the bound is %v", age.Round(time.Millisecond), gr.cfg.FreshnessBound).After(time.Second)
+		return result.New(result.StaleProcess, "group: nothing received from the group for %v, the limit is %v", age.Round(time.Millisecond), gr.cfg.FreshnessBound).After(time.Second)
 	}
 
 	return nil
 }
 
-func (gr *Group) confirm(at time.Duration) {
+// recordConfirmation records that the view was current at a time. An earlier time than
+// the latest one has no effect.
+func (gr *Group) recordConfirmation(at time.Duration) {
 	for {
 		old := gr.freshAt.Load()
 		if int64(at) <= old || gr.freshAt.CompareAndSwap(old, int64(at)) {
@@ -202,7 +206,7 @@
 // Run takes part in the group until ctx ends. An error of the disk or of the
 // identity ends it early: the process must then exit.
 func (gr *Group) Run(ctx context.Context) error {
-	defer gr.tr.wait()
+	defer gr.transport.wait()
 	defer gr.stop()
 
 	if !gr.HasDisk() {
@@ -218,11 +222,11 @@
 	if err != nil {
 		return err
 	}
-	n.replayView(gr)
+	n.publishView(gr)
 	gr.node.Store(n)
 
 	for _, id := range n.replica.Membership().All() {
-		gr.tr.connect(gr.addressOf(id))
+		gr.transport.connect(gr.addressOf(id))
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -249,12 +253,13 @@
 		bootstrap: consensus.Membership{Voters: gr.identity.Bootstrap},
 		files:     gr.cfg.Files, dir: filepath.Join(gr.cfg.DataFolder, "group-1"),
 		election: gr.cfg.Election, heartbeat: gr.cfg.Heartbeat, wallMs: gr.cfg.WallMs,
-		send:    func(m consensus.Message) { gr.tr.send(gr.addressOf(m.To), m) },
+		send:    func(m consensus.Message) { gr.transport.send(gr.addressOf(m.To), m) },
 		onApply: gr.onApply, onStatus: gr.onStatus,
 	})
 }
 
-func (n *node) replayView(gr *Group) {
+// publishView sets the group's first view from the restored state machine.
+func (n *node) publishView(gr *Group) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 
@@ -278,7 +283,7 @@
 
 	next, err := gr.nextView(ma, vi)
 	if err != nil {
-		gr.cfg.Log.WithError(err).Error("the configuration could not be read")
+		gr.cfg.Log.WithError(err).Error("configuration could not be read from the state machine")
 
 		return
 	}
@@ -287,7 +292,7 @@
 
 func (gr *Group) nextView(ma *machine.Machine, vi *View) (*View, error) {
 	if ds, ok := ma.Since(vi.Revision); ok {
-		if next, err := vi.with(ds); err == nil {
+		if next, err := vi.withDeltas(ds); err == nil {
 			return next, nil
 		}
 	}
@@ -300,7 +305,7 @@
 	return newView(fu)
 }
 
-// addressOf returns where a replica can be reached, or "".
+// addressOf returns the address of a replica, or "" if it is not known.
 func (gr *Group) addressOf(id consensus.ReplicaID) string {
 	gr.mu.Lock()
 	a, ok := gr.addresses[id]
@@ -332,7 +337,7 @@
 	return ""
 }
 
-func (gr *Group) learnAddress(he *wire.Hello) {
+func (gr *Group) recordAddress(he *wire.Hello) {
 	if he.GetReplica() == "" || he.GetAddress() == "" {
 		return
 	}
@@ -342,7 +347,7 @@
 	gr.mu.Unlock()
 }
 
-// onStatus tells of changes in who leads and who belongs to the group.
+// onStatus logs and reports changes of the leader, the term and the membership.
 func (gr *Group) onStatus(old, st Status) {
 	fl := log.Fields{"role": st.Role, "leader": st.Leader, "term": st.Term, "commit": st.Commit, "voters": st.Membership.Voters}
 	switch {
@@ -355,7 +360,7 @@
 	case old.Term != st.Term:
 		gr.cfg.Log.WithFields(fl).Info("term changed")
 	case !old.Membership.Equal(st.Membership):
-		gr.moves.Add(1)
+		gr.membershipChanges.Add(1)
 		fl["learners"] = st.Membership.Learners
 		gr.cfg.Log.WithFields(fl).Info("membership changed")
 	default:
@@ -380,10 +385,10 @@
 	me.Gauge("group.leads", leads)
 	me.Gauge("group.voters", int64(len(st.Membership.Voters)))
 	me.Gauge("group.elections", gr.elections.Load())
-	me.Gauge("group.moves", gr.moves.Load())
+	me.Gauge("group.moves", gr.membershipChanges.Load())
 }
 
-// IsLeader reports whether this replica leads, as far as it knows.
+// IsLeader reports whether this replica is the leader by its last known status.
 func (gr *Group) IsLeader() bool { return gr.Status().Role == consensus.RoleLeader.String() }
 
 // Replica returns the identity of the own replica, "" on a subscriber.
@@ -433,14 +438,14 @@
 	return n.applied
 }
 
-// TransferLeadership gives the lead away before the process stops.
+// TransferLeadership passes leadership to another voter before the process stops.
 func (gr *Group) TransferLeadership(ctx context.Context) {
 	n := gr.node.Load()
 	if n == nil || n.getStatus().Role != consensus.RoleLeader.String() {
 		return
 	}
 
-	err := n.do(ctx, func(now time.Duration, re *consensus.Replica) error {
+	err := n.runOnLoop(ctx, func(now time.Duration, re *consensus.Replica) error {
 		if !re.TransferLeadership(now) {
 			return consensus.ErrLastVoter
 		}
@@ -448,7 +453,7 @@
 		return nil
 	})
 	if err != nil {
-		return // nobody is there to take over
+		return // no other voter can take over
 	}
 	for ctx.Err() == nil && n.getStatus().Role == consensus.RoleLeader.String() {
 		time.Sleep(tickPeriod)
@@ -458,7 +463,7 @@
 // decode reads a CBOR payload.
 func decode(b []byte, v any) error {
 	if err := cbor.Unmarshal(b, v); err != nil {
-		return result.New(result.Internal, "group: %v", err)
+		return result.New(result.Internal, "group: decoding a payload: %v", err)
 	}
 
 	return nil
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -14,7 +14,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// ProtocolVersion is sent in each Hello; processes of another one are refused.
+// ProtocolVersion is sent in each Hello; a process of another version is refused.
 const ProtocolVersion = 1
 
 const (
@@ -24,22 +24,23 @@
 	acceptBackoff = 50 * time.Millisecond
 )
 
-// Config describes the own end of sessions.
+// Config describes this process's end of sessions.
 type Config struct {
 	Hello     *wire.Hello
 	Mux       Mux
-	Bind      string // IP number that is dialled from, "" for any
+	Bind      string // local IP number to dial from, "" for any
 	ServerTLS *tls.Config
 	ClientTLS *tls.Config
-	Silence   time.Duration // a session whose peer acknowledges nothing for so long is cut; 0 leaves it to yamux
-	// DialTimeout bounds the opening of a session, a default where 0. The first
-	// packet to a VM that is just starting is lost and only sent again after a second.
+	Silence   time.Duration // a session whose peer acknowledges nothing for so long is ended; 0 leaves that to the yamux keep-alive
+	// DialTimeout bounds the opening of a session; 0 means dialTimeout. The first packet to
+	// a VM that is just starting is lost, and TCP repeats it only after a second.
 	DialTimeout time.Duration
-	Log         log.Interface // where lost and regained sessions are told, nil for nowhere
+	Log         log.Interface // logs opened and lost sessions; may be nil
 }
 
-// redial returns the pause before a session is opened again.
-func (c *Config) redial() time.Duration {
+// redialPause returns the pause before a session is opened again: at most a quarter of
+// DialTimeout where that is set.
+func (c *Config) redialPause() time.Duration {
 	if c.DialTimeout > 0 {
 		return min(redialPeriod, c.DialTimeout/4)
 	}
@@ -57,7 +58,7 @@
 	closed   bool
 }
 
-// Listen opens the address, an IP number with a port.
+// Listen listens on an address, an IP number with a port.
 func Listen(address string, cfg Config) (*Listener, error) {
 	ln, err := dialer.Listen(address, cfg.Silence)
 	if err != nil {
@@ -70,7 +71,7 @@
 	return &Listener{cfg: cfg, ln: ln, sessions: map[*Session]struct{}{}}, nil
 }
 
-// Address returns the address that is listened on.
+// Address returns the address of the listener.
 func (li *Listener) Address() string { return li.ln.Addr().String() }
 
 // Serve accepts sessions until Close.
@@ -110,7 +111,7 @@
 	}
 	defer li.remove(se)
 
-	if err := li.greet(se); err != nil {
+	if err := li.receiveHello(se); err != nil {
 		se.Close()
 
 		return
@@ -118,31 +119,32 @@
 	se.serve()
 }
 
-// greet answers the first call of a session, which must be the hello.
-func (li *Listener) greet(se *Session) error {
+// receiveHello answers the first call of a session, which must be the hello, and stores
+// what the other end reported.
+func (li *Listener) receiveHello(se *Session) error {
 	timer := time.AfterFunc(dialTimeout, se.Close)
 	defer timer.Stop()
 
-	ys, err := se.ys.AcceptStream()
+	ys, err := se.yamuxSession.AcceptStream()
 	if err != nil {
 		return err
 	}
 	defer ys.Close()
 
 	hello := make(chan *wire.Hello, 1)
-	first := &Session{ys: se.ys, done: se.done, mux: Mux{methodHello: func(_ context.Context, st *Stream) error {
+	first := &Session{yamuxSession: se.yamuxSession, done: se.done, mux: Mux{methodHello: func(_ context.Context, st *Stream) error {
 		var he wire.Hello
 		if err := st.Request(&he); err != nil {
 			return err
 		}
 		if he.GetProtocol() != ProtocolVersion {
-			return result.New(result.Internal, "peer: protocol %d, this process speaks %d", he.GetProtocol(), ProtocolVersion)
+			return result.New(result.Internal, "peer: protocol %d, this process uses protocol %d", he.GetProtocol(), ProtocolVersion)
 		}
 		hello <- &he
 
 		return st.Reply(li.cfg.Hello)
 	}}}
-	first.handleCall(newLane(ys))
+	first.handleCall(newReusableStream(ys))
 
 	select {
 	case he := <-hello:
@@ -189,7 +191,7 @@
 	}
 }
 
-// Dial opens a session to address.
+// Dial opens a session to address and exchanges hellos.
 func Dial(ctx context.Context, address string, cfg Config) (*Session, error) {
 	limit := cfg.DialTimeout
 	if limit == 0 {
@@ -231,7 +233,7 @@
 	return se, nil
 }
 
-// Link keeps one session to an address open, dialling again when it ends.
+// Link keeps one session to an address open and dials again when it ends.
 type Link struct {
 	cfg     Config
 	address string
@@ -242,20 +244,20 @@
 	changed chan struct{}
 }
 
-// NewLink returns a link; onUp may be nil and is called with each new session.
+// NewLink returns a link. onUp is called with each new session and may be nil.
 func NewLink(address string, cfg Config, onUp func(se *Session)) *Link {
 	return &Link{cfg: cfg, address: address, onUp: onUp, changed: make(chan struct{})}
 }
 
 // Run keeps the session open until ctx ends.
 func (li *Link) Run(ctx context.Context) {
-	defer li.set(nil)
+	defer li.setSession(nil)
 
 	for ctx.Err() == nil {
 		se, err := Dial(ctx, li.address, li.cfg)
 		if err == nil {
-			li.tell("peer regained")
-			li.set(se)
+			li.logState("peer session opened")
+			li.setSession(se)
 			if li.onUp != nil {
 				go li.onUp(se)
 			}
@@ -264,26 +266,26 @@
 			case <-ctx.Done():
 				se.Close()
 			}
-			li.set(nil)
+			li.setSession(nil)
 			if ctx.Err() == nil {
-				li.tell("peer lost")
+				li.logState("peer session lost")
 			}
 		}
 
 		select {
 		case <-ctx.Done():
-		case <-time.After(li.cfg.redial()):
+		case <-time.After(li.cfg.redialPause()):
 		}
 	}
 }
 
-func (li *Link) tell(what string) {
+func (li *Link) logState(what string) {
 	if li.cfg.Log != nil {
 		li.cfg.Log.WithField("peer", li.address).Info(what)
 	}
 }
 
-func (li *Link) set(se *Session) {
+func (li *Link) setSession(se *Session) {
 	li.mu.Lock()
 	defer li.mu.Unlock()
 
@@ -300,7 +302,7 @@
 	return li.session
 }
 
-// Wait returns the session once it is open.
+// Wait waits for the open session and returns it.
 func (li *Link) Wait(ctx context.Context) (*Session, error) {
 	for {
 		li.mu.Lock()
--- a/internal/peer/session.go
+++ b/internal/peer/session.go
@@ -31,40 +31,40 @@
 	readBufferBytes    = 4096
 )
 
-// Message is what calls carry.
+// Message is a request or a message of an answer.
 type Message = proto.Message
 
 // Handler answers one call. It may send any number of messages on st before it returns.
 type Handler func(ctx context.Context, st *Stream) error
 
-// Mux finds the handler of a method.
+// Mux maps methods to their handlers.
 type Mux map[string]Handler
 
 // Session is one connection between two processes.
 type Session struct {
-	ys      *yamux.Session
-	mux     Mux
-	remote  *wire.Hello
-	streams chan struct{}
-	done    chan struct{}
-	once    sync.Once
+	yamuxSession *yamux.Session
+	mux          Mux
+	remote       *wire.Hello
+	streamSlots  chan struct{} // bounds the accepted streams that are served at once
+	done         chan struct{}
+	closeOnce    sync.Once
 
 	mu   sync.Mutex
-	idle []*lane // ready for another call, last used last
+	idle []*reusableStream // ready for another call, in the order of their last use
 }
 
-// lane is a yamux stream that carries one call after the other.
-type lane struct {
-	ys *yamux.Stream
-	rd *bufio.Reader
+// reusableStream is a yamux stream that carries one call after the other.
+type reusableStream struct {
+	yamuxStream *yamux.Stream
+	reader      *bufio.Reader
 }
 
-func newLane(ys *yamux.Stream) *lane {
-	return &lane{ys: ys, rd: bufio.NewReaderSize(ys, readBufferBytes)}
+func newReusableStream(ys *yamux.Stream) *reusableStream {
+	return &reusableStream{yamuxStream: ys, reader: bufio.NewReaderSize(ys, readBufferBytes)}
 }
 
-// maxIdleLanes bounds the lanes that a session keeps for further calls.
-const maxIdleLanes = 128
+// maxIdleStreams bounds the streams that a session retains for further calls.
+const maxIdleStreams = 128
 
 func yamuxConfig() *yamux.Config {
 	yc := yamux.DefaultConfig()
@@ -89,10 +89,10 @@
 		return nil, err
 	}
 
-	return &Session{ys: ys, mux: mux, streams: make(chan struct{}, maxSessionStreams), done: make(chan struct{})}, nil
+	return &Session{yamuxSession: ys, mux: mux, streamSlots: make(chan struct{}, maxSessionStreams), done: make(chan struct{})}, nil
 }
 
-// Remote returns what the other end said of itself.
+// Remote returns what the other end reported in its hello.
 func (se *Session) Remote() *wire.Hello { return se.remote }
 
 // Done is closed when the session has ended.
@@ -100,9 +100,9 @@
 
 // Close ends the session and every stream of it.
 func (se *Session) Close() {
-	se.once.Do(func() {
+	se.closeOnce.Do(func() {
 		close(se.done)
-		_ = se.ys.Close()
+		_ = se.yamuxSession.Close()
 	})
 }
 
@@ -111,16 +111,16 @@
 	defer se.Close()
 
 	for {
-		ys, err := se.ys.AcceptStream()
+		ys, err := se.yamuxSession.AcceptStream()
 		if err != nil {
 			return
 		}
 
 		select {
-		case se.streams <- struct{}{}:
+		case se.streamSlots <- struct{}{}:
 			go func() {
-				defer func() { <-se.streams }()
-				se.handle(ys)
+				defer func() { <-se.streamSlots }()
+				se.handleStream(ys)
 			}()
 		default:
 			_ = ys.Close()
@@ -128,18 +128,18 @@
 	}
 }
 
-// handle answers the calls of one lane until the caller closes it.
-func (se *Session) handle(ys *yamux.Stream) {
+// handleStream answers the calls of one stream until the caller closes it.
+func (se *Session) handleStream(ys *yamux.Stream) {
 	defer ys.Close()
 
-	la := newLane(ys)
-	for se.handleCall(la) {
+	rs := newReusableStream(ys)
+	for se.handleCall(rs) {
 	}
 }
 
-// handleCall answers one call and reports whether the lane may carry another.
-func (se *Session) handleCall(la *lane) bool {
-	st := &Stream{lane: la, session: se}
+// handleCall answers one call and reports whether the stream may carry another.
+func (se *Session) handleCall(rs *reusableStream) bool {
+	st := &Stream{stream: rs, session: se}
 	var ca wire.Call
 	if err := st.read(&ca); err != nil {
 		return false
@@ -151,7 +151,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	_ = la.ys.SetWriteDeadline(time.Now().Add(timeout))
+	_ = rs.yamuxStream.SetWriteDeadline(time.Now().Add(timeout))
 
 	st.payload = ca.GetPayload()
 	h, ok := se.mux[ca.GetMethod()]
@@ -161,21 +161,22 @@
 		}
 	}
 	if isRaw(ca.GetMethod()) {
-		_ = st.finish(h(ctx, st)) // the caller learns of it by the end of the stream
+		_ = st.sendEnd(h(ctx, st)) // the caller notices a lost error by the end of the stream
 
 		return false
 	}
 
-	// The next byte is the next call, or the end of the stream: the caller has gone.
+	// The next byte is the next call. A read error means that the caller has closed the
+	// stream, which cancels this call.
 	next := make(chan bool, 1)
 	go func() {
-		_, err := la.rd.Peek(1)
+		_, err := rs.reader.Peek(1)
 		if err != nil {
 			cancel()
 		}
 		next <- err == nil
 	}()
-	if st.finish(h(ctx, st)) != nil {
+	if st.sendEnd(h(ctx, st)) != nil {
 		return false
 	}
 
@@ -184,20 +185,20 @@
 
 // Stream carries the messages of one call.
 type Stream struct {
-	lane    *lane
-	session *Session
-	single  bool // the lane carries this call alone
-	wmu     sync.Mutex
-	buf     []byte
-	payload []byte
-	last    []byte // goes out with the end mark
+	stream      *reusableStream
+	session     *Session
+	isSingleUse bool // the underlying stream carries no further call
+	writeMu     sync.Mutex
+	writeBuffer []byte
+	payload     []byte
+	lastPayload []byte // is sent with the end mark
 
 	mu       sync.Mutex
-	ended    bool // the end mark was read
+	ended    bool // the end mark was received
 	released bool
 }
 
-// rawPrefix marks methods whose caller goes on sending messages.
+// rawPrefix marks methods whose caller sends further messages after the request.
 const rawPrefix = "raw."
 
 func isRaw(method string) bool { return strings.HasPrefix(method, rawPrefix) }
@@ -208,21 +209,21 @@
 // Request decodes the request of the call.
 func (st *Stream) Request(m proto.Message) error {
 	if err := proto.Unmarshal(st.payload, m); err != nil {
-		return result.New(result.MalformedBody, "peer: %v", err)
+		return result.New(result.MalformedBody, "peer: decoding a request: %v", err)
 	}
 
 	return nil
 }
 
-// RequestRecord decodes the request of a call that carries a record of the project's
-// own format.
+// RequestRecord decodes the request of a call that carries a CBOR record in a
+// wire.Payload.
 func (st *Stream) RequestRecord(out any) error {
 	var pa wire.Payload
 	if err := st.Request(&pa); err != nil {
 		return err
 	}
 	if err := cbor.Unmarshal(pa.GetRecord(), out); err != nil {
-		return result.New(result.MalformedBody, "peer: %v", err)
+		return result.New(result.MalformedBody, "peer: decoding the record of a request: %v", err)
 	}
 
 	return nil
@@ -238,17 +239,17 @@
 	return st.write(&wire.Frame{Payload: b})
 }
 
-// Reply sends the last message of the answer together with its end mark. The
-// handler returns what it returns.
+// Reply sets the last message of the answer, which is sent together with the end mark
+// when the handler has returned. The handler returns the error of Reply.
 func (st *Stream) Reply(m proto.Message) error {
 	b, err := proto.Marshal(m)
-	st.last = b
+	st.lastPayload = b
 
 	return err
 }
 
-func (st *Stream) finish(err error) error {
-	fr := &wire.Frame{End: true, Payload: st.last}
+func (st *Stream) sendEnd(err error) error {
+	fr := &wire.Frame{End: true, Payload: st.lastPayload}
 	if err != nil {
 		er := result.From(err)
 		fr.Code, fr.Execution, fr.Message = uint32(er.Code), uint32(er.Execution), er.Message
@@ -259,43 +260,44 @@
 }
 
 func (st *Stream) write(m proto.Message) error {
-	st.wmu.Lock()
-	defer st.wmu.Unlock()
+	st.writeMu.Lock()
+	defer st.writeMu.Unlock()
 
-	b := append(st.buf[:0], 0, 0, 0, 0)
+	b := append(st.writeBuffer[:0], 0, 0, 0, 0)
 	b, err := proto.MarshalOptions{}.MarshalAppend(b, m)
 	if err != nil {
 		return err
 	}
 	binary.LittleEndian.PutUint32(b, uint32(len(b)-4))
-	st.buf = b
-	_, err = st.lane.ys.Write(b)
+	st.writeBuffer = b
+	_, err = st.stream.yamuxStream.Write(b)
 
 	return err
 }
 
 func (st *Stream) read(m proto.Message) error {
 	var h [4]byte
-	if _, err := io.ReadFull(st.lane.rd, h[:]); err != nil {
+	if _, err := io.ReadFull(st.stream.reader, h[:]); err != nil {
 		return err
 	}
 
 	n := binary.LittleEndian.Uint32(h[:])
 	if n > maxMessageBytes {
-		return result.New(result.BodyTooLarge, "peer: message of %d bytes", n)
+		return result.New(result.BodyTooLarge, "peer: message of %d bytes is longer than the limit", n)
 	}
 	b := make([]byte, n)
-	if _, err := io.ReadFull(st.lane.rd, b); err != nil {
+	if _, err := io.ReadFull(st.stream.reader, b); err != nil {
 		return err
 	}
 
 	return proto.Unmarshal(b, m)
 }
 
-// errCut says that the stream ended before its end mark.
-var errCut = errors.New("peer: the stream ended before its end mark")
+// errStreamCut reports that the stream ended before its end mark.
+var errStreamCut = errors.New("peer: the stream ended before its end mark")
 
-// Recv reads the next message of the answer. It returns io.EOF after the end mark alone.
+// Recv reads the next message of the answer. It returns io.EOF if the end mark carries
+// neither a message nor an error, and after the end mark.
 func (st *Stream) Recv(m proto.Message) error {
 	if st.isEnded() {
 		return io.EOF
@@ -308,7 +310,7 @@
 			return er
 		}
 
-		return result.New(result.StreamCut, "%v: %v", errCut, err).With(result.Unknown)
+		return result.New(result.StreamCut, "%v: %v", errStreamCut, err).With(result.Unknown)
 	}
 	if !fr.GetEnd() {
 		return proto.Unmarshal(fr.GetPayload(), m)
@@ -337,8 +339,8 @@
 	return st.ended
 }
 
-// Close ends the call; the handler's context ends with it. After the end mark the
-// lane is kept for another call.
+// Close ends the call and cancels the handler's context. If the end mark was received,
+// the underlying stream is retained for another call.
 func (st *Stream) Close() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -347,42 +349,42 @@
 		return
 	}
 	st.released = true
-	if st.single || !st.ended || !st.session.keep(st.lane) {
-		_ = st.lane.ys.Close()
+	if st.isSingleUse || !st.ended || !st.session.releaseStream(st.stream) {
+		_ = st.stream.yamuxStream.Close()
 	}
 }
 
-// keep takes a lane back whose call has ended.
-func (se *Session) keep(la *lane) bool {
+// releaseStream retains a stream whose call has ended, and returns false if enough are idle.
+func (se *Session) releaseStream(rs *reusableStream) bool {
 	se.mu.Lock()
 	defer se.mu.Unlock()
 
-	if len(se.idle) >= maxIdleLanes {
+	if len(se.idle) >= maxIdleStreams {
 		return false
 	}
-	se.idle = append(se.idle, la)
+	se.idle = append(se.idle, rs)
 
 	return true
 }
 
-// lane returns an idle lane, or a new one.
-func (se *Session) lane() (*lane, error) {
+// acquireStream returns an idle stream or opens a new one.
+func (se *Session) acquireStream() (*reusableStream, error) {
 	se.mu.Lock()
 	if n := len(se.idle); n > 0 {
-		la := se.idle[n-1]
+		rs := se.idle[n-1]
 		se.idle = se.idle[:n-1]
 		se.mu.Unlock()
 
-		return la, nil
+		return rs, nil
 	}
 	se.mu.Unlock()
 
-	ys, err := se.ys.OpenStream()
+	ys, err := se.yamuxSession.OpenStream()
 	if err != nil {
 		return nil, err
 	}
 
-	return newLane(ys), nil
+	return newReusableStream(ys), nil
 }
 
 // Open starts a call whose answer is read with Recv. The caller closes the stream.
@@ -400,13 +402,13 @@
 	if left <= 0 {
 		return nil, result.New(result.DeadlinePassed, "peer: %s: %v", method, context.DeadlineExceeded)
 	}
-	la, err := se.lane()
+	rs, err := se.acquireStream()
 	if err != nil {
 		return nil, result.New(result.BackendUnreachable, "peer: %s: %v", method, err)
 	}
 
-	st := &Stream{lane: la, session: se, single: isRaw(method)}
-	_ = la.ys.SetDeadline(dl)
+	st := &Stream{stream: rs, session: se, isSingleUse: isRaw(method)}
+	_ = rs.yamuxStream.SetDeadline(dl)
 	if err := st.write(&wire.Call{Method: method, TimeoutMs: uint32(left.Milliseconds()) + 1, Payload: payload}); err != nil {
 		st.Close()
 
@@ -429,7 +431,7 @@
 
 	if err := st.Recv(reply); err != nil {
 		if errors.Is(err, io.EOF) {
-			return nil // the handler had nothing to say
+			return nil // the handler sent no message
 		}
 
 		return err
@@ -449,4 +451,4 @@
 func (st *Stream) Read(m proto.Message) error { return st.read(m) }
 
 // SetDeadline bounds the next reads and writes of a raw stream.
-func (st *Stream) SetDeadline(t time.Time) { _ = st.lane.ys.SetDeadline(t) }
+func (st *Stream) SetDeadline(t time.Time) { _ = st.stream.yamuxStream.SetDeadline(t) }
