--- a/internal/rollout/driver.go
+++ b/internal/rollout/driver.go
@@ -38,7 +38,7 @@
 	cfg   Config
 	store *store
 
-	turn atomic.Uint64 // spreads attempts over the gateways
+	nextGateway atomic.Uint64 // spreads attempts over the gateways
 
 	mu    sync.Mutex
 	ctx   context.Context
@@ -47,16 +47,16 @@
 }
 
 const (
-	sweepPeriod    = time.Second
-	payloadTTL     = 15 * time.Minute // on a gateway that cannot read the ledger
-	callTimeout    = time.Second
-	ledgerTimeout  = 5 * time.Second
-	drivingPeriod  = 500 * time.Millisecond
-	defaultPage    = 256
-	maxPage        = 2048
-	pageLinger     = 30 * time.Millisecond
-	pollPeriod     = 100 * time.Millisecond
-	maxStepSamples = 65_536
+	sweepPeriod        = time.Second
+	payloadTTL         = 15 * time.Minute // on a gateway that cannot read the ledger
+	peerCallTimeout    = time.Second
+	proposeTimeout     = 5 * time.Second
+	driverCheckPeriod  = 500 * time.Millisecond
+	defaultPageSamples = 256
+	maxPageSamples     = 2048
+	pagePollPeriod     = 30 * time.Millisecond
+	pollPeriod         = 100 * time.Millisecond
+	maxStepSamples     = 65_536
 )
 
 // New returns a driver.
@@ -102,14 +102,14 @@
 			}
 		}
 	})
-	old := dr.store.idle(dr.cfg.Now(), payloadTTL)
-	quiet := dr.store.idle(dr.cfg.Now(), 2*sweepPeriod) // a payload comes before its win is committed
+	expired := dr.store.idleSteps(dr.cfg.Now(), payloadTTL)
+	settled := dr.store.idleSteps(dr.cfg.Now(), 2*sweepPeriod) // a payload comes before its win is committed
 	for _, k := range keys {
 		switch {
-		case hasLedger && slices.Contains(quiet, k):
-			dr.store.keep(k, needed[k])
-		case slices.Contains(old, k):
-			dr.store.keep(k, nil)
+		case hasLedger && slices.Contains(settled, k):
+			dr.store.retainOnly(k, needed[k])
+		case slices.Contains(expired, k):
+			dr.store.retainOnly(k, nil)
 		}
 	}
 }
@@ -177,7 +177,7 @@
 	if from == dr.cfg.Identity && dr.isDriving(key) {
 		return
 	}
-	if from != dr.cfg.Identity && dr.driverLives(ctx, key, from) {
+	if from != dr.cfg.Identity && dr.isDriverAlive(ctx, key, from) {
 		return
 	}
 
@@ -191,9 +191,9 @@
 	dr.drive(&st)
 }
 
-func (dr *Driver) driverLives(ctx context.Context, key, driver string) bool {
+func (dr *Driver) isDriverAlive(ctx context.Context, key, driver string) bool {
 	address, _, _ := strings.Cut(driver, "|")
-	cctx, cancel := context.WithTimeout(ctx, callTimeout)
+	cctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 	err := dr.cfg.Group.Call(cctx, address, methodDriving, &wire.PayloadRequest{Step: key}, &wire.Empty{})
 
--- a/internal/rollout/page.go
+++ b/internal/rollout/page.go
@@ -25,13 +25,13 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	if limit <= 0 {
-		limit = defaultPage
+		limit = defaultPageSamples
 	}
 	key := step.Key(workspace, id)
-	fp := step.FormPage{Key: key, Number: number, Max: min(limit, maxPage)}
+	fp := step.FormPage{Key: key, Number: number, Max: min(limit, maxPageSamples)}
 	lastCheck := time.Duration(0)
 	for {
-		if dr.worthAsking(fp) {
+		if dr.shouldPropose(fp) {
 			var rep step.PageReply
 			err := dr.cfg.Group.Propose(ctx, machine.KindFormPage, fp, &rep)
 			dr.cfg.Meter.Add("samples.stale", int64(rep.Stale))
@@ -42,24 +42,24 @@
 				return nil, err
 			}
 		}
-		if now := dr.cfg.Now(); now > lastCheck+drivingPeriod {
+		if now := dr.cfg.Now(); now > lastCheck+driverCheckPeriod {
 			lastCheck = now
 			dr.checkDriver(ctx, key)
 		}
 		select {
-		case <-time.After(pageLinger):
+		case <-time.After(pagePollPeriod):
 		case <-ctx.Done():
 			return nil, result.New(result.DeadlinePassed, "step %s: the trainer has gone", id)
 		case <-timer.C:
-			return nil, result.New(result.PageNotReady, "step %s: page %d is not ready", id, number).After(pageLinger)
+			return nil, result.New(result.PageNotReady, "step %s: page %d is not ready", id, number).After(pagePollPeriod)
 		}
 	}
 }
 
-// worthAsking reports whether a proposal would form or return a page, as far as
+// shouldPropose reports whether a proposal would form or return a page, as far as
 // the local ledger knows; without one it is always worth it.
-func (dr *Driver) worthAsking(fp step.FormPage) bool {
-	worth := true
+func (dr *Driver) shouldPropose(fp step.FormPage) bool {
+	propose := true
 	dr.cfg.Group.Read(func(ma *machine.Machine) {
 		st, err := ma.Steps().Get(fp.Key)
 		if err != nil || fp.Number != uint64(len(st.Pages))+1 {
@@ -76,10 +76,10 @@
 			}
 		}
 		late := time.Now().UnixMilli() > st.DeadlineMs
-		worth = won >= fp.Max || won >= pending || pending == 0 || late || won > 0 && won*4 > len(st.Samples)
+		propose = won >= fp.Max || won >= pending || pending == 0 || late || won > 0 && won*4 > len(st.Samples)
 	})
 
-	return worth
+	return propose
 }
 
 // checkDriver takes the step over when its driver does not answer.
@@ -117,24 +117,24 @@
 		}
 	}
 	for holder, digests := range wanted {
-		dr.fetch(ctx, key, holder, digests, found)
+		dr.fetchPayloads(ctx, key, holder, digests, found)
 	}
 
 	lost := step.Lost{Key: key}
 	var buf bytes.Buffer
-	head, err := json.Marshal(id)
+	stepID, err := json.Marshal(id)
 	if err != nil {
 		return nil, err
 	}
 	buf.WriteString(`{"step":`)
-	buf.Write(head)
+	buf.Write(stepID)
 	buf.WriteString(`,"page":`)
 	buf.WriteString(jsonNumber(rep.Number))
 	buf.WriteString(`,"samples":[`)
 	for i, sa := range rep.Samples {
 		b, ok := found[sa.Digest]
 		if !ok {
-			lost.Samples = append(lost.Samples, dr.indexOf(ctx, key, sa.ID))
+			lost.Samples = append(lost.Samples, dr.sampleIndex(ctx, key, sa.ID))
 			lost.Digests = append(lost.Digests, sa.Digest)
 
 			continue
@@ -158,8 +158,8 @@
 	return string(b)
 }
 
-func (dr *Driver) fetch(ctx context.Context, key, holder string, digests []string, found map[string][]byte) {
-	cctx, cancel := context.WithTimeout(ctx, callTimeout)
+func (dr *Driver) fetchPayloads(ctx context.Context, key, holder string, digests []string, found map[string][]byte) {
+	cctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 
 	var rep wire.PayloadReply
@@ -174,7 +174,7 @@
 	}
 }
 
-func (dr *Driver) indexOf(ctx context.Context, key, sampleID string) int {
+func (dr *Driver) sampleIndex(ctx context.Context, key, sampleID string) int {
 	index := -1
 	find := func(st *step.Step) {
 		for i := range st.Samples {
@@ -204,16 +204,16 @@
 	for _, sa := range samples {
 		byDigest[sa.Digest] = sa
 	}
-	sure := step.Lost{Key: lost.Key}
+	confirmed := step.Lost{Key: lost.Key}
 	for i, d := range lost.Digests {
-		if dr.allGone(ctx, lost.Key, byDigest[d]) {
-			sure.Samples = append(sure.Samples, lost.Samples[i])
-			sure.Digests = append(sure.Digests, d)
+		if dr.isPayloadLost(ctx, lost.Key, byDigest[d]) {
+			confirmed.Samples = append(confirmed.Samples, lost.Samples[i])
+			confirmed.Digests = append(confirmed.Digests, d)
 		}
 	}
-	if len(sure.Samples) > 0 {
-		dr.cfg.Meter.Add("payloads.lost", int64(len(sure.Samples)))
-		if err := dr.cfg.Group.Propose(ctx, machine.KindLost, sure, nil); err != nil {
+	if len(confirmed.Samples) > 0 {
+		dr.cfg.Meter.Add("payloads.lost", int64(len(confirmed.Samples)))
+		if err := dr.cfg.Group.Propose(ctx, machine.KindLost, confirmed, nil); err != nil {
 			return err
 		}
 	}
@@ -221,14 +221,14 @@
 	return result.New(result.PayloadLost, "step %s: %d samples of the page are made again", lost.Key, len(lost.Samples)).After(time.Second)
 }
 
-// allGone reports whether no holder will ever answer with the payload: each says
+// isPayloadLost reports whether no holder will ever answer with the payload: each says
 // that it has none, or cannot be reached.
-func (dr *Driver) allGone(ctx context.Context, key string, sa step.Sample) bool {
+func (dr *Driver) isPayloadLost(ctx context.Context, key string, sa step.Sample) bool {
 	for _, h := range sa.Holders {
 		if h == dr.address() {
 			continue // looked at before
 		}
-		cctx, cancel := context.WithTimeout(ctx, callTimeout)
+		cctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 		var rep wire.PayloadReply
 		err := dr.cfg.Group.Call(cctx, h, methodPayloads, &wire.PayloadRequest{Step: key, Digests: []string{sa.Digest}}, &rep)
 		cancel()
--- a/internal/rollout/spread.go
+++ b/internal/rollout/spread.go
@@ -20,7 +20,7 @@
 	}
 
 	others := dr.cfg.Group.Others(dr.cfg.FailureDomain)
-	i := int(dr.turn.Add(1) % uint64(len(others)+1))
+	i := int(dr.nextGateway.Add(1) % uint64(len(others)+1))
 	if i == len(others) {
 		return dr.cfg.Complete(ctx, at)
 	}
--- a/internal/rollout/steprun.go
+++ b/internal/rollout/steprun.go
@@ -15,54 +15,54 @@
 )
 
 const (
-	watchPeriod    = 50 * time.Millisecond
-	remoteWatch    = 250 * time.Millisecond
-	batchPeriod    = 5 * time.Millisecond
-	sampleRetryMin = 50 * time.Millisecond
-	sampleRetryMax = time.Second
-	sampleRetries  = 2
-	scoreTimeout   = 5 * time.Second
-	scoreTries     = 3
-	hedgeShare     = 0.1  // of a step's samples that may still run when races start
-	hedgeBudget    = 0.05 // of a step's samples that may be raced
-	hedgeFactor    = 2.0  // times the 90th percentile of the durations so far
-	hedgeFloor     = 100 * time.Millisecond
-	maxConcurrent  = 4096
+	ledgerPollPeriod       = 50 * time.Millisecond
+	remoteLedgerPollPeriod = 250 * time.Millisecond
+	commitBatchPeriod      = 5 * time.Millisecond
+	minSampleBackoff       = 50 * time.Millisecond
+	maxSampleBackoff       = time.Second
+	retriesPerAttempt      = 2
+	scoreTimeout           = 5 * time.Second
+	maxScoreAttempts       = 3
+	hedgePendingShare      = 0.1  // of a step's samples that may still run when races start
+	hedgeBudgetShare       = 0.05 // of a step's samples that may be raced
+	hedgeDurationFactor    = 2.0  // times the 90th percentile of the durations so far
+	minHedgeDelay          = 100 * time.Millisecond
+	maxConcurrentAttempts  = 4096
 )
 
 // stepRun drives one step.
 type stepRun struct {
-	dr  *Driver
-	st  *step.Step
-	sem chan struct{}
-	win chan win
-
-	mu        sync.Mutex
-	samples   []sampleRun // by index
-	durations []time.Duration
-	hedges    int
-	left      int
+	dr   *Driver
+	st   *step.Step
+	sem  chan struct{}
+	wins chan pendingWin
+
+	mu           sync.Mutex
+	samples      []sampleRun // by index
+	durations    []time.Duration
+	hedges       int
+	pendingCount int
 }
 
 type sampleRun struct {
 	running  int // attempts in flight
 	attempt  uint32
-	started  time.Duration
+	placedAt time.Duration
 	server   string
 	won      bool
 	cancel   context.CancelFunc
 	isHedged bool
 }
 
-// win is a whole sample on its way into the ledger.
-type win struct {
+// pendingWin is a whole sample on its way into the ledger.
+type pendingWin struct {
 	win     step.Win
 	payload []byte
 }
 
 func newStepRun(dr *Driver, st *step.Step) *stepRun {
 	sr := &stepRun{
-		dr: dr, st: st, sem: make(chan struct{}, maxConcurrent), win: make(chan win, 1024),
+		dr: dr, st: st, sem: make(chan struct{}, maxConcurrentAttempts), wins: make(chan pendingWin, 1024),
 		samples: make([]sampleRun, len(st.Samples)),
 	}
 	for i := range st.Samples {
@@ -83,20 +83,20 @@
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		sr.commitDuty(ctx)
+		sr.commitLoop(ctx)
 	}()
 	for ctx.Err() == nil {
-		pending, state := sr.pending(ctx)
+		pending, state := sr.pendingSamples(ctx)
 		if state == stepEnded {
 			break
 		}
-		if state == stepKnown {
+		if state == stepActive {
 			sr.launch(ctx, pending, &wg)
 			sr.hedge(ctx, &wg)
 		}
-		wait := watchPeriod
+		wait := ledgerPollPeriod
 		if !sr.dr.cfg.Group.HasDisk() {
-			wait = remoteWatch
+			wait = remoteLedgerPollPeriod
 		}
 		select {
 		case <-time.After(wait):
@@ -111,16 +111,16 @@
 
 const (
 	stepUnknown stepState = iota
-	stepKnown
+	stepActive
 	stepEnded
 )
 
-// pending returns the samples that want an attempt, with the lowest attempt that may win.
-func (sr *stepRun) pending(ctx context.Context) ([]wanted, stepState) {
-	var out []wanted
+// pendingSamples returns the samples that want an attempt, with the lowest attempt that may win.
+func (sr *stepRun) pendingSamples(ctx context.Context) ([]pendingSample, stepState) {
+	var out []pendingSample
 	state := stepUnknown
 	read := func(st *step.Step) {
-		state = stepKnown
+		state = stepActive
 		if st.DoneMs > 0 || st.Driver != sr.dr.cfg.Identity {
 			state = stepEnded
 
@@ -128,7 +128,7 @@
 		}
 		for i := range st.Samples {
 			if st.Samples[i].State == step.Pending {
-				out = append(out, wanted{i, st.Samples[i].Attempt})
+				out = append(out, pendingSample{i, st.Samples[i].Attempt})
 			}
 		}
 	}
@@ -148,18 +148,18 @@
 	return out, state
 }
 
-// wanted is a sample that wants an attempt, and the lowest one that may win.
-type wanted struct {
+// pendingSample is a sample that wants an attempt, and the lowest one that may win.
+type pendingSample struct {
 	index   int
 	attempt uint32
 }
 
 // launch starts an attempt for each pending sample that has none.
-func (sr *stepRun) launch(ctx context.Context, pending []wanted, wg *sync.WaitGroup) {
+func (sr *stepRun) launch(ctx context.Context, pending []pendingSample, wg *sync.WaitGroup) {
 	sr.mu.Lock()
 	defer sr.mu.Unlock()
 
-	sr.left = len(pending)
+	sr.pendingCount = len(pending)
 	for _, p := range pending {
 		sa := &sr.samples[p.index]
 		if p.attempt > sa.attempt {
@@ -171,12 +171,12 @@
 		}
 		sctx, cancel := context.WithCancel(ctx)
 		sa.cancel, sa.isHedged = cancel, false
-		sr.start(sctx, p.index, nil, wg)
+		sr.startAttempt(sctx, p.index, nil, wg)
 	}
 }
 
-// start runs one attempt loop; sr.mu is held.
-func (sr *stepRun) start(ctx context.Context, i int, exclude []string, wg *sync.WaitGroup) {
+// startAttempt runs one attempt loop; sr.mu is held.
+func (sr *stepRun) startAttempt(ctx context.Context, i int, exclude []string, wg *sync.WaitGroup) {
 	sa := &sr.samples[i]
 	sa.running++
 	attempt := sa.attempt
@@ -188,12 +188,12 @@
 			sr.samples[i].running--
 			sr.mu.Unlock()
 		}()
-		sr.make(ctx, i, attempt, exclude)
+		sr.runSample(ctx, i, attempt, exclude)
 	}()
 }
 
-// make runs a sample until an attempt is whole, the sample is won or the step ends.
-func (sr *stepRun) make(ctx context.Context, i int, attempt uint32, exclude []string) {
+// runSample runs a sample until an attempt is whole, the sample is won or the step ends.
+func (sr *stepRun) runSample(ctx context.Context, i int, attempt uint32, exclude []string) {
 	select {
 	case sr.sem <- struct{}{}:
 		defer func() { <-sr.sem }()
@@ -201,8 +201,8 @@
 		return
 	}
 
-	for wait := sampleRetryMin; ctx.Err() == nil; wait = min(2*wait, sampleRetryMax) {
-		done, err := sr.attempt(ctx, i, attempt, exclude)
+	for wait := minSampleBackoff; ctx.Err() == nil; wait = min(2*wait, maxSampleBackoff) {
+		done, err := sr.runAttempt(ctx, i, attempt, exclude)
 		if done {
 			return
 		}
@@ -210,7 +210,7 @@
 			sr.dr.cfg.Meter.Count("samples.again." + result.Lookup(result.From(err).Code).Name)
 		}
 		d := wait
-		if er := result.From(err); er.RetryAfter > 0 && er.RetryAfter < sampleRetryMax {
+		if er := result.From(err); er.RetryAfter > 0 && er.RetryAfter < maxSampleBackoff {
 			d = er.RetryAfter
 		}
 		select {
@@ -231,15 +231,15 @@
 	return max(low, sr.st.MinVersion)
 }
 
-func (sr *stepRun) attempt(ctx context.Context, i int, attempt uint32, exclude []string) (bool, error) {
+func (sr *stepRun) runAttempt(ctx context.Context, i int, attempt uint32, exclude []string) (bool, error) {
 	sa := sr.st.Samples[i]
 	gr := sr.st.Groups[sa.Group]
 	startedMs := time.Now().UnixMilli()
 	wr, err := sr.dr.complete(ctx, Attempt{
 		Workspace: sr.st.Workspace, Model: sr.st.Model, Prompt: gr.Prompt, MaxTokens: uint32(gr.MaxTokens),
-		Temperature: gr.Heat, Seed: xxhash.Sum64String(sa.ID), Retries: sampleRetries,
+		Temperature: gr.Heat, Seed: xxhash.Sum64String(sa.ID), Retries: retriesPerAttempt,
 		Timeout: time.Until(time.UnixMilli(sr.st.DeadlineMs)), MinSequence: sr.minSequence(), Exclude: exclude,
-		Placed: func(server string) { sr.placed(i, server) },
+		Placed: func(server string) { sr.recordPlacement(i, server) },
 	})
 	re := record{ID: sa.ID, Group: gr.ID, Attempt: attempt, StartedMs: startedMs}
 	if err != nil {
@@ -251,7 +251,7 @@
 		wr = &Written{}
 	}
 
-	sequence, err := sr.oldest(wr)
+	sequence, err := sr.oldestSequence(wr)
 	if err != nil {
 		return false, err
 	}
@@ -269,19 +269,19 @@
 	return sr.submit(ctx, i, attempt, re, sequence)
 }
 
-// placed notes where an attempt runs and that its time starts now.
-func (sr *stepRun) placed(i int, server string) {
+// recordPlacement notes where an attempt runs and that its time starts now.
+func (sr *stepRun) recordPlacement(i int, server string) {
 	sr.mu.Lock()
 	defer sr.mu.Unlock()
 
 	if sa := &sr.samples[i]; !sa.isHedged {
-		sa.server, sa.started = server, sr.dr.cfg.Now()
+		sa.server, sa.placedAt = server, sr.dr.cfg.Now()
 	}
 }
 
-// oldest returns the sequence of the oldest version that wrote a part. Text whose
+// oldestSequence returns the sequence of the oldest version that wrote a part. Text whose
 // versions are not all known is worth nothing to a trainer.
-func (sr *stepRun) oldest(wr *Written) (uint64, error) {
+func (sr *stepRun) oldestSequence(wr *Written) (uint64, error) {
 	if len(wr.Versions) == 0 {
 		return sr.dr.cfg.Latest(sr.st.Model), nil
 	}
@@ -307,7 +307,7 @@
 	}
 
 	var err error
-	for range scoreTries {
+	for range maxScoreAttempts {
 		cctx, cancel := context.WithTimeout(ctx, scoreTimeout)
 		var s float64
 		s, err = sr.dr.cfg.Score(cctx, id, prompt, text)
@@ -340,14 +340,14 @@
 	}
 	sa.won = true
 	cancel := sa.cancel
-	sr.durations = append(sr.durations, sr.dr.cfg.Now()-sa.started)
+	sr.durations = append(sr.durations, sr.dr.cfg.Now()-sa.placedAt)
 	sr.mu.Unlock()
 
-	w := win{payload: payload, win: step.Win{
+	w := pendingWin{payload: payload, win: step.Win{
 		Sample: i, Attempt: attempt, Digest: digest, Sequence: sequence, Holders: []string{sr.dr.address()},
 	}}
 	select {
-	case sr.win <- w:
+	case sr.wins <- w:
 	case <-ctx.Done():
 	}
 	cancel() // after the win is queued: a racing attempt ends
@@ -365,19 +365,19 @@
 	defer sr.mu.Unlock()
 
 	n := len(sr.samples)
-	if float64(sr.left) > max(1, hedgeShare*float64(n)) || len(sr.durations) < n/2 || len(sr.durations) == 0 {
+	if float64(sr.pendingCount) > max(1, hedgePendingShare*float64(n)) || len(sr.durations) < n/2 || len(sr.durations) == 0 {
 		return
 	}
 	sorted := slices.Clone(sr.durations)
 	slices.Sort(sorted)
-	limit := max(time.Duration(hedgeFactor*float64(sorted[len(sorted)*9/10])), hedgeFloor)
+	limit := max(time.Duration(hedgeDurationFactor*float64(sorted[len(sorted)*9/10])), minHedgeDelay)
 	now := sr.dr.cfg.Now()
 	for i := range sr.samples {
 		sa := &sr.samples[i]
-		if sa.won || sa.running != 1 || sa.isHedged || sa.started == 0 || now < sa.started+limit {
+		if sa.won || sa.running != 1 || sa.isHedged || sa.placedAt == 0 || now < sa.placedAt+limit {
 			continue
 		}
-		if sr.hedges >= max(2, int(hedgeBudget*float64(n))) {
+		if sr.hedges >= max(2, int(hedgeBudgetShare*float64(n))) {
 			sr.dr.cfg.Meter.Count("hedges.overBudget")
 
 			return
@@ -388,25 +388,25 @@
 		hctx, cancel := context.WithCancel(ctx)
 		first := sa.cancel
 		sa.cancel = func() { first(); cancel() }
-		sr.start(hctx, i, []string{sa.server}, wg)
+		sr.startAttempt(hctx, i, []string{sa.server}, wg)
 	}
 }
 
-// commitDuty gives payloads to a second holder and commits wins, many at once.
-func (sr *stepRun) commitDuty(ctx context.Context) {
+// commitLoop gives payloads to a second holder and commits wins, many at once.
+func (sr *stepRun) commitLoop(ctx context.Context) {
 	for {
-		var batch []win
+		var batch []pendingWin
 		select {
-		case w := <-sr.win:
+		case w := <-sr.wins:
 			batch = append(batch, w)
 		case <-ctx.Done():
 			return
 		}
-		timer := time.NewTimer(batchPeriod)
+		timer := time.NewTimer(commitBatchPeriod)
 	gather:
-		for len(batch) < cap(sr.win) {
+		for len(batch) < cap(sr.wins) {
 			select {
-			case w := <-sr.win:
+			case w := <-sr.wins:
 				batch = append(batch, w)
 			case <-timer.C:
 				break gather
@@ -417,8 +417,8 @@
 	}
 }
 
-func (sr *stepRun) commit(ctx context.Context, batch []win) {
-	holder := sr.dr.hold(ctx, sr.st.Key(), batch)
+func (sr *stepRun) commit(ctx context.Context, batch []pendingWin) {
+	holder := sr.dr.replicatePayloads(ctx, sr.st.Key(), batch)
 	ws := step.Wins{Key: sr.st.Key()}
 	for _, w := range batch {
 		if holder != "" {
@@ -427,7 +427,7 @@
 		ws.Wins = append(ws.Wins, w.win)
 	}
 	for ctx.Err() == nil {
-		cctx, cancel := context.WithTimeout(ctx, ledgerTimeout)
+		cctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 		err := sr.dr.cfg.Group.Propose(cctx, machine.KindWins, ws, nil)
 		cancel()
 		if err == nil || result.Is(err, result.UnknownStep) {
@@ -437,15 +437,15 @@
 	}
 }
 
-// hold gives the payloads of a batch to another gateway, one of another failure
+// replicatePayloads gives the payloads of a batch to another gateway, one of another failure
 // domain first, and returns its address, or "" when none takes them.
-func (dr *Driver) hold(ctx context.Context, key string, batch []win) string {
+func (dr *Driver) replicatePayloads(ctx context.Context, key string, batch []pendingWin) string {
 	rq := &wire.HoldRequest{Step: key}
 	for _, w := range batch {
 		rq.Payloads = append(rq.Payloads, w.payload)
 	}
 	for _, a := range dr.cfg.Group.Others(dr.cfg.FailureDomain) {
-		cctx, cancel := context.WithTimeout(ctx, callTimeout)
+		cctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 		err := dr.cfg.Group.Call(cctx, a, methodHold, rq, &wire.Empty{})
 		cancel()
 		if err == nil {
--- a/internal/rollout/store.go
+++ b/internal/rollout/store.go
@@ -30,7 +30,7 @@
 
 type stepPayloads struct {
 	byDigest map[string][]byte
-	at       time.Duration // of the last payload
+	lastPut  time.Duration // of the last payload
 }
 
 func newStore() *store { return &store{steps: map[string]*stepPayloads{}} }
@@ -47,7 +47,7 @@
 		sp = &stepPayloads{byDigest: map[string][]byte{}}
 		st.steps[step] = sp
 	}
-	sp.at = now
+	sp.lastPut = now
 	if _, ok := sp.byDigest[digest]; !ok {
 		sp.byDigest[digest] = payload
 		st.bytes += len(payload)
@@ -68,8 +68,8 @@
 	return sp.byDigest[digest]
 }
 
-// keep drops every payload of a step but those that needed names.
-func (st *store) keep(step string, needed map[string]struct{}) {
+// retainOnly drops every payload of a step but those that needed names.
+func (st *store) retainOnly(step string, needed map[string]struct{}) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 
@@ -88,14 +88,14 @@
 	}
 }
 
-// idle returns the steps that got no payload for d.
-func (st *store) idle(now, d time.Duration) []string {
+// idleSteps returns the steps that got no payload for d.
+func (st *store) idleSteps(now, d time.Duration) []string {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 
 	var out []string
 	for k, sp := range st.steps {
-		if now > sp.at+d {
+		if now > sp.lastPut+d {
 			out = append(out, k)
 		}
 	}
