--- a/internal/rollout/driver.go
+++ b/internal/rollout/driver.go
@@ -18,17 +18,17 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// Config builds a Driver.
+// Config holds the settings and dependencies of a Driver.
 type Config struct {
-	Identity      string // address and instance, joined by |
+	Identity      string // peer address and process instance, joined by |
 	FailureDomain string
 	Group         *group.Group
-	Complete      func(ctx context.Context, at Attempt) (*Written, error)
-	Score         func(ctx context.Context, sampleID, prompt, text string) (float64, error) // nil for no scorer
-	Latest        func(model string) uint64
-	Now           func() time.Duration
+	Complete      func(ctx context.Context, at Attempt) (*Written, error)                   // runs an attempt through this gateway
+	Score         func(ctx context.Context, sampleID, prompt, text string) (float64, error) // nil without a scorer
+	Latest        func(model string) uint64                                                 // sequence of the newest weight version
+	Now           func() time.Duration                                                      // monotonic, since the start of the process
 	NoHedging     bool
-	NoSpread      bool // every attempt is placed by this gateway
+	NoSpread      bool // run every attempt through this gateway
 	Meter         *meter.Meter
 	Log           log.Interface
 }
@@ -38,7 +38,7 @@
 	cfg   Config
 	store *store
 
-	nextGateway atomic.Uint64 // spreads attempts over the gateways
+	nextGateway atomic.Uint64 // round-robin counter of attempts
 
 	mu    sync.Mutex
 	ctx   context.Context
@@ -48,13 +48,13 @@
 
 const (
 	sweepPeriod        = time.Second
-	payloadTTL         = 15 * time.Minute // on a gateway that cannot read the ledger
+	payloadTTL         = 15 * time.Minute // on a gateway without a replica of the ledger
 	peerCallTimeout    = time.Second
 	proposeTimeout     = 5 * time.Second
 	driverCheckPeriod  = 500 * time.Millisecond
 	defaultPageSamples = 256
 	maxPageSamples     = 2048
-	pagePollPeriod     = 30 * time.Millisecond
+	pagePollPeriod     = 30 * time.Millisecond // also the retry delay sent with PageNotReady
 	pollPeriod         = 100 * time.Millisecond
 	maxStepSamples     = 65_536
 )
@@ -64,7 +64,8 @@
 	return &Driver{cfg: cfg, store: newStore(), steps: map[string]*stepRun{}, ctx: context.Background()}
 }
 
-// Run drops payloads that are not needed any more until ctx ends.
+// Run removes payloads that are no longer needed until ctx ends, then waits for
+// the steps driven here to stop.
 func (dr *Driver) Run(ctx context.Context) {
 	dr.mu.Lock()
 	dr.ctx = ctx
@@ -79,6 +80,8 @@
 	dr.wg.Wait()
 }
 
+// sweep removes the payloads that the ledger no longer needs. A payload is stored
+// before its win is committed, so steps that received one recently are skipped.
 func (dr *Driver) sweep() {
 	dr.store.mu.Lock()
 	keys := make([]string, 0, len(dr.store.steps))
@@ -103,7 +106,7 @@
 		}
 	})
 	expired := dr.store.idleSteps(dr.cfg.Now(), payloadTTL)
-	settled := dr.store.idleSteps(dr.cfg.Now(), 2*sweepPeriod) // a payload comes before its win is committed
+	settled := dr.store.idleSteps(dr.cfg.Now(), 2*sweepPeriod)
 	for _, k := range keys {
 		switch {
 		case hasLedger && slices.Contains(settled, k):
@@ -138,7 +141,7 @@
 		n += g.Samples
 	}
 	if n == 0 || n > maxStepSamples {
-		return nil, result.New(result.InvalidField, "step %s: %d samples, at most %d", st.ID, n, maxStepSamples)
+		return nil, result.New(result.InvalidField, "step %s: %d samples, must be 1 to %d", st.ID, n, maxStepSamples)
 	}
 
 	st.Driver = dr.cfg.Identity
@@ -172,7 +175,7 @@
 	}()
 }
 
-// takeOver makes this gateway drive a step whose driver does not answer.
+// takeOver makes this gateway the driver of a step unless the current driver answers.
 func (dr *Driver) takeOver(ctx context.Context, key, from string) {
 	if from == dr.cfg.Identity && dr.isDriving(key) {
 		return
--- a/internal/rollout/page.go
+++ b/internal/rollout/page.go
@@ -19,8 +19,8 @@
 	return a
 }
 
-// Page returns the bytes of a page, waiting for samples for a time. The same page
-// is always the same bytes.
+// Page returns a page of a step as JSON. It waits up to wait for samples. A page
+// that is requested again has the same bytes, unless payloads were lost in between.
 func (dr *Driver) Page(ctx context.Context, workspace, id string, number uint64, limit int, wait time.Duration) ([]byte, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -49,21 +49,23 @@
 		select {
 		case <-time.After(pagePollPeriod):
 		case <-ctx.Done():
-			return nil, result.New(result.DeadlinePassed, "step %s: the trainer has gone", id)
+			return nil, result.New(result.DeadlinePassed, "step %s: the request ended while waiting for a page", id)
 		case <-timer.C:
 			return nil, result.New(result.PageNotReady, "step %s: page %d is not ready", id, number).After(pagePollPeriod)
 		}
 	}
 }
 
-// shouldPropose reports whether a proposal would form or return a page, as far as
-// the local ledger knows; without one it is always worth it.
+// shouldPropose reports whether the page should be requested from the group,
+// judging by the local replica of the ledger; without one it always is. A page is
+// formed when it is full, when no more samples are pending than have won, when more
+// than a quarter of the step's samples have won, or after the deadline.
 func (dr *Driver) shouldPropose(fp step.FormPage) bool {
 	propose := true
 	dr.cfg.Group.Read(func(ma *machine.Machine) {
 		st, err := ma.Steps().Get(fp.Key)
 		if err != nil || fp.Number != uint64(len(st.Pages))+1 {
-			return // an answer or an error the group must give
+			return // the group returns the existing page or an error
 		}
 		won, pending := 0, 0
 		for i := range st.Samples {
@@ -82,7 +84,7 @@
 	return propose
 }
 
-// checkDriver takes the step over when its driver does not answer.
+// checkDriver takes over the step if its driver does not answer.
 func (dr *Driver) checkDriver(ctx context.Context, key string) {
 	driver := ""
 	ok := dr.cfg.Group.Read(func(ma *machine.Machine) {
@@ -100,10 +102,11 @@
 	}
 }
 
-// assemble collects the payloads of a page from their holders.
+// assemble builds the JSON of a page from the payloads stored here and at other
+// holders.
 func (dr *Driver) assemble(ctx context.Context, key, id string, rep step.PageReply) ([]byte, error) {
 	found := map[string][]byte{}
-	wanted := map[string][]string{} // holder to digests
+	wanted := map[string][]string{} // digests by holder
 	for _, sa := range rep.Samples {
 		if b := dr.store.get(key, sa.Digest); b != nil {
 			found[sa.Digest] = b
@@ -158,6 +161,8 @@
 	return string(b)
 }
 
+// fetchPayloads adds the payloads that holder returns to found. It ignores errors,
+// as reportLost asks the holders again for what is missing.
 func (dr *Driver) fetchPayloads(ctx context.Context, key, holder string, digests []string, found map[string][]byte) {
 	cctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
@@ -174,6 +179,7 @@
 	}
 }
 
+// sampleIndex returns the index of a sample in its step, or -1.
 func (dr *Driver) sampleIndex(ctx context.Context, key, sampleID string) int {
 	index := -1
 	find := func(st *step.Step) {
@@ -197,8 +203,9 @@
 	return index
 }
 
-// reportLost sends samples back whose holders answer that they have no payload or
-// are gone. A holder that is only slow is asked again by the next fetch.
+// reportLost asks the holders of each missing payload once more and resets the
+// samples whose payload none of them returns. The other payloads are fetched again
+// with the next request for the page.
 func (dr *Driver) reportLost(ctx context.Context, lost step.Lost, samples []step.Sample) error {
 	byDigest := map[string]step.Sample{}
 	for _, sa := range samples {
@@ -218,15 +225,15 @@
 		}
 	}
 
-	return result.New(result.PayloadLost, "step %s: %d samples of the page are made again", lost.Key, len(lost.Samples)).After(time.Second)
+	return result.New(result.PayloadLost, "step %s: the payloads of %d samples of the page are unavailable; lost samples are generated again", lost.Key, len(lost.Samples)).After(time.Second)
 }
 
-// isPayloadLost reports whether no holder will ever answer with the payload: each says
-// that it has none, or cannot be reached.
+// isPayloadLost reports whether no other holder returns the payload: each has none
+// or does not answer within peerCallTimeout.
 func (dr *Driver) isPayloadLost(ctx context.Context, key string, sa step.Sample) bool {
 	for _, h := range sa.Holders {
 		if h == dr.address() {
-			continue // looked at before
+			continue // assemble has checked the local store
 		}
 		cctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 		var rep wire.PayloadReply
@@ -240,7 +247,8 @@
 	return true
 }
 
-// Ack says that the trainer has a page.
+// Ack records that the trainer has received a page. It returns the number of
+// samples that are on no page yet.
 func (dr *Driver) Ack(ctx context.Context, workspace, id string, number uint64) (remaining int, err error) {
 	var rep step.PageReply
 	err = dr.cfg.Group.Propose(ctx, machine.KindAckPage, step.Ack{Key: step.Key(workspace, id), Number: number}, &rep)
--- a/internal/rollout/sample.go
+++ b/internal/rollout/sample.go
@@ -1,6 +1,6 @@
 // Package rollout drives the steps of trainers: it runs an attempt for each
-// sample, races stragglers, keeps payloads with two holders until they are
-// acknowledged, and forms the numbered pages.
+// sample, hedges stragglers, stores each payload on two gateways until it is
+// acknowledged, and assembles the numbered pages.
 package rollout
 
 import (
@@ -12,15 +12,16 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// VersionRange says which tokens of a text a weight version wrote: From
-// inclusive, To exclusive. Overlapping ranges mean either of their versions.
+// VersionRange is a range of tokens, From inclusive and To exclusive, that a weight
+// version generated. Where ranges overlap, either version may have.
 type VersionRange struct {
 	Version string `json:"version"`
 	From    uint32 `json:"from"`
 	To      uint32 `json:"to"`
 }
 
-// AddRange adds the tokens from..to of version, joining it with the last range where it goes on.
+// AddRange appends the range from..to of version to rs, or extends the last range
+// if that has the same version and ends at from.
 func AddRange(rs []VersionRange, version string, from, to uint32) []VersionRange {
 	if n := len(rs); n > 0 && rs[n-1].Version == version && rs[n-1].To == from {
 		rs[n-1].To = to
@@ -31,7 +32,7 @@
 	return append(rs, VersionRange{Version: version, From: from, To: to})
 }
 
-// Attempt is one run of a sample.
+// Attempt is a request to generate the text of one sample.
 type Attempt struct {
 	Workspace   string
 	Model       string
@@ -41,12 +42,12 @@
 	Seed        uint64
 	Retries     int
 	Timeout     time.Duration
-	MinSequence uint64
-	Exclude     []string
+	MinSequence uint64              // oldest eligible weight version
+	Exclude     []string            // backend servers that may not run it
 	Placed      func(server string) // called when the attempt is sent to a backend server
 }
 
-// Written is what an attempt produced.
+// Written is the result of a completed attempt.
 type Written struct {
 	RequestID    string
 	Text         string
@@ -57,7 +58,7 @@
 	Server       string
 }
 
-// record is a sample as the trainer gets it.
+// record is the payload of a sample as the trainer receives it.
 type record struct {
 	ID           string         `json:"id"`
 	Group        string         `json:"group"`
@@ -73,13 +74,15 @@
 	EndedMs      int64          `json:"endedMs"`
 }
 
-// failure takes the place of a text that cannot be made, so that the step stays whole.
+// failure replaces the text of a sample that cannot be generated, so that the step
+// still completes.
 type failure struct {
 	Code    result.Code `json:"code"`
 	Name    string      `json:"name"`
 	Message string      `json:"message"`
 }
 
+// encodeRecord returns the JSON of a record and its digest.
 func encodeRecord(re record) ([]byte, string, error) {
 	b, err := json.Marshal(re)
 	if err != nil {
--- a/internal/rollout/spread.go
+++ b/internal/rollout/spread.go
@@ -11,9 +11,9 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// complete runs an attempt through this gateway or another one in turn. Each
-// gateway shares its part of the slots among the workspaces that ask there: a step
-// that asked at one gateway alone would get its share of that part only.
+// complete runs an attempt through this gateway or another one, round robin. Each
+// gateway divides its part of the slots among the workspaces with requests there: a
+// step that used a single gateway would get a share of that part only.
 func (dr *Driver) complete(ctx context.Context, at Attempt) (*Written, error) {
 	if dr.cfg.NoSpread {
 		return dr.cfg.Complete(ctx, at)
@@ -47,7 +47,7 @@
 		var rep wire.SampleReply
 		err := st.Recv(&rep)
 		if errors.Is(err, io.EOF) {
-			return nil, result.New(result.StreamCut, "gateway %s: no answer", address).With(result.Unknown)
+			return nil, result.New(result.StreamCut, "gateway %s: stream closed without a result", address).With(result.Unknown)
 		}
 		if err != nil {
 			return nil, err
@@ -84,7 +84,7 @@
 		Workspace: rq.GetWorkspace(), Model: rq.GetModel(), Prompt: rq.GetPrompt(), MaxTokens: rq.GetMaxTokens(),
 		Temperature: rq.GetTemperature(), Seed: rq.GetSeed(), Retries: int(rq.GetRetries()), MinSequence: rq.GetMinSequence(),
 		Exclude: rq.GetExclude(), Timeout: time.Until(dl),
-		Placed: func(server string) { _ = st.Send(&wire.SampleReply{Placed: server}) }, // a driver that has gone hears nothing
+		Placed: func(server string) { _ = st.Send(&wire.SampleReply{Placed: server}) }, // the driver may have disconnected
 	})
 	if err != nil {
 		return err
--- a/internal/rollout/steprun.go
+++ b/internal/rollout/steprun.go
@@ -15,46 +15,47 @@
 )
 
 const (
-	ledgerPollPeriod       = 50 * time.Millisecond
-	remoteLedgerPollPeriod = 250 * time.Millisecond
+	ledgerPollPeriod       = 50 * time.Millisecond  // with a replica of the ledger in this process
+	remoteLedgerPollPeriod = 250 * time.Millisecond // without one: each poll is a call to the group
 	commitBatchPeriod      = 5 * time.Millisecond
 	minSampleBackoff       = 50 * time.Millisecond
 	maxSampleBackoff       = time.Second
 	retriesPerAttempt      = 2
 	scoreTimeout           = 5 * time.Second
 	maxScoreAttempts       = 3
-	hedgePendingShare      = 0.1  // of a step's samples that may still run when races start
-	hedgeBudgetShare       = 0.05 // of a step's samples that may be raced
-	hedgeDurationFactor    = 2.0  // times the 90th percentile of the durations so far
-	minHedgeDelay          = 100 * time.Millisecond
-	maxConcurrentAttempts  = 4096
+	hedgePendingShare      = 0.1                    // hedging starts when at most this share of a step's samples is pending
+	hedgeBudgetShare       = 0.05                   // at most this share of a step's samples is hedged
+	hedgeDurationFactor    = 2.0                    // a straggler takes this multiple of the 90th percentile of the durations so far
+	minHedgeDelay          = 100 * time.Millisecond // and at least this long
+	maxConcurrentAttempts  = 4096                   // of one step
 )
 
 // stepRun drives one step.
 type stepRun struct {
 	dr   *Driver
 	st   *step.Step
-	sem  chan struct{}
+	sem  chan struct{} // limits the attempts in flight
 	wins chan pendingWin
 
 	mu           sync.Mutex
-	samples      []sampleRun // by index
-	durations    []time.Duration
+	samples      []sampleRun     // by index
+	durations    []time.Duration // of won samples, from placement to result
 	hedges       int
 	pendingCount int
 }
 
+// sampleRun is the local state of a sample.
 type sampleRun struct {
 	running  int // attempts in flight
 	attempt  uint32
-	placedAt time.Duration
+	placedAt time.Duration // when the attempt was sent to server; 0 before
 	server   string
-	won      bool
+	won      bool // locally: the win may not be committed yet
 	cancel   context.CancelFunc
-	isHedged bool
+	isHedged bool // a second attempt was started
 }
 
-// pendingWin is a whole sample on its way into the ledger.
+// pendingWin is a completed sample that is not committed to the ledger yet.
 type pendingWin struct {
 	win     step.Win
 	payload []byte
@@ -73,7 +74,8 @@
 	return sr
 }
 
-// run launches attempts until the step is delivered, over its deadline or driven elsewhere.
+// run starts attempts until the step is delivered, past its deadline or driven by
+// another gateway.
 func (sr *stepRun) run(ctx context.Context) {
 	left := time.Until(time.UnixMilli(sr.st.DeadlineMs))
 	ctx, cancel := context.WithTimeout(ctx, left)
@@ -107,15 +109,16 @@
 	wg.Wait()
 }
 
+// stepState is the state of a step at the last read of the ledger.
 type stepState uint8
 
 const (
-	stepUnknown stepState = iota
+	stepUnknown stepState = iota // the read failed
 	stepActive
-	stepEnded
+	stepEnded // delivered, or driven by another gateway
 )
 
-// pendingSamples returns the samples that want an attempt, with the lowest attempt that may win.
+// pendingSamples reads the samples that need an attempt from the ledger.
 func (sr *stepRun) pendingSamples(ctx context.Context) ([]pendingSample, stepState) {
 	var out []pendingSample
 	state := stepUnknown
@@ -148,10 +151,10 @@
 	return out, state
 }
 
-// pendingSample is a sample that wants an attempt, and the lowest one that may win.
+// pendingSample is a sample that needs an attempt.
 type pendingSample struct {
 	index   int
-	attempt uint32
+	attempt uint32 // lowest attempt that may win
 }
 
 // launch starts an attempt for each pending sample that has none.
@@ -163,7 +166,7 @@
 	for _, p := range pending {
 		sa := &sr.samples[p.index]
 		if p.attempt > sa.attempt {
-			// The ledger sent the sample back: it was too old, or its payload was lost.
+			// The ledger reset the sample: its weight version was too old, or its payload was lost.
 			sa.won, sa.attempt = false, p.attempt
 		}
 		if sa.won || sa.running > 0 {
@@ -175,7 +178,7 @@
 	}
 }
 
-// startAttempt runs one attempt loop; sr.mu is held.
+// startAttempt calls runSample in a goroutine. The caller holds sr.mu.
 func (sr *stepRun) startAttempt(ctx context.Context, i int, exclude []string, wg *sync.WaitGroup) {
 	sa := &sr.samples[i]
 	sa.running++
@@ -192,7 +195,8 @@
 	}()
 }
 
-// runSample runs a sample until an attempt is whole, the sample is won or the step ends.
+// runSample retries a sample with back-off until an attempt completes or ctx ends,
+// which it does when another attempt has won or the step ends.
 func (sr *stepRun) runSample(ctx context.Context, i int, attempt uint32, exclude []string) {
 	select {
 	case sr.sem <- struct{}{}:
@@ -220,7 +224,7 @@
 	}
 }
 
-// minSequence returns the oldest weight version that a sample may still be written by.
+// minSequence returns the oldest weight version that may generate a sample now.
 func (sr *stepRun) minSequence() uint64 {
 	latest := sr.dr.cfg.Latest(sr.st.Model)
 	low := uint64(1)
@@ -231,6 +235,8 @@
 	return max(low, sr.st.MinVersion)
 }
 
+// runAttempt runs one attempt and submits its result. It returns true if the sample
+// needs no other attempt from this loop.
 func (sr *stepRun) runAttempt(ctx context.Context, i int, attempt uint32, exclude []string) (bool, error) {
 	sa := sr.st.Samples[i]
 	gr := sr.st.Groups[sa.Group]
@@ -256,7 +262,7 @@
 		return false, err
 	}
 	if sequence < sr.minSequence() {
-		return false, result.New(result.NoEligibleVersion, "sample %s: written by version %d, which is too old by now", sa.ID, sequence)
+		return false, result.New(result.NoEligibleVersion, "sample %s: generated by weight version %d, which is too old by now", sa.ID, sequence)
 	}
 	if re.Failure == nil {
 		if re.Score, err = sr.score(ctx, sa.ID, gr.Prompt, wr.Text); err != nil {
@@ -269,7 +275,8 @@
 	return sr.submit(ctx, i, attempt, re, sequence)
 }
 
-// recordPlacement notes where an attempt runs and that its time starts now.
+// recordPlacement records the backend server and the start of an attempt, unless the
+// sample is hedged.
 func (sr *stepRun) recordPlacement(i int, server string) {
 	sr.mu.Lock()
 	defer sr.mu.Unlock()
@@ -279,8 +286,9 @@
 	}
 }
 
-// oldestSequence returns the sequence of the oldest version that wrote a part. Text whose
-// versions are not all known is worth nothing to a trainer.
+// oldestSequence returns the sequence of the oldest weight version that generated a
+// part of the text. A trainer cannot use text of an unknown version, so that is an
+// error.
 func (sr *stepRun) oldestSequence(wr *Written) (uint64, error) {
 	if len(wr.Versions) == 0 {
 		return sr.dr.cfg.Latest(sr.st.Model), nil
@@ -291,7 +299,7 @@
 	for _, vr := range wr.Versions {
 		v, ok := set.FindVersion(sr.st.Model, vr.Version)
 		if !ok {
-			return 0, result.New(result.VersionUnknown, "step %s: %s wrote with version %q, which is not declared", sr.st.ID, wr.Server, vr.Version)
+			return 0, result.New(result.VersionUnknown, "step %s: backend server %s used weight version %q, which is not declared", sr.st.ID, wr.Server, vr.Version)
 		}
 		if low == 0 || v.Sequence < low {
 			low = v.Sequence
@@ -321,7 +329,7 @@
 	return nil, err
 }
 
-// submit hands a whole sample to the commit duty and ends the other attempts.
+// submit queues a completed sample for commitLoop and cancels its other attempts.
 func (sr *stepRun) submit(ctx context.Context, i int, attempt uint32, re record, sequence uint64) (bool, error) {
 	payload, digest, err := encodeRecord(re)
 	if err != nil {
@@ -350,12 +358,13 @@
 	case sr.wins <- w:
 	case <-ctx.Done():
 	}
-	cancel() // after the win is queued: a racing attempt ends
+	cancel() // only after the win is queued, as this cancels ctx too
 
 	return true, nil
 }
 
-// hedge races the last samples of a step that take much longer than the others did.
+// hedge starts a second attempt, on another backend server, for the last samples of
+// a step if they take much longer than the others did.
 func (sr *stepRun) hedge(ctx context.Context, wg *sync.WaitGroup) {
 	if sr.dr.cfg.NoHedging {
 		return
@@ -392,7 +401,7 @@
 	}
 }
 
-// commitLoop gives payloads to a second holder and commits wins, many at once.
+// commitLoop collects wins for commitBatchPeriod and commits them together.
 func (sr *stepRun) commitLoop(ctx context.Context) {
 	for {
 		var batch []pendingWin
@@ -417,6 +426,8 @@
 	}
 }
 
+// commit copies the payloads of a batch to a second holder and commits the wins. It
+// retries until ctx ends.
 func (sr *stepRun) commit(ctx context.Context, batch []pendingWin) {
 	holder := sr.dr.replicatePayloads(ctx, sr.st.Key(), batch)
 	ws := step.Wins{Key: sr.st.Key()}
@@ -437,8 +448,8 @@
 	}
 }
 
-// replicatePayloads gives the payloads of a batch to another gateway, one of another failure
-// domain first, and returns its address, or "" when none takes them.
+// replicatePayloads copies the payloads of a batch to another gateway, preferably in
+// another failure domain. It returns its address, or "" if none accepts them.
 func (dr *Driver) replicatePayloads(ctx context.Context, key string, batch []pendingWin) string {
 	rq := &wire.HoldRequest{Step: key}
 	for _, w := range batch {
--- a/internal/rollout/store.go
+++ b/internal/rollout/store.go
@@ -10,7 +10,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// Methods of calls between gateways.
+// Methods of peer calls between gateways.
 const (
 	methodHold     = "rollout.hold"
 	methodPayloads = "rollout.payloads"
@@ -18,10 +18,10 @@
 	methodRun      = "rollout.run"
 )
 
-// maxStoreBytes bounds the payloads that one gateway holds.
+// maxStoreBytes limits the payloads that one gateway stores.
 const maxStoreBytes = 1 << 30
 
-// store holds payloads by step and digest until the ledger needs them no more.
+// store holds payloads by step and digest until the ledger no longer needs them.
 type store struct {
 	mu    sync.Mutex
 	steps map[string]*stepPayloads
@@ -30,7 +30,7 @@
 
 type stepPayloads struct {
 	byDigest map[string][]byte
-	lastPut  time.Duration // of the last payload
+	lastPut  time.Duration // when the last payload was stored
 }
 
 func newStore() *store { return &store{steps: map[string]*stepPayloads{}} }
@@ -40,7 +40,7 @@
 	defer st.mu.Unlock()
 
 	if st.bytes+len(payload) > maxStoreBytes {
-		return result.New(result.QueueFull, "rollout: payloads of %d bytes are held", st.bytes)
+		return result.New(result.QueueFull, "rollout: payload store is full with %d bytes", st.bytes)
 	}
 	sp, ok := st.steps[step]
 	if !ok {
@@ -68,7 +68,7 @@
 	return sp.byDigest[digest]
 }
 
-// retainOnly drops every payload of a step but those that needed names.
+// retainOnly removes the payloads of a step whose digests are not in needed.
 func (st *store) retainOnly(step string, needed map[string]struct{}) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -88,7 +88,7 @@
 	}
 }
 
-// idleSteps returns the steps that got no payload for d.
+// idleSteps returns the steps that received no payload for d.
 func (st *store) idleSteps(now, d time.Duration) []string {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -103,7 +103,7 @@
 	return out
 }
 
-// Handlers returns the calls that other gateways may make.
+// Handlers returns the handlers of peer calls from other gateways.
 func (dr *Driver) Handlers() peer.Mux {
 	return peer.Mux{methodHold: dr.handleHold, methodPayloads: dr.handlePayloads, methodDriving: dr.handleDriving, methodRun: dr.handleRun}
 }
@@ -141,7 +141,7 @@
 		return err
 	}
 	if !dr.isDriving(rq.GetStep()) {
-		return result.New(result.UnknownStep, "rollout: step %s is not driven here", rq.GetStep())
+		return result.New(result.UnknownStep, "rollout: this gateway does not drive step %s", rq.GetStep())
 	}
 
 	return nil
