--- a/internal/step/step.go
+++ b/internal/step/step.go
@@ -133,8 +133,8 @@
 	steps map[string]*Step
 }
 
-// keepDoneMs is how long a finished step is kept to answer resends.
-const keepDoneMs = 10 * 60 * 1000
+// retentionMs is how long a finished step is kept to answer resends.
+const retentionMs = 10 * 60 * 1000
 
 // NewLedger returns the ledger that holds steps.
 func NewLedger(steps map[string]*Step) *Ledger {
@@ -160,7 +160,7 @@
 
 // Open adds a step. The same step again changes nothing, another one under its name is refused.
 func (le *Ledger) Open(op Open, atMs int64) (*Step, error) {
-	le.dropOld(atMs)
+	le.removeExpired(atMs)
 	if st, ok := le.steps[op.Step.Key()]; ok {
 		if st.Digest != op.Step.Digest {
 			return nil, result.New(result.StepConflict, "step %s: opened before with other content", st.Key())
@@ -182,10 +182,10 @@
 	return &st, nil
 }
 
-func (le *Ledger) dropOld(atMs int64) {
+func (le *Ledger) removeExpired(atMs int64) {
 	for k, st := range le.steps {
 		end := max(st.DoneMs, st.DeadlineMs)
-		if atMs > end+keepDoneMs {
+		if atMs > end+retentionMs {
 			delete(le.steps, k)
 		}
 	}
@@ -237,15 +237,15 @@
 	case fp.Number < n || (fp.Number == n && st.Pages[n-1].Acked):
 		return PageReply{}, result.New(result.StepOver, "step %s: page %d is acknowledged", fp.Key, fp.Number)
 	case fp.Number == n:
-		return st.reply(st.Pages[n-1], 0), nil
+		return st.pageReply(st.Pages[n-1], 0), nil
 	case fp.Number > n+1 || (n > 0 && !st.Pages[n-1].Acked):
 		return PageReply{}, result.New(result.PageFromFuture, "step %s: page %d is wanted, page %d is not acknowledged", fp.Key, fp.Number, n)
 	}
 
-	return st.formNext(fp, latest, atMs)
+	return st.formNextPage(fp, latest, atMs)
 }
 
-func (st *Step) formNext(fp FormPage, latest uint64, atMs int64) (PageReply, error) {
+func (st *Step) formNextPage(fp FormPage, latest uint64, atMs int64) (PageReply, error) {
 	pg := Page{Number: fp.Number}
 	stale, pending := 0, 0
 	for i := range st.Samples {
@@ -267,7 +267,7 @@
 	if len(pg.Samples) > 0 {
 		st.Pages = append(st.Pages, pg)
 
-		return st.reply(pg, stale), nil
+		return st.pageReply(pg, stale), nil
 	}
 
 	rep := PageReply{Stale: stale, Remaining: pending, Driver: st.Driver}
@@ -281,7 +281,7 @@
 	return rep, result.New(result.PageNotReady, "step %s: no sample is ready for page %d", st.Key(), fp.Number)
 }
 
-func (st *Step) reply(pg Page, stale int) PageReply {
+func (st *Step) pageReply(pg Page, stale int) PageReply {
 	rep := PageReply{Number: pg.Number, Stale: stale, Driver: st.Driver}
 	for _, i := range pg.Samples {
 		rep.Samples = append(rep.Samples, st.Samples[i])
@@ -314,7 +314,7 @@
 		}
 	}
 
-	rep := st.reply(Page{Number: ac.Number}, 0)
+	rep := st.pageReply(Page{Number: ac.Number}, 0)
 	if rep.Remaining == 0 && st.DoneMs == 0 {
 		st.DoneMs = atMs
 	}
