--- a/internal/step/step.go
+++ b/internal/step/step.go
@@ -1,6 +1,7 @@
-// Package step holds the ledger of rollouts: which samples a step wants, which
-// attempt of each has won, and which page delivers it. A sample is fixed when the
-// step is opened, has one winner at a time, and stands on one acknowledged page.
+// Package step holds the ledger of rollouts: the samples of each step, the attempt
+// that has won for each sample, and the page that delivers it. The samples are fixed
+// when the step is opened. A sample has one winner at a time and is on at
+// most one acknowledged page.
 package step
 
 import (
@@ -9,134 +10,135 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// State of a sample.
+// State is the state of a sample.
 type State uint8
 
-// States of a sample, in the order they are passed through.
+// The states of a sample in their order. A reset returns it to Pending.
 const (
-	Pending   State = iota // wants an attempt
-	Won                    // an attempt has won and waits for a page
-	Paged                  // stands on a page that is not acknowledged
-	Delivered              // stands on an acknowledged page
+	Pending   State = iota // needs an attempt
+	Won                    // an attempt has won; the sample is on no page yet
+	Paged                  // on a page that is not acknowledged
+	Delivered              // on an acknowledged page
 )
 
-// Group is a prompt with the number of samples wanted of it.
+// Group is a prompt and the number of samples to generate from it.
 type Group struct {
 	ID        string  `cbor:"1,keyasint" json:"id"`
 	Prompt    string  `cbor:"2,keyasint" json:"prompt"`
 	Samples   int     `cbor:"3,keyasint" json:"samples"`
 	MaxTokens int     `cbor:"4,keyasint" json:"maxTokens"`
-	Heat      float64 `cbor:"5,keyasint" json:"temperature"`
+	Heat      float64 `cbor:"5,keyasint" json:"temperature"` // sampling temperature
 }
 
 // Sample is one sample of a step.
 type Sample struct {
 	ID       string   `cbor:"1,keyasint"`
-	Group    int      `cbor:"2,keyasint"`
+	Group    int      `cbor:"2,keyasint"` // index into the groups of the step
 	State    State    `cbor:"3,keyasint"`
 	Attempt  uint32   `cbor:"4,keyasint"` // the lowest attempt that may win
 	Digest   string   `cbor:"5,keyasint"` // SHA-256 of the payload
-	Sequence uint64   `cbor:"6,keyasint"` // of the oldest weight version that wrote it
-	Holders  []string `cbor:"7,keyasint"` // gateways that hold the payload
+	Sequence uint64   `cbor:"6,keyasint"` // of the oldest weight version that generated a part of it
+	Holders  []string `cbor:"7,keyasint"` // peer addresses of the gateways that hold the payload
 }
 
-// Page lists the samples of one delivery.
+// Page lists the samples that are delivered together.
 type Page struct {
 	Number  uint64   `cbor:"1,keyasint"`
-	Samples []int    `cbor:"2,keyasint"`
-	Digests []string `cbor:"3,keyasint"`
+	Samples []int    `cbor:"2,keyasint"` // indexes into the samples of the step
+	Digests []string `cbor:"3,keyasint"` // of the payloads, in the order of Samples
 	Acked   bool     `cbor:"4,keyasint"`
 }
 
-// Step is one step of a trainer.
+// Step is one step of a trainer with its samples and pages.
 type Step struct {
 	ID         string   `cbor:"1,keyasint"`
 	Workspace  string   `cbor:"2,keyasint"`
 	Trainer    string   `cbor:"3,keyasint"`
 	Model      string   `cbor:"4,keyasint"`
 	Digest     string   `cbor:"5,keyasint"` // of the request that opened it
-	Staleness  uint64   `cbor:"6,keyasint"`
-	MinVersion uint64   `cbor:"7,keyasint"`
+	Staleness  uint64   `cbor:"6,keyasint"` // how many weight versions a sample may lag behind the newest
+	MinVersion uint64   `cbor:"7,keyasint"` // lowest eligible weight version
 	DeadlineMs int64    `cbor:"8,keyasint"` // Unix time
 	Groups     []Group  `cbor:"9,keyasint"`
 	Samples    []Sample `cbor:"10,keyasint"`
-	Pages      []Page   `cbor:"11,keyasint"` // the last one may wait for its acknowledgement
+	Pages      []Page   `cbor:"11,keyasint"` // only the last one may be unacknowledged
 	Driver     string   `cbor:"12,keyasint"` // process that runs the attempts
-	OpenedMs   int64    `cbor:"13,keyasint"`
-	DoneMs     int64    `cbor:"14,keyasint"` // 0 while samples are missing
+	OpenedMs   int64    `cbor:"13,keyasint"` // Unix time
+	DoneMs     int64    `cbor:"14,keyasint"` // Unix time; 0 until all samples are delivered
 }
 
-// Key returns the name of the step among those of all workspaces.
+// Key returns the key of the step in the ledger.
 func (st *Step) Key() string { return Key(st.Workspace, st.ID) }
 
-// Key returns the ledger's name of a workspace's step.
+// Key returns the key of a workspace's step in the ledger.
 func Key(workspace, id string) string { return workspace + "/" + id }
 
-// Open opens a step.
+// Open is the command that opens a step.
 type Open struct {
 	Step Step `cbor:"1,keyasint"`
 }
 
-// Win says that an attempt of a sample is whole.
+// Win reports that an attempt of a sample has completed.
 type Win struct {
-	Sample   int      `cbor:"1,keyasint"`
+	Sample   int      `cbor:"1,keyasint"` // index into the samples of the step
 	Attempt  uint32   `cbor:"2,keyasint"`
 	Digest   string   `cbor:"3,keyasint"`
 	Sequence uint64   `cbor:"4,keyasint"`
 	Holders  []string `cbor:"5,keyasint"`
 }
 
-// Wins commits several wins of one step.
+// Wins is the command that commits wins of one step.
 type Wins struct {
 	Key  string `cbor:"1,keyasint"`
 	Wins []Win  `cbor:"2,keyasint"`
 }
 
-// FormPage asks for page Number with at most Max samples.
+// FormPage is the command that forms or returns page Number, with at most Max samples.
 type FormPage struct {
 	Key    string `cbor:"1,keyasint"`
 	Number uint64 `cbor:"2,keyasint"`
 	Max    int    `cbor:"3,keyasint"`
 }
 
-// Ack says that the trainer has the page.
+// Ack is the command that acknowledges a page for the trainer.
 type Ack struct {
 	Key    string `cbor:"1,keyasint"`
 	Number uint64 `cbor:"2,keyasint"`
 }
 
-// Lost says that the payloads of samples are lost with their holders.
+// Lost is the command that resets samples whose payload no holder has any more.
 type Lost struct {
 	Key     string   `cbor:"1,keyasint"`
-	Samples []int    `cbor:"2,keyasint"`
-	Digests []string `cbor:"3,keyasint"` // the payloads that are lost
+	Samples []int    `cbor:"2,keyasint"` // indexes into the samples of the step
+	Digests []string `cbor:"3,keyasint"` // of the lost payloads, in the order of Samples
 }
 
-// Drive makes a process the driver of a step whose driver was From.
+// Drive is the command that changes the driver of a step from From to To.
 type Drive struct {
 	Key  string `cbor:"1,keyasint"`
 	From string `cbor:"2,keyasint"`
 	To   string `cbor:"3,keyasint"`
 }
 
-// PageReply answers FormPage and Ack.
+// PageReply is the reply to FormPage and Ack.
 type PageReply struct {
 	Number    uint64   `cbor:"1,keyasint"`
 	Samples   []Sample `cbor:"2,keyasint"`
-	Remaining int      `cbor:"3,keyasint"` // samples that are on no page yet
-	Stale     int      `cbor:"4,keyasint"` // samples sent back since they were too old
+	Remaining int      `cbor:"3,keyasint"` // number of samples that are on no page yet
+	Stale     int      `cbor:"4,keyasint"` // number of samples reset as their weight version was too old
 	Driver    string   `cbor:"5,keyasint"`
 }
 
-// Ledger holds the steps of a group.
+// Ledger holds the steps of a consensus group.
 type Ledger struct {
 	steps map[string]*Step
 }
 
-// retentionMs is how long a finished step is kept to answer resends.
+// retentionMs is how long a step is retained after its end and its deadline, so that
+// repeated requests get the same reply.
 const retentionMs = 10 * 60 * 1000
 
-// NewLedger returns the ledger that holds steps.
+// NewLedger returns a ledger of the given steps by key. It takes over the map.
 func NewLedger(steps map[string]*Step) *Ledger {
 	if steps == nil {
 		steps = map[string]*Step{}
@@ -152,18 +154,19 @@
 func (le *Ledger) Get(key string) (*Step, error) {
 	st, ok := le.steps[key]
 	if !ok {
-		return nil, result.New(result.UnknownStep, "step %s: not open", key)
+		return nil, result.New(result.UnknownStep, "step %s is not open or has expired", key)
 	}
 
 	return st, nil
 }
 
-// Open adds a step. The same step again changes nothing, another one under its name is refused.
+// Open adds a step. A step that was opened before with the same digest is returned
+// as it is; one with another digest is an error.
 func (le *Ledger) Open(op Open, atMs int64) (*Step, error) {
 	le.removeExpired(atMs)
 	if st, ok := le.steps[op.Step.Key()]; ok {
 		if st.Digest != op.Step.Digest {
-			return nil, result.New(result.StepConflict, "step %s: opened before with other content", st.Key())
+			return nil, result.New(result.StepConflict, "step %s was opened before with other content", st.Key())
 		}
 
 		return st, nil
@@ -182,6 +185,7 @@
 	return &st, nil
 }
 
+// removeExpired removes the steps whose retention has ended.
 func (le *Ledger) removeExpired(atMs int64) {
 	for k, st := range le.steps {
 		end := max(st.DoneMs, st.DeadlineMs)
@@ -191,7 +195,8 @@
 	}
 }
 
-// Wins commits winners. A sample that has one already keeps it; the reply lists those taken.
+// Wins commits wins and returns the indexes of the samples that accepted one. A
+// sample that has a winner keeps it.
 func (le *Ledger) Wins(wi Wins) ([]int, error) {
 	st, err := le.Get(wi.Key)
 	if err != nil {
@@ -201,7 +206,7 @@
 	var taken []int
 	for _, w := range wi.Wins {
 		if w.Sample < 0 || w.Sample >= len(st.Samples) {
-			return nil, result.New(result.SampleNotAccepted, "step %s: no sample %d", wi.Key, w.Sample)
+			return nil, result.New(result.SampleNotAccepted, "step %s has no sample with index %d", wi.Key, w.Sample)
 		}
 
 		sa := &st.Samples[w.Sample]
@@ -216,14 +221,14 @@
 	return taken, nil
 }
 
-// reset makes a sample want a new attempt.
+// reset returns a sample to Pending and requires a new attempt.
 func (sa *Sample) reset() {
 	sa.State, sa.Digest, sa.Holders = Pending, "", nil
 	sa.Attempt++
 }
 
-// FormPage forms page fp.Number, or returns it when it was formed before. The
-// staleness of each sample is judged here, against latest.
+// FormPage forms page fp.Number, or returns it if it was formed before. This is where
+// the staleness of each sample is checked, against latest, the newest weight version.
 func (le *Ledger) FormPage(fp FormPage, latest uint64, atMs int64) (PageReply, error) {
 	st, err := le.Get(fp.Key)
 	if err != nil {
@@ -235,16 +240,17 @@
 	case fp.Number == 0:
 		return PageReply{}, result.New(result.InvalidField, "step %s: pages are numbered from 1", fp.Key)
 	case fp.Number < n || (fp.Number == n && st.Pages[n-1].Acked):
-		return PageReply{}, result.New(result.StepOver, "step %s: page %d is acknowledged", fp.Key, fp.Number)
+		return PageReply{}, result.New(result.StepOver, "step %s: page %d is already acknowledged", fp.Key, fp.Number)
 	case fp.Number == n:
 		return st.pageReply(st.Pages[n-1], 0), nil
 	case fp.Number > n+1 || (n > 0 && !st.Pages[n-1].Acked):
-		return PageReply{}, result.New(result.PageFromFuture, "step %s: page %d is wanted, page %d is not acknowledged", fp.Key, fp.Number, n)
+		return PageReply{}, result.New(result.PageFromFuture, "step %s: page %d cannot be formed yet, the last page formed is %d", fp.Key, fp.Number, n)
 	}
 
 	return st.formNextPage(fp, latest, atMs)
 }
 
+// formNextPage resets samples that are too old and forms a page of the won ones.
 func (st *Step) formNextPage(fp FormPage, latest uint64, atMs int64) (PageReply, error) {
 	pg := Page{Number: fp.Number}
 	stale, pending := 0, 0
@@ -275,7 +281,7 @@
 	case pending == 0:
 		return rep, result.New(result.StepOver, "step %s: all samples are delivered", st.Key())
 	case atMs > st.DeadlineMs:
-		return rep, result.New(result.StepOver, "step %s: its deadline passed with %d samples missing", st.Key(), pending)
+		return rep, result.New(result.StepOver, "step %s: deadline passed with %d samples pending", st.Key(), pending)
 	}
 
 	return rep, result.New(result.PageNotReady, "step %s: no sample is ready for page %d", st.Key(), fp.Number)
@@ -322,9 +328,10 @@
 	return rep, nil
 }
 
-// Lost sends samples back whose payloads no holder has any more. A page that held
-// one of them is formed anew when it is fetched again: a trainer fetches again
-// only what it did not receive whole.
+// Lost resets samples whose payload no holder has any more. It removes an
+// unacknowledged page with one of them, which is formed again when it is next
+// requested. That is safe, as a trainer requests a page again only if it did not
+// receive it completely.
 func (le *Ledger) Lost(lo Lost) error {
 	st, err := le.Get(lo.Key)
 	if err != nil {
@@ -334,7 +341,7 @@
 	paged := false
 	for n, i := range lo.Samples {
 		if i < 0 || i >= len(st.Samples) || n >= len(lo.Digests) {
-			return result.New(result.SampleNotAccepted, "step %s: no sample %d", lo.Key, i)
+			return result.New(result.SampleNotAccepted, "step %s has no sample with index %d", lo.Key, i)
 		}
 		sa := &st.Samples[i]
 		if sa.Digest != lo.Digests[n] || (sa.State != Won && sa.State != Paged) {
@@ -355,7 +362,7 @@
 	return nil
 }
 
-// Drive changes the driver of a step.
+// Drive changes the driver of a step if it is still dr.From, and returns the step.
 func (le *Ledger) Drive(dr Drive) (*Step, error) {
 	st, err := le.Get(dr.Key)
 	if err != nil {
