--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// keepTallies is how many windows a tally keeps: late counts of older ones are
+// retainedTallyWindows is how many windows a tally keeps: late counts of older ones are
 // not taken any more.
-const keepTallies = 6
+const retainedTallyWindows = 6
 
 // Tally counts requests of one process, by workspace and window. It is safe for
 // concurrent use.
@@ -16,9 +16,9 @@
 	incarnation uint64
 	window      time.Duration
 
-	mu     sync.Mutex
-	counts map[tallyKey]uint64
-	sent   map[tallyKey]uint64
+	mu        sync.Mutex
+	counts    map[tallyKey]uint64
+	confirmed map[tallyKey]uint64
 }
 
 type tallyKey struct {
@@ -29,7 +29,7 @@
 // NewTally returns a tally of the process agent; incarnation tells its starts apart.
 func NewTally(agent string, incarnation uint64, window time.Duration) *Tally {
 	return &Tally{
-		agent: agent, incarnation: incarnation, window: window, counts: map[tallyKey]uint64{}, sent: map[tallyKey]uint64{},
+		agent: agent, incarnation: incarnation, window: window, counts: map[tallyKey]uint64{}, confirmed: map[tallyKey]uint64{},
 	}
 }
 
@@ -48,7 +48,7 @@
 
 	var out []Counter
 	for k, n := range ta.counts {
-		if n > ta.sent[k] {
+		if n > ta.confirmed[k] {
 			out = append(out, Counter{
 				Agent: ta.agent, Incarnation: ta.incarnation, Workspace: k.workspace, Window: k.window, Figures: Figures{Requests: n},
 			})
@@ -66,13 +66,13 @@
 	newest := uint64(0)
 	for _, co := range counters {
 		k := tallyKey{co.Window, co.Workspace}
-		ta.sent[k] = max(ta.sent[k], co.Figures.Requests)
+		ta.confirmed[k] = max(ta.confirmed[k], co.Figures.Requests)
 		newest = max(newest, co.Window)
 	}
 	for k := range ta.counts {
-		if k.window+keepTallies < newest && ta.sent[k] == ta.counts[k] {
+		if k.window+retainedTallyWindows < newest && ta.confirmed[k] == ta.counts[k] {
 			delete(ta.counts, k)
-			delete(ta.sent, k)
+			delete(ta.confirmed, k)
 		}
 	}
 }
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -69,13 +69,13 @@
 	Lines  []Line `json:"lines"`
 }
 
-// keepWindows is the number of reported windows whose counters are kept to recognise late ones.
-const keepWindows = 48
+// retainedWindows is the number of reported windows whose counters are kept to recognise late ones.
+const retainedWindows = 48
 
 // Book holds the windows of a group.
 type Book struct {
-	windows map[uint64]*Window
-	closed  uint64 // every window up to here is closed
+	windows    map[uint64]*Window
+	lastClosed uint64 // every window up to here is closed
 }
 
 // Image is a Book in a snapshot.
@@ -90,11 +90,11 @@
 		im.Windows = map[uint64]*Window{}
 	}
 
-	return &Book{windows: im.Windows, closed: im.Closed}
+	return &Book{windows: im.Windows, lastClosed: im.Closed}
 }
 
 // Image returns the book's content for a snapshot.
-func (bo *Book) Image() Image { return Image{Windows: bo.windows, Closed: bo.closed} }
+func (bo *Book) Image() Image { return Image{Windows: bo.windows, Closed: bo.lastClosed} }
 
 func (bo *Book) window(n uint64) *Window {
 	wi, ok := bo.windows[n]
@@ -127,14 +127,14 @@
 func (bo *Book) Fold(fo Fold) int {
 	tooOld := 0
 	for _, co := range fo.Counters {
-		if bo.closed > keepWindows && co.Window < bo.closed-keepWindows {
+		if bo.lastClosed > retainedWindows && co.Window < bo.lastClosed-retainedWindows {
 			tooOld++
 
 			continue
 		}
 
 		wi := bo.window(co.Window)
-		k := foldKey(co)
+		k := counterKey(co)
 		old := wi.Folded[k]
 		if co.Figures.Requests < old.Requests || co.Figures.Tokens < old.Tokens {
 			continue // an older counter arrived late
@@ -144,8 +144,8 @@
 			continue
 		}
 		wi.Folded[k] = co.Figures
-		if wi.IsClosed || co.Window <= bo.closed {
-			li := bo.window(bo.closed + 1).line(co.Workspace)
+		if wi.IsClosed || co.Window <= bo.lastClosed {
+			li := bo.window(bo.lastClosed + 1).line(co.Workspace)
 			li.Adjustment.add(grown)
 
 			continue
@@ -157,7 +157,7 @@
 	return tooOld
 }
 
-func foldKey(co Counter) string {
+func counterKey(co Counter) string {
 	b := make([]byte, 0, len(co.Agent)+len(co.Workspace)+24)
 	b = append(b, co.Agent...)
 	b = append(b, '/')
@@ -171,12 +171,12 @@
 
 // Close closes every window up to cl.Window.
 func (bo *Book) Close(cl Close) {
-	if cl.Window <= bo.closed {
+	if cl.Window <= bo.lastClosed {
 		return
 	}
 
-	first := bo.closed + 1
-	if bo.closed == 0 {
+	first := bo.lastClosed + 1
+	if bo.lastClosed == 0 {
 		first = cl.Window
 		for n := range bo.windows {
 			first = min(first, n)
@@ -187,17 +187,17 @@
 			wi.IsClosed = true
 		}
 	}
-	bo.closed = cl.Window
+	bo.lastClosed = cl.Window
 	// Adjustments wait in the window after the closed one.
 	for n, wi := range bo.windows {
-		if wi.IsSent && bo.closed > keepWindows && n < bo.closed-keepWindows {
+		if wi.IsSent && bo.lastClosed > retainedWindows && n < bo.lastClosed-retainedWindows {
 			delete(bo.windows, n)
 		}
 	}
 }
 
 // Closed returns the number of the last closed window.
-func (bo *Book) Closed() uint64 { return bo.closed }
+func (bo *Book) Closed() uint64 { return bo.lastClosed }
 
 // Unreported returns the closed windows that are not reported, oldest first.
 func (bo *Book) Unreported() []uint64 {
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -69,14 +69,14 @@
 		for seed := range uint64(100) {
 			rnd := rand.New(rand.NewPCG(seed, 2))
 			bo := usage.NewBook(usage.Image{})
-			truth := map[[2]uint64]uint64{} // agent and window
+			counted := map[[2]uint64]uint64{} // agent and window
 			window, sum := uint64(10), uint64(0)
 			for range 400 {
 				k := [2]uint64{rnd.Uint64N(4), window - rnd.Uint64N(3)}
-				truth[k] += rnd.Uint64N(50)
-				fold(bo, counter(string(rune('a'+k[0])), k[1], truth[k]))
+				counted[k] += rnd.Uint64N(50)
+				fold(bo, counter(string(rune('a'+k[0])), k[1], counted[k]))
 				if rnd.IntN(3) == 0 {
-					fold(bo, counter(string(rune('a'+k[0])), k[1], rnd.Uint64N(truth[k]+1))) // an old one again
+					fold(bo, counter(string(rune('a'+k[0])), k[1], rnd.Uint64N(counted[k]+1))) // an old one again
 				}
 				if rnd.IntN(20) == 0 {
 					window++
@@ -89,7 +89,7 @@
 				sum += f + adj
 			}
 			want := uint64(0)
-			for _, v := range truth {
+			for _, v := range counted {
 				want += v
 			}
 			Expect(sum).To(Equal(want), "seed %d", seed)
