--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// retainedTallyWindows is how many windows a tally keeps: late counts of older ones are
-// not taken any more.
+// retainedTallyWindows is the number of windows that a tally retains behind the
+// newest confirmed one. Requests that are counted later for an older window may be
+// lost, as their count restarts at 1.
 const retainedTallyWindows = 6
 
-// Tally counts requests of one process, by workspace and window. It is safe for
+// Tally counts the requests of one process by workspace and window. It is safe for
 // concurrent use.
 type Tally struct {
 	agent       string
@@ -18,22 +19,23 @@
 
 	mu        sync.Mutex
 	counts    map[tallyKey]uint64
-	confirmed map[tallyKey]uint64
+	confirmed map[tallyKey]uint64 // highest counts that are recorded in the book
 }
 
 type tallyKey struct {
-	window    uint64
+	window    uint64 // number
 	workspace string
 }
 
-// NewTally returns a tally of the process agent; incarnation tells its starts apart.
+// NewTally returns a tally of the process named agent. Each start of the process has
+// its own incarnation; window is the length of a window.
 func NewTally(agent string, incarnation uint64, window time.Duration) *Tally {
 	return &Tally{
 		agent: agent, incarnation: incarnation, window: window, counts: map[tallyKey]uint64{}, confirmed: map[tallyKey]uint64{},
 	}
 }
 
-// Count notes a request that began to run at a time.
+// Count counts a request in the window in which it began to run.
 func (ta *Tally) Count(workspace string, at time.Time) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -41,7 +43,7 @@
 	ta.counts[tallyKey{uint64(at.UnixMilli() / ta.window.Milliseconds()), workspace}]++
 }
 
-// Pending returns the counters that have grown since they were last confirmed.
+// Pending returns the counters that have increased since they were last confirmed.
 func (ta *Tally) Pending() []Counter {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -58,7 +60,7 @@
 	return out
 }
 
-// Confirm notes that counters are recorded.
+// Confirm marks counters as recorded and removes those of old windows.
 func (ta *Tally) Confirm(counters []Counter) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -1,7 +1,7 @@
-// Package usage counts what each workspace used, in windows. Agents send
-// cumulative counters, so that a counter sent twice changes nothing; a closed
-// window's figures never change, and what comes late stands in the next one as an
-// adjustment.
+// Package usage counts the usage of each workspace in windows of time. Agents send
+// cumulative counters, so that a counter sent twice changes nothing. The figures of a
+// closed window never change: usage that arrives late is added to the next open
+// window as an adjustment.
 package usage
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// Figures are the amounts of one workspace.
+// Figures are amounts of usage.
 type Figures struct {
 	Requests uint64 `cbor:"1,keyasint" json:"requests"`
 	Tokens   uint64 `cbor:"2,keyasint" json:"tokens"`
@@ -30,61 +30,64 @@
 	Figures     Figures `cbor:"5,keyasint"`
 }
 
-// Fold adds counters.
+// Fold is the command that adds counters to the book.
 type Fold struct {
 	Counters []Counter `cbor:"1,keyasint"`
 }
 
-// Close fixes the figures of a window. The caller holds the lease under Fencing.
+// Close is the command that closes all windows up to Window. Fencing is the fencing
+// number of the lease under which the caller closes them.
 type Close struct {
 	Window  uint64 `cbor:"1,keyasint"`
 	Fencing uint64 `cbor:"2,keyasint"`
 }
 
-// Reported says that the report of a window was taken.
+// Reported is the command that marks a window as reported to the platform.
 type Reported struct {
 	Window  uint64 `cbor:"1,keyasint"`
 	Fencing uint64 `cbor:"2,keyasint"`
 }
 
-// Line is the report of one workspace in one window.
+// Line is the usage of one workspace in one window.
 type Line struct {
 	Workspace  string  `cbor:"1,keyasint" json:"workspace"`
 	Figures    Figures `cbor:"2,keyasint" json:"figures"`
-	Adjustment Figures `cbor:"3,keyasint" json:"adjustment"` // of earlier windows, came late
+	Adjustment Figures `cbor:"3,keyasint" json:"adjustment"` // late usage of earlier windows
 }
 
-// Window is one window of usage.
+// Window is the usage in one window of time.
 type Window struct {
 	Number   uint64             `cbor:"1,keyasint"`
-	Folded   map[string]Figures `cbor:"2,keyasint"` // last counter by agent, incarnation and workspace
-	Lines    map[string]*Line   `cbor:"3,keyasint"`
+	Folded   map[string]Figures `cbor:"2,keyasint"` // last counters, by counterKey
+	Lines    map[string]*Line   `cbor:"3,keyasint"` // by workspace
 	IsClosed bool               `cbor:"4,keyasint"`
-	IsSent   bool               `cbor:"5,keyasint"`
+	IsSent   bool               `cbor:"5,keyasint"` // the report was delivered to the platform
 }
 
-// Report is what is sent to the platform, once a window, always the same bytes.
+// Report is the report of one window to the platform. It is encoded to the same
+// bytes each time it is sent.
 type Report struct {
 	Window uint64 `json:"window"`
 	Lines  []Line `json:"lines"`
 }
 
-// retainedWindows is the number of reported windows whose counters are kept to recognise late ones.
+// retainedWindows is the number of reported windows whose counters are retained, so
+// that only the increase of a late counter is added.
 const retainedWindows = 48
 
-// Book holds the windows of a group.
+// Book holds the usage windows of a consensus group.
 type Book struct {
 	windows    map[uint64]*Window
-	lastClosed uint64 // every window up to here is closed
+	lastClosed uint64 // number of the last closed window; all before it are closed too
 }
 
-// Image is a Book in a snapshot.
+// Image is the snapshot form of a Book.
 type Image struct {
 	Windows map[uint64]*Window `cbor:"1,keyasint"`
 	Closed  uint64             `cbor:"2,keyasint"`
 }
 
-// NewBook returns the book of an image.
+// NewBook returns the book with the content of an image.
 func NewBook(im Image) *Book {
 	if im.Windows == nil {
 		im.Windows = map[uint64]*Window{}
@@ -96,6 +99,7 @@
 // Image returns the book's content for a snapshot.
 func (bo *Book) Image() Image { return Image{Windows: bo.windows, Closed: bo.lastClosed} }
 
+// window returns window n and adds it if it is missing.
 func (bo *Book) window(n uint64) *Window {
 	wi, ok := bo.windows[n]
 	if !ok {
@@ -112,6 +116,7 @@
 	return wi
 }
 
+// line returns the line of a workspace and adds it if it is missing.
 func (wi *Window) line(workspace string) *Line {
 	li, ok := wi.Lines[workspace]
 	if !ok {
@@ -122,8 +127,8 @@
 	return li
 }
 
-// Fold adds what each counter has grown by since it was last folded. It returns
-// the number of counters of windows that are not kept any more.
+// Fold adds the increase of each counter since it was last added. It returns the
+// number of counters rejected because their window is no longer retained.
 func (bo *Book) Fold(fo Fold) int {
 	tooOld := 0
 	for _, co := range fo.Counters {
@@ -145,6 +150,7 @@
 		}
 		wi.Folded[k] = co.Figures
 		if wi.IsClosed || co.Window <= bo.lastClosed {
+			// Late usage is adjusted in the first open window.
 			li := bo.window(bo.lastClosed + 1).line(co.Workspace)
 			li.Adjustment.add(grown)
 
@@ -157,6 +163,7 @@
 	return tooOld
 }
 
+// counterKey returns agent/incarnation/workspace, with the incarnation in hex.
 func counterKey(co Counter) string {
 	b := make([]byte, 0, len(co.Agent)+len(co.Workspace)+24)
 	b = append(b, co.Agent...)
@@ -169,7 +176,8 @@
 	return string(append(b, co.Workspace...))
 }
 
-// Close closes every window up to cl.Window.
+// Close closes every window up to cl.Window and removes reported windows that are
+// past their retention.
 func (bo *Book) Close(cl Close) {
 	if cl.Window <= bo.lastClosed {
 		return
@@ -188,7 +196,6 @@
 		}
 	}
 	bo.lastClosed = cl.Window
-	// Adjustments wait in the window after the closed one.
 	for n, wi := range bo.windows {
 		if wi.IsSent && bo.lastClosed > retainedWindows && n < bo.lastClosed-retainedWindows {
 			delete(bo.windows, n)
@@ -199,7 +206,8 @@
 // Closed returns the number of the last closed window.
 func (bo *Book) Closed() uint64 { return bo.lastClosed }
 
-// Unreported returns the closed windows that are not reported, oldest first.
+// Unreported returns the numbers of the closed windows that are not reported yet,
+// oldest first.
 func (bo *Book) Unreported() []uint64 {
 	var out []uint64
 	for n, wi := range bo.windows {
@@ -212,7 +220,7 @@
 	return out
 }
 
-// Report returns the figures of a closed window in a fixed order.
+// Report returns the report of a closed window, sorted by workspace.
 func (bo *Book) Report(n uint64) (Report, error) {
 	wi, ok := bo.windows[n]
 	if !ok || !wi.IsClosed {
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -27,8 +27,8 @@
 	return figures, adjustment
 }
 
-var _ = Describe("a book of usage", func() {
-	It("counts a counter once, however often and late it is sent", func() {
+var _ = Describe("the usage book", func() {
+	It("adds a counter only once if it is sent repeatedly or out of order", func() {
 		bo := usage.NewBook(usage.Image{})
 		fold(bo, counter("a", 5, 100), counter("a", 5, 100), counter("a", 5, 40), counter("b", 5, 10), counter("a", 5, 130))
 		bo.Close(usage.Close{Window: 5})
@@ -36,7 +36,7 @@
 		Expect(f).To(Equal(uint64(140)))
 	})
 
-	It("never changes a closed window, and puts what is late into the next one", func() {
+	It("adds late usage to the next window and leaves the closed window unchanged", func() {
 		bo := usage.NewBook(usage.Image{})
 		fold(bo, counter("a", 5, 100))
 		bo.Close(usage.Close{Window: 5})
@@ -53,7 +53,7 @@
 		Expect([]uint64{f, adj}).To(Equal([]uint64{7, 60}))
 	})
 
-	It("lists closed windows until they are reported, also over a snapshot", func() {
+	It("lists closed windows until they are reported, also after a snapshot", func() {
 		bo := usage.NewBook(usage.Image{})
 		fold(bo, counter("a", 5, 1), counter("a", 6, 1), counter("a", 7, 1))
 		bo.Close(usage.Close{Window: 6})
@@ -65,18 +65,18 @@
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("adds up to what the agents counted, over any order of counters and closings", func() {
+	It("reports the total that the agents counted, for any order of counters and closed windows", func() {
 		for seed := range uint64(100) {
 			rnd := rand.New(rand.NewPCG(seed, 2))
 			bo := usage.NewBook(usage.Image{})
-			counted := map[[2]uint64]uint64{} // agent and window
+			counted := map[[2]uint64]uint64{} // by agent and window
 			window, sum := uint64(10), uint64(0)
 			for range 400 {
 				k := [2]uint64{rnd.Uint64N(4), window - rnd.Uint64N(3)}
 				counted[k] += rnd.Uint64N(50)
 				fold(bo, counter(string(rune('a'+k[0])), k[1], counted[k]))
 				if rnd.IntN(3) == 0 {
-					fold(bo, counter(string(rune('a'+k[0])), k[1], rnd.Uint64N(counted[k]+1))) // an old one again
+					fold(bo, counter(string(rune('a'+k[0])), k[1], rnd.Uint64N(counted[k]+1))) // a repeated older counter
 				}
 				if rnd.IntN(20) == 0 {
 					window++
