--- a/internal/machine/machine.go
+++ b/internal/machine/machine.go
@@ -39,8 +39,8 @@
 	Quarantine map[string]quarantine.Entry `cbor:"3,keyasint,omitempty"`
 }
 
-// maxDeltas is the number of changes that a subscriber may lag behind before it takes everything anew.
-const maxDeltas = 4096
+// maxRetainedDeltas is the number of changes that a subscriber may lag behind before it takes everything anew.
+const maxRetainedDeltas = 4096
 
 // Machine is the state of a group after the entries applied so far. It is not
 // safe for concurrent use.
@@ -277,11 +277,11 @@
 	}),
 	KindFoldUsage:   handle(func(ma *Machine, c usage.Fold) (any, error) { return ma.usage.Fold(c), nil }),
 	KindCloseWindow: handle((*Machine).closeWindow),
-	KindReported:    handle((*Machine).reported),
-	KindCrash:       handle((*Machine).crash),
+	KindReported:    handle((*Machine).markReported),
+	KindCrash:       handle((*Machine).recordCrash),
 	KindCleared: handle(func(ma *Machine, c quarantine.Cleared) (any, error) {
 		ma.quarantine.Cleared(c)
-		ma.noteQuarantine([]string{c.Fingerprint})
+		ma.appendQuarantineDelta([]string{c.Fingerprint})
 
 		return nil, nil
 	}),
@@ -289,7 +289,7 @@
 		if !ma.quarantine.Release(c) {
 			return nil, result.New(result.UnknownObject, "quarantine: no fingerprint %s", c.Fingerprint)
 		}
-		ma.noteQuarantine([]string{c.Fingerprint})
+		ma.appendQuarantineDelta([]string{c.Fingerprint})
 
 		return nil, nil
 	}),
@@ -334,7 +334,7 @@
 	before := ma.book.Version()
 	an := ma.book.Apply(pa, ma.atMs)
 	if ma.book.Version() != before {
-		ma.note(Delta{Change: &ma.book.History(1)[0]})
+		ma.appendDelta(Delta{Change: &ma.book.History(1)[0]})
 	}
 
 	return an, an.Err()
@@ -379,7 +379,7 @@
 	return nil, nil
 }
 
-func (ma *Machine) reported(re usage.Reported) (any, error) {
+func (ma *Machine) markReported(re usage.Reported) (any, error) {
 	if err := ma.leases.Check(UsageLease, re.Fencing); err != nil {
 		return nil, err
 	}
@@ -387,26 +387,26 @@
 	return nil, ma.usage.Reported(re)
 }
 
-func (ma *Machine) crash(cr quarantine.Crash) (any, error) {
+func (ma *Machine) recordCrash(cr quarantine.Crash) (any, error) {
 	ma.quarantine.Crash(cr, ma.atMs)
-	ma.noteQuarantine(cr.Fingerprints)
+	ma.appendQuarantineDelta(cr.Fingerprints)
 
 	return nil, nil
 }
 
-func (ma *Machine) noteQuarantine(fingerprints []string) {
+func (ma *Machine) appendQuarantineDelta(fingerprints []string) {
 	d := Delta{Quarantine: map[string]quarantine.Entry{}}
 	for _, fp := range fingerprints {
 		d.Quarantine[fp] = ma.quarantine.Entries()[fp]
 	}
-	ma.note(d)
+	ma.appendDelta(d)
 }
 
-func (ma *Machine) note(d Delta) {
+func (ma *Machine) appendDelta(d Delta) {
 	d.Revision = ma.applied
 	ma.revision = ma.applied
 	ma.deltas = append(ma.deltas, d)
-	if n := len(ma.deltas); n > maxDeltas {
+	if n := len(ma.deltas); n > maxRetainedDeltas {
 		ma.deltasAfter = ma.deltas[0].Revision
 		ma.deltas = ma.deltas[1:]
 	}
