--- a/internal/machine/command.go
+++ b/internal/machine/command.go
@@ -8,11 +8,11 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// Kind tells which command an entry of the log holds.
+// Kind is the type of a command in the log.
 type Kind uint8
 
-// Kinds of commands. Each is idempotent by a name of its own domain, so that a
-// command may be proposed again after a lost answer.
+// Kinds of commands. Each command is idempotent through a key of its own domain, so
+// that it may be proposed again after a lost reply.
 const (
 	KindPatch Kind = iota + 1
 	KindAcquireLease
@@ -48,9 +48,10 @@
 	KindNoteProgress
 )
 
+// commandHeaderBytes is the size of a command's kind (1 byte) and time (8 bytes).
 const commandHeaderBytes = 9
 
-// Encode returns the command of a kind. The leader stamps its time.
+// Encode returns an encoded command. Its time is 0 until the leader calls Stamp.
 func Encode(kind Kind, body any) ([]byte, error) {
 	b, err := cbor.Marshal(body)
 	if err != nil {
@@ -63,14 +64,14 @@
 	return append(out, b...), nil
 }
 
-// Stamp sets the time of a command, Unix milliseconds.
+// Stamp sets the time of an encoded command in Unix milliseconds.
 func Stamp(command []byte, atMs int64) {
 	if len(command) >= commandHeaderBytes {
 		binary.LittleEndian.PutUint64(command[1:], uint64(atMs))
 	}
 }
 
-// reply is the answer to a command as it travels.
+// reply is the encoded form of the reply to a command.
 type reply struct {
 	Code       result.Code      `cbor:"1,keyasint,omitempty"`
 	Message    string           `cbor:"2,keyasint,omitempty"`
@@ -100,15 +101,16 @@
 	return b
 }
 
-// DecodeReply fills out with the answer to a command and returns its error.
+// DecodeReply decodes the reply to a command. It stores the body in out and returns
+// the error that the reply holds.
 func DecodeReply(b []byte, out any) error {
 	var re reply
 	if err := cbor.Unmarshal(b, &re); err != nil {
-		return result.New(result.Internal, "machine: reply: %v", err)
+		return result.New(result.Internal, "machine: decode reply: %v", err)
 	}
 	if out != nil && len(re.Body) > 0 {
 		if err := cbor.Unmarshal(re.Body, out); err != nil {
-			return result.New(result.Internal, "machine: reply: %v", err)
+			return result.New(result.Internal, "machine: decode body of reply: %v", err)
 		}
 	}
 	if re.Code == 0 {
--- a/internal/machine/machine.go
+++ b/internal/machine/machine.go
@@ -1,6 +1,6 @@
-// Package machine is the replicated state machine of a group. It applies the
-// commands of the log to the books of each noun and never reads a clock: time
-// enters as a field of the command.
+// Package machine is the replicated state machine of a consensus group. It applies
+// the commands of the log to the state of each domain (configuration, leases, orders,
+// steps and so on). It never reads a clock: the time is a field of the command.
 package machine
 
 import (
@@ -24,7 +24,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/weights"
 )
 
-// Register tells where a replica can be reached.
+// Register is the address of a replica, and the command that records it.
 type Register struct {
 	Replica       consensus.ReplicaID `cbor:"1,keyasint" json:"replica"`
 	Name          string              `cbor:"2,keyasint" json:"name"`
@@ -32,21 +32,23 @@
 	FailureDomain string              `cbor:"4,keyasint" json:"failureDomain"`
 }
 
-// Delta is one change that subscribers follow. Revision is its position in the log.
+// Delta is one change of the state that subscribers follow: the configuration and
+// the quarantine. Revision is its position in the log.
 type Delta struct {
 	Revision   uint64                      `cbor:"1,keyasint"`
 	Change     *declaration.Change         `cbor:"2,keyasint,omitempty"`
 	Quarantine map[string]quarantine.Entry `cbor:"3,keyasint,omitempty"`
 }
 
-// maxRetainedDeltas is the number of changes that a subscriber may lag behind before it takes everything anew.
+// maxRetainedDeltas is the number of changes that a subscriber may lag behind before
+// it needs the full state.
 const maxRetainedDeltas = 4096
 
-// Machine is the state of a group after the entries applied so far. It is not
+// Machine is the state of a group after the log entries applied so far. It is not
 // safe for concurrent use.
 type Machine struct {
-	applied    uint64
-	atMs       int64
+	applied    uint64 // position of the last entry applied
+	atMs       int64  // latest time of a command, Unix milliseconds
 	book       *declaration.Book
 	leases     *lease.Table
 	orders     *order.Log
@@ -61,11 +63,11 @@
 	jobs       *job.Ledger
 
 	deltas      []Delta
-	deltasAfter uint64 // every change after this position is in deltas
-	revision    uint64
+	deltasAfter uint64 // position after which deltas holds every change
+	revision    uint64 // position of the last change that subscribers follow
 }
 
-// New returns the state before the first entry.
+// New returns the state before the first log entry.
 func New() *Machine {
 	ma, err := restore(image{})
 	if err != nil {
@@ -75,7 +77,7 @@
 	return ma
 }
 
-// image is a Machine in a snapshot.
+// image is the snapshot form of a Machine.
 type image struct {
 	Applied    uint64                           `cbor:"1,keyasint"`
 	AtMs       int64                            `cbor:"2,keyasint"`
@@ -94,7 +96,7 @@
 	Jobs       map[string]*job.Job              `cbor:"15,keyasint"`
 }
 
-// Snapshot returns the whole state.
+// Snapshot returns the encoded state.
 func (ma *Machine) Snapshot() ([]byte, error) {
 	encode, err := ma.Freeze()
 	if err != nil {
@@ -104,9 +106,9 @@
 	return encode()
 }
 
-// Freeze returns what encodes the whole state as it is now. The encoding may run
-// beside further commands: the ledger of jobs, which alone grows large, is frozen,
-// and the rest is encoded at once.
+// Freeze returns a function that encodes the current state and may run concurrently
+// with further commands. Only the ledger of jobs grows large: Freeze takes a snapshot
+// of it and encodes the rest immediately.
 func (ma *Machine) Freeze() (encode func() ([]byte, error), err error) {
 	bo, err := ma.book.Image()
 	if err != nil {
@@ -130,20 +132,20 @@
 	return func() ([]byte, error) {
 		var im image
 		if err := cbor.Unmarshal(rest, &im); err != nil {
-			return nil, result.New(result.Internal, "machine: snapshot: %v", err)
+			return nil, result.New(result.Internal, "machine: decode state while encoding a snapshot: %v", err)
 		}
 		im.Jobs = jobs
 
-		// In one piece: a buffer that grows would take twice the memory.
+		// Allocated at full size, as a growing buffer would take twice the memory.
 		return codec.Append(make([]byte, 0, len(rest)+job.EncodedBytes(jobs)), im)
 	}, nil
 }
 
-// Restore returns the state of a snapshot.
+// Restore returns the state that a snapshot holds.
 func Restore(data []byte) (*Machine, error) {
 	var im image
 	if err := cbor.Unmarshal(data, &im); err != nil {
-		return nil, result.New(result.DataFolderDamaged, "machine: snapshot: %v", err)
+		return nil, result.New(result.DataFolderDamaged, "machine: decode snapshot: %v", err)
 	}
 
 	return restore(im)
@@ -180,28 +182,28 @@
 // Leases returns the leases.
 func (ma *Machine) Leases() *lease.Table { return ma.leases }
 
-// Orders returns the intents of orders.
+// Orders returns the log of intents to order backend servers.
 func (ma *Machine) Orders() *order.Log { return ma.orders }
 
-// Steps returns the ledger of rollouts.
+// Steps returns the ledger of the trainers' steps.
 func (ma *Machine) Steps() *step.Ledger { return ma.steps }
 
 // Calls returns the ledger of calls that may not be repeated.
 func (ma *Machine) Calls() *call.Ledger { return ma.calls }
 
-// Usage returns the windows of usage.
+// Usage returns the book of usage windows.
 func (ma *Machine) Usage() *usage.Book { return ma.usage }
 
-// Quarantine returns the fingerprints under quarantine.
+// Quarantine returns the fingerprints of suspect and refused requests.
 func (ma *Machine) Quarantine() *quarantine.Book { return ma.quarantine }
 
-// Replicas returns where the replicas can be reached.
+// Replicas returns the registered addresses of replicas.
 func (ma *Machine) Replicas() map[consensus.ReplicaID]Register { return ma.replicas }
 
-// Routing returns the configuration of requests that are routed by host and path.
+// Routing returns the routing configuration by host and path.
 func (ma *Machine) Routing() *routing.Book { return ma.routing }
 
-// Versions returns the weight versions that trainers have named.
+// Versions returns the newest weight version named for each model.
 func (ma *Machine) Versions() *weights.Names { return ma.versions }
 
 // Roster returns the VMs that store batch jobs.
@@ -210,14 +212,14 @@
 // Jobs returns the ledger of batch jobs.
 func (ma *Machine) Jobs() *job.Ledger { return ma.jobs }
 
-// Skip notes an entry that holds no command.
+// Skip records an entry without a command as applied.
 func (ma *Machine) Skip(index uint64) { ma.applied = index }
 
 // Apply applies the command at index and returns its encoded reply.
 func (ma *Machine) Apply(index uint64, command []byte) []byte {
 	ma.applied = index
 	if len(command) < commandHeaderBytes {
-		return encodeReply(nil, result.New(result.Internal, "machine: command of %d bytes", len(command)))
+		return encodeReply(nil, result.New(result.Internal, "machine: command of %d bytes is shorter than its header", len(command)))
 	}
 
 	ma.atMs = max(ma.atMs, int64(binary.LittleEndian.Uint64(command[1:])))
@@ -229,12 +231,12 @@
 	return encodeReply(h(ma, command[commandHeaderBytes:]))
 }
 
-// handle decodes the body of a command and applies it.
+// handle returns a handler that decodes the body of a command and applies it.
 func handle[T any](apply func(ma *Machine, body T) (any, error)) func(ma *Machine, raw []byte) (any, error) {
 	return func(ma *Machine, raw []byte) (any, error) {
 		var body T
 		if err := cbor.Unmarshal(raw, &body); err != nil {
-			return nil, result.New(result.Internal, "machine: command: %v", err)
+			return nil, result.New(result.Internal, "machine: decode body of command: %v", err)
 		}
 
 		return apply(ma, body)
@@ -287,7 +289,7 @@
 	}),
 	KindRelease: handle(func(ma *Machine, c quarantine.Release) (any, error) {
 		if !ma.quarantine.Release(c) {
-			return nil, result.New(result.UnknownObject, "quarantine: no fingerprint %s", c.Fingerprint)
+			return nil, result.New(result.UnknownObject, "quarantine: unknown fingerprint %s", c.Fingerprint)
 		}
 		ma.appendQuarantineDelta([]string{c.Fingerprint})
 
@@ -367,7 +369,8 @@
 	return ma.steps.FormPage(fp, latest.Sequence, ma.atMs)
 }
 
-// UsageLease is the lease of the process that closes and reports windows.
+// UsageLease is the name of the lease of the process that closes and reports usage
+// windows.
 const UsageLease = "usage"
 
 func (ma *Machine) closeWindow(cl usage.Close) (any, error) {
@@ -394,6 +397,7 @@
 	return nil, nil
 }
 
+// appendQuarantineDelta adds the current quarantine entries of fingerprints as a change.
 func (ma *Machine) appendQuarantineDelta(fingerprints []string) {
 	d := Delta{Quarantine: map[string]quarantine.Entry{}}
 	for _, fp := range fingerprints {
@@ -402,6 +406,8 @@
 	ma.appendDelta(d)
 }
 
+// appendDelta adds a change at the last entry applied and removes the oldest one over
+// the limit.
 func (ma *Machine) appendDelta(d Delta) {
 	d.Revision = ma.applied
 	ma.revision = ma.applied
@@ -412,7 +418,8 @@
 	}
 }
 
-// Since returns the changes after a position, and false if they are not all held.
+// Since returns the changes after a position, and false if some of them are no
+// longer retained.
 func (ma *Machine) Since(revision uint64) ([]Delta, bool) {
 	if revision < ma.deltasAfter && ma.revision > revision {
 		return nil, false
@@ -426,7 +433,7 @@
 	return ma.deltas[n:], true
 }
 
-// Full is everything that subscribers follow.
+// Full is the complete state that subscribers follow.
 type Full struct {
 	Revision   uint64                      `cbor:"1,keyasint"`
 	Version    uint64                      `cbor:"2,keyasint"`
@@ -434,7 +441,7 @@
 	Quarantine map[string]quarantine.Entry `cbor:"4,keyasint"`
 }
 
-// Full returns everything that subscribers follow.
+// Full returns the complete state that subscribers follow.
 func (ma *Machine) Full() (Full, error) {
 	ops, err := ma.book.Set().Ops()
 
--- a/internal/machine/machine_test.go
+++ b/internal/machine/machine_test.go
@@ -17,7 +17,7 @@
 
 func TestSuite(t *testing.T) { suite.Run(t, "machine") }
 
-var _ = ginkgo.Describe("the state of controllers and stores", func() {
+var _ = ginkgo.Describe("the state machine of controllers and stores", func() {
 	apply := func(ma *machine.Machine, index uint64, kind machine.Kind, body any) error {
 		b, err := machine.Encode(kind, body)
 		Expect(err).NotTo(HaveOccurred())
@@ -38,7 +38,7 @@
 		{machine.KindListResults, job.List{Job: "j", Results: []job.Result{{Item: 1, State: job.Completed, Text: "t", Versions: []uint64{3}}}}},
 	}
 
-	ginkgo.It("is the same after a snapshot, and goes on from it", func() {
+	ginkgo.It("is equal after a snapshot and applies further commands alike", func() {
 		ma := machine.New()
 		for i, c := range commands {
 			Expect(apply(ma, uint64(i+1), c.kind, c.body)).To(Succeed())
@@ -63,10 +63,10 @@
 		}
 		Expect(re.Jobs().Jobs()).To(Equal(ma.Jobs().Jobs()))
 		Expect(re.Jobs().Jobs()["j"].Results).To(HaveLen(2))
-		Expect(re.Routing().Config().Services).To(HaveLen(1), "a version that is held is not replaced")
+		Expect(re.Routing().Config().Services).To(HaveLen(1), "a configuration of the same version is not replaced")
 	})
 
-	ginkgo.It("refuses what its nouns refuse", func() {
+	ginkgo.It("returns an error for a command on an unknown job or VM", func() {
 		ma := machine.New()
 		for _, c := range []struct {
 			kind machine.Kind
