--- a/internal/quantile/quantile.go
+++ b/internal/quantile/quantile.go
@@ -1,4 +1,4 @@
-// Package quantile reads quantiles off lists of durations.
+// Package quantile computes quantiles of durations.
 package quantile
 
 import (
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Of sorts ds and returns its quantile p, 0 to 1, or 0 for an empty list.
+// Of sorts ds in place and returns its quantile p, from 0 to 1. It returns 0 if ds is
+// empty.
 func Of(ds []time.Duration, p float64) time.Duration {
 	if len(ds) == 0 {
 		return 0
@@ -16,5 +17,5 @@
 	return ds[min(len(ds)-1, int(p*float64(len(ds))))]
 }
 
-// Ms returns the quantile in milliseconds.
+// Ms returns the quantile of Of in milliseconds.
 func Ms(ds []time.Duration, p float64) float64 { return Of(ds, p).Seconds() * 1000 }
--- a/internal/scorer/scorer.go
+++ b/internal/scorer/scorer.go
@@ -1,5 +1,5 @@
-// Package scorer is the adapter of the services that score samples.
-// docs/interfaces/scorer.md states the protocol.
+// Package scorer is the HTTP client of the services that score samples.
+// docs/interfaces/scorer.md describes the protocol.
 package scorer
 
 import (
@@ -9,13 +9,14 @@
 	"github.com/tamarackbay/tamarackbay/internal/httpcall"
 )
 
-// Client talks to one scorer.
+// Client is a client of one scorer.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// New returns a client of the scorer at an IP number with a port.
+// New returns a client of the scorer at address, an IP number with a port, that dials
+// from the IP number bind.
 func New(address, bind string) *Client {
 	return &Client{base: "http://" + address, http: httpcall.NewClient(bind, true)}
 }
