--- a/internal/rollout/page.go
+++ b/internal/rollout/page.go
@@ -58,7 +58,7 @@
 
 // shouldPropose reports whether the page should be requested from the group,
 // judging by the local replica of the ledger; without one it always is. A page is
-// formed when it is full, when no more samples are pending than have won, when more
+// proposed when it would be full, when no more samples are pending than have won, when more
 // than a quarter of the step's samples have won, or after the deadline.
 func (dr *Driver) shouldPropose(fp step.FormPage) bool {
 	propose := true
--- a/internal/rollout/steprun.go
+++ b/internal/rollout/steprun.go
@@ -24,7 +24,7 @@
 	scoreTimeout           = 5 * time.Second
 	maxScoreAttempts       = 3
 	hedgePendingShare      = 0.1                    // hedging starts when at most this share of a step's samples is pending
-	hedgeBudgetShare       = 0.05                   // at most this share of a step's samples is hedged
+	hedgeBudgetShare       = 0.05                   // at most this share of a step's samples is hedged, or two
 	hedgeDurationFactor    = 2.0                    // a straggler takes this multiple of the 90th percentile of the durations so far
 	minHedgeDelay          = 100 * time.Millisecond // and at least this long
 	maxConcurrentAttempts  = 4096                   // of one step
@@ -40,14 +40,14 @@
 	mu           sync.Mutex
 	samples      []sampleRun     // by index
 	durations    []time.Duration // of won samples, from placement to result
-	hedges       int
+	hedges       int             // samples hedged so far
 	pendingCount int
 }
 
 // sampleRun is the local state of a sample.
 type sampleRun struct {
-	running  int // attempts in flight
-	attempt  uint32
+	running  int           // attempts in flight
+	attempt  uint32        // lowest attempt that may win
 	placedAt time.Duration // when the attempt was sent to server; 0 before
 	server   string
 	won      bool // locally: the win may not be committed yet
