--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -5,35 +5,37 @@
 	"time"
 )
 
-// keepTallies is how many windows a tally keeps: late counts of older ones are
-// not taken any more.
-const keepTallies = 6
+// retainedTallyWindows is the number of windows that a tally retains behind the
+// newest confirmed one. Requests that are counted later for an older window may be
+// lost, as their count restarts at 1.
+const retainedTallyWindows = 6
 
-// Tally counts requests of one process, by workspace and window. It is safe for
+// Tally counts the requests of one process by workspace and window. It is safe for
 // concurrent use.
 type Tally struct {
 	agent       string
 	incarnation uint64
 	window      time.Duration
 
-	mu     sync.Mutex
-	counts map[tallyKey]uint64
-	sent   map[tallyKey]uint64
+	mu        sync.Mutex
+	counts    map[tallyKey]uint64
+	confirmed map[tallyKey]uint64 // highest counts that are recorded in the book
 }
 
 type tallyKey struct {
-	window    uint64
+	window    uint64 // number
 	workspace string
 }
 
-// NewTally returns a tally of the process agent; incarnation tells its starts apart.
+// NewTally returns a tally of the process named agent. Each start of the process has
+// its own incarnation; window is the length of a window.
 func NewTally(agent string, incarnation uint64, window time.Duration) *Tally {
 	return &Tally{
-		agent: agent, incarnation: incarnation, window: window, counts: map[tallyKey]uint64{}, sent: map[tallyKey]uint64{},
+		agent: agent, incarnation: incarnation, window: window, counts: map[tallyKey]uint64{}, confirmed: map[tallyKey]uint64{},
 	}
 }
 
-// Count notes a request that began to run at a time.
+// Count counts a request in the window in which it began to run.
 func (ta *Tally) Count(workspace string, at time.Time) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -41,14 +43,14 @@
 	ta.counts[tallyKey{uint64(at.UnixMilli() / ta.window.Milliseconds()), workspace}]++
 }
 
-// Pending returns the counters that have grown since they were last confirmed.
+// Pending returns the counters that have increased since they were last confirmed.
 func (ta *Tally) Pending() []Counter {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 
 	var out []Counter
 	for k, n := range ta.counts {
-		if n > ta.sent[k] {
+		if n > ta.confirmed[k] {
 			out = append(out, Counter{
 				Agent: ta.agent, Incarnation: ta.incarnation, Workspace: k.workspace, Window: k.window, Figures: Figures{Requests: n},
 			})
@@ -58,7 +60,7 @@
 	return out
 }
 
-// Confirm notes that counters are recorded.
+// Confirm marks counters as recorded and removes those of old windows.
 func (ta *Tally) Confirm(counters []Counter) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -66,13 +68,13 @@
 	newest := uint64(0)
 	for _, co := range counters {
 		k := tallyKey{co.Window, co.Workspace}
-		ta.sent[k] = max(ta.sent[k], co.Figures.Requests)
+		ta.confirmed[k] = max(ta.confirmed[k], co.Figures.Requests)
 		newest = max(newest, co.Window)
 	}
 	for k := range ta.counts {
-		if k.window+keepTallies < newest && ta.sent[k] == ta.counts[k] {
+		if k.window+retainedTallyWindows < newest && ta.confirmed[k] == ta.counts[k] {
 			delete(ta.counts, k)
-			delete(ta.sent, k)
+			delete(ta.confirmed, k)
 		}
 	}
 }
