--- a/internal/gateway/caller.go
+++ b/internal/gateway/caller.go
@@ -69,7 +69,7 @@
 
 	ar := &activeRequest{keyID: ca.KeyID, cancel: cancel}
 	ga.mu.Lock()
-	ga.active[ar] = struct{}{}
+	ga.activeRequests[ar] = struct{}{}
 	ga.mu.Unlock()
 	// The key may have been withdrawn between its check and the line above.
 	if err := ga.checkKey(ca.KeyID); err != nil {
@@ -78,20 +78,20 @@
 
 	return ctx, func() {
 		ga.mu.Lock()
-		delete(ga.active, ar)
+		delete(ga.activeRequests, ar)
 		ga.mu.Unlock()
 		cancel(nil)
 	}
 }
 
-// cutWithdrawn ends the requests whose key does not hold any more.
-func (ga *Gateway) cutWithdrawn() {
+// cancelRevoked ends the requests whose key does not hold any more.
+func (ga *Gateway) cancelRevoked() {
 	stale := ga.group.Fresh()
 	verdicts := map[string]error{}
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 
-	for ar := range ga.active {
+	for ar := range ga.activeRequests {
 		err, ok := verdicts[ar.keyID]
 		if !ok {
 			err = stale
@@ -107,8 +107,8 @@
 	}
 }
 
-// causeOf returns the numbered error that ended ctx, or nil.
-func causeOf(ctx context.Context) *result.Error {
+// cancelCause returns the numbered error that ended ctx, or nil.
+func cancelCause(ctx context.Context) *result.Error {
 	if ctx.Err() == nil {
 		return nil
 	}
@@ -120,8 +120,8 @@
 	return er
 }
 
-// enter takes a request into the limits of its workspace.
-func (ga *Gateway) enter(workspace string, gateways int) (func(), error) {
+// admit takes a request into the limits of its workspace.
+func (ga *Gateway) admit(workspace string, gateways int) (func(), error) {
 	wo, ok := ga.group.View().Set.Workspaces[workspace]
 	if !ok {
 		return nil, result.New(result.UnknownObject, "workspace %s does not exist", workspace)
--- a/internal/gateway/complete.go
+++ b/internal/gateway/complete.go
@@ -56,7 +56,7 @@
 // Complete runs a completion; onPart is called for each part as it comes.
 func (ga *Gateway) Complete(ctx context.Context, co Completion, onPart func(requestID string, part *wire.RunChunk) error) (*Written, error) {
 	po := ga.poolOf(co.Model)
-	leave, err := ga.enter(co.Workspace, po.Gateways())
+	leave, err := ga.admit(co.Workspace, po.Gateways())
 	if err != nil {
 		return nil, err
 	}
@@ -84,20 +84,20 @@
 	}, nil
 }
 
-// promptBytesPerCost is the length of a prompt that counts as one token to be generated.
-const promptBytesPerCost = 64
+// promptBytesPerCostUnit is the length of a prompt that counts as one token to be generated.
+const promptBytesPerCostUnit = 64
 
-// run is one completion on its way through attempts.
-type run struct {
+// completionRun is one completion on its way through attempts.
+type completionRun struct {
 	placement
 	co     Completion
 	onPart func(requestID string, part *wire.RunChunk) error
 
-	text    strings.Builder
-	written Written
-	before  Written  // what earlier attempts delivered
-	mixed   []string // versions that may have written any part of this attempt
-	assumed bool     // the engine did not say the versions of this attempt's parts
+	text            strings.Builder
+	output          Written
+	beforeAttempt   Written  // what earlier attempts delivered
+	mixedVersions   []string // versions that may have written any part of this attempt
+	versionsAssumed bool     // the engine did not say the versions of this attempt's parts
 }
 
 // unknownVersion stands for parts whose version nobody can tell any more.
@@ -107,13 +107,13 @@
 	ctx, cancel, deadline := ga.deadline(ctx, co.Timeout)
 	defer cancel()
 
-	rn := &run{co: co, onPart: onPart, placement: placement{
+	rn := &completionRun{co: co, onPart: onPart, placement: placement{
 		ga: ga, po: po, id: ga.newRequestID(), workspace: co.Workspace, class: co.Class,
-		cost: float64(co.MaxTokens) + float64(len(co.Prompt))/promptBytesPerCost, deadline: deadline,
+		cost: float64(co.MaxTokens) + float64(len(co.Prompt))/promptBytesPerCostUnit, deadline: deadline,
 		minSequence: co.MinSequence, newestFirst: co.IsSample, prefix: xxhash.Sum64String(co.Prompt), exclude: co.Exclude,
 		fingerprint: fingerprint(co.Model, co.Prompt, fmt.Sprint(co.MaxTokens)),
 	}}
-	rn.written.RequestID = rn.id
+	rn.output.RequestID = rn.id
 	key := co.Route + "/" + co.Workspace
 	ga.mu.Lock()
 	ga.budget.First(key)
@@ -122,30 +122,30 @@
 	for n := 1; ; n++ {
 		err := rn.attempt(ctx, uint32(n))
 		if err == nil {
-			rn.written.Attempts, rn.written.Text = n, rn.text.String()
+			rn.output.Attempts, rn.output.Text = n, rn.text.String()
 
-			return &rn.written, nil
+			return &rn.output, nil
 		}
-		if de := ga.decide(ctx, retry.Attempt{
+		if de := ga.awaitRetry(ctx, retry.Attempt{
 			Key: key, Number: n, MaxRetries: co.Retries, IsRepeatable: true, Err: result.From(err), Now: ga.now(), Deadline: deadline,
 		}); !de.Retry {
-			return nil, rn.settle(de.Err)
+			return nil, rn.markRan(de.Err)
 		}
 	}
 }
 
-// settle says of a request with delivered parts that it ran.
-func (rn *run) settle(er *result.Error) *result.Error {
-	if rn.written.Tokens > 0 {
+// markRan says of a request with delivered parts that it ran.
+func (rn *completionRun) markRan(er *result.Error) *result.Error {
+	if rn.output.Tokens > 0 {
 		return er.With(result.Ran)
 	}
 
 	return er
 }
 
-// decide asks the budget about a failed attempt and waits for the delay.
-func (ga *Gateway) decide(ctx context.Context, at retry.Attempt) retry.Decision {
-	if er := causeOf(ctx); er != nil {
+// awaitRetry asks the budget about a failed attempt and waits for the delay.
+func (ga *Gateway) awaitRetry(ctx context.Context, at retry.Attempt) retry.Decision {
+	if er := cancelCause(ctx); er != nil {
 		return retry.Decision{Err: er.With(at.Err.Execution)}
 	}
 
@@ -176,8 +176,8 @@
 	return hex.EncodeToString(h.Sum(nil)[:12])
 }
 
-// quarantine refuses fingerprints that crashed backend servers twice, and marks suspects.
-func (ga *Gateway) quarantine(fp string, suspect *bool) error {
+// checkQuarantine refuses fingerprints that crashed backend servers twice, and marks suspects.
+func (ga *Gateway) checkQuarantine(fp string, suspect *bool) error {
 	en, ok := ga.group.View().Quarantine[fp]
 	if !ok {
 		return nil
@@ -195,7 +195,7 @@
 
 // attempt runs one attempt on one backend server, going on from the tokens that
 // earlier attempts delivered.
-func (rn *run) attempt(ctx context.Context, n uint32) error {
+func (rn *completionRun) attempt(ctx context.Context, n uint32) error {
 	gr, done, err := rn.place(ctx)
 	if err != nil {
 		return err
@@ -203,35 +203,35 @@
 	defer done()
 
 	err = rn.stream(ctx, gr, n)
-	if err != nil && rn.assumed {
-		rn.dropAssumed()
+	if err != nil && rn.versionsAssumed {
+		rn.discardAssumed()
 	}
-	rn.finish(gr, err)
+	rn.release(gr, err)
 
 	return err
 }
 
-// dropAssumed handles the parts of a failed attempt whose versions were assumed:
+// discardAssumed handles the parts of a failed attempt whose versions were assumed:
 // they are made again, or marked where the caller has them already.
-func (rn *run) dropAssumed() {
+func (rn *completionRun) discardAssumed() {
 	if rn.onPart != nil {
-		rn.written.Versions = append(rn.before.Versions, rollout.VersionRange{
-			Version: unknownVersion, From: rn.before.Tokens, To: rn.written.Tokens,
+		rn.output.Versions = append(rn.beforeAttempt.Versions, rollout.VersionRange{
+			Version: unknownVersion, From: rn.beforeAttempt.Tokens, To: rn.output.Tokens,
 		})
 
 		return
 	}
 
-	rn.written = rn.before
+	rn.output = rn.beforeAttempt
 	rn.text.Reset()
-	rn.text.WriteString(rn.before.Text)
+	rn.text.WriteString(rn.beforeAttempt.Text)
 }
 
 // stream sends the attempt to the agent and takes the parts.
-func (rn *run) stream(ctx context.Context, gr *pool.Grant, n uint32) error {
+func (rn *completionRun) stream(ctx context.Context, gr *pool.Grant, n uint32) error {
 	st, err := gr.Server().Session().Open(ctx, agent.MethodRun, &wire.RunRequest{
 		RequestId: rn.id, Attempt: n, Workspace: rn.co.Workspace, Model: rn.co.Model, Prompt: rn.co.Prompt,
-		MaxTokens: rn.co.MaxTokens - min(rn.written.Tokens, rn.co.MaxTokens-1), Temperature: rn.co.Temperature, Seed: rn.co.Seed,
+		MaxTokens: rn.co.MaxTokens - min(rn.output.Tokens, rn.co.MaxTokens-1), Temperature: rn.co.Temperature, Seed: rn.co.Seed,
 		Priority: uint32(declaration.ClassRank(rn.co.Class)), ResumeText: rn.text.String(),
 		Sample: rn.co.IsSample, Fingerprint: rn.fingerprint, Suspect: rn.suspect, CacheKey: rn.prefix,
 	})
@@ -242,45 +242,45 @@
 	defer stop()
 	defer st.Close()
 
-	rn.written.Server, rn.mixed, rn.assumed = gr.Server().Name(), nil, false
-	rn.before = rn.written
-	rn.before.Text, rn.before.Versions = rn.text.String(), slices.Clone(rn.written.Versions)
+	rn.output.Server, rn.mixedVersions, rn.versionsAssumed = gr.Server().Name(), nil, false
+	rn.beforeAttempt = rn.output
+	rn.beforeAttempt.Text, rn.beforeAttempt.Versions = rn.text.String(), slices.Clone(rn.output.Versions)
 	if rn.co.Placed != nil {
-		rn.co.Placed(rn.written.Server)
+		rn.co.Placed(rn.output.Server)
 	}
 	for {
 		var part wire.RunChunk
 		err := st.Recv(&part)
 		if errors.Is(err, io.EOF) {
-			if rn.written.Finish == "" {
+			if rn.output.Finish == "" {
 				return result.New(result.BackendAnswerBroken, "the answer has no end").With(result.Ran)
 			}
-			for _, v := range rn.mixed {
-				rn.written.Versions = append(rn.written.Versions, rollout.VersionRange{Version: v, From: rn.before.Tokens, To: rn.written.Tokens})
+			for _, v := range rn.mixedVersions {
+				rn.output.Versions = append(rn.output.Versions, rollout.VersionRange{Version: v, From: rn.beforeAttempt.Tokens, To: rn.output.Tokens})
 			}
 
 			return nil
 		}
 		if err != nil {
-			return received(ctx, err)
+			return receiveError(ctx, err)
 		}
-		if err := rn.take(&part); err != nil {
+		if err := rn.addChunk(&part); err != nil {
 			return err
 		}
 	}
 }
 
-func (rn *run) take(part *wire.RunChunk) error {
-	wr := &rn.written
+func (rn *completionRun) addChunk(part *wire.RunChunk) error {
+	wr := &rn.output
 	switch {
 	case part.GetMixed():
-		rn.mixed = append(rn.mixed, part.GetVersion())
+		rn.mixedVersions = append(rn.mixedVersions, part.GetVersion())
 
 		return nil
 	case part.GetTokens() > 0:
 		wr.Versions = rollout.AddRange(wr.Versions, part.GetVersion(), wr.Tokens, wr.Tokens+part.GetTokens())
 	}
-	rn.assumed = rn.assumed || part.GetAssumed()
+	rn.versionsAssumed = rn.versionsAssumed || part.GetAssumed()
 	rn.text.WriteString(part.GetText())
 	wr.Tokens += part.GetTokens()
 	wr.PromptTokens = max(wr.PromptTokens, part.GetPromptTokens())
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -18,40 +18,40 @@
 )
 
 const (
-	fleetPeriod   = 500 * time.Millisecond
-	drainLimit    = 60 * time.Second
-	startPatience = 4 // times the start-up time after which an ordered backend server counts as lost
+	fleetPeriod          = 500 * time.Millisecond
+	drainTimeout         = 60 * time.Second
+	startupTimeoutFactor = 4 // times the start-up time after which an ordered backend server counts as lost
 )
 
 // fleetDuty orders backend servers from the platform.
 type fleetDuty struct {
-	ga       *Gateway
-	planners map[string]*fleet.Planner
-	fencing  uint64
-	orders   uint64
-	nextAt   time.Duration
-	seen     map[string]time.Duration // since when the platform lists a server
-	draining map[string]time.Duration // since when a server drains
+	ga            *Gateway
+	planners      map[string]*fleet.Planner
+	fencing       uint64
+	orderCount    uint64
+	nextRunAt     time.Duration
+	lastSeen      map[string]time.Duration // since when the platform lists a server
+	drainingSince map[string]time.Duration // since when a server drains
 }
 
 func newFleetDuty(ga *Gateway) *fleetDuty { return &fleetDuty{ga: ga} }
 
-func (fd *fleetDuty) work(ctx context.Context, held hold) {
+func (fd *fleetDuty) run(ctx context.Context, held leaseCheck) {
 	fencing, ok := held()
-	if !ok || fd.ga.ordering == nil || fd.ga.now() < fd.nextAt {
+	if !ok || fd.ga.ordering == nil || fd.ga.now() < fd.nextRunAt {
 		return
 	}
-	fd.nextAt = fd.ga.now() + fleetPeriod
+	fd.nextRunAt = fd.ga.now() + fleetPeriod
 	if fencing != fd.fencing {
 		fd.fencing = fencing
 		fd.planners = map[string]*fleet.Planner{}
-		fd.seen, fd.draining = map[string]time.Duration{}, map[string]time.Duration{}
+		fd.lastSeen, fd.drainingSince = map[string]time.Duration{}, map[string]time.Duration{}
 	}
-	if !fd.settleOpen(ctx, held) {
+	if !fd.resendUnsettled(ctx, held) {
 		return // what an earlier order did is not known yet: nothing is ordered on top of it
 	}
 
-	cctx, cancel := context.WithTimeout(ctx, fd.ga.terms().MaxCall)
+	cctx, cancel := context.WithTimeout(ctx, fd.ga.leaseTerms().MaxCall)
 	billed, err := fd.ga.ordering.Servers(cctx)
 	cancel()
 	if err != nil {
@@ -61,17 +61,17 @@
 	}
 	set := fd.ga.group.View().Set
 	for class, bounds := range set.Fleet {
-		fd.size(ctx, held, class, set.Classes[class], bounds, billed)
+		fd.resizeClass(ctx, held, class, set.Classes[class], bounds, billed)
 	}
 }
 
-// settleOpen sends open intents again under their own IDs until the platform has
+// resendUnsettled sends open intents again under their own IDs until the platform has
 // answered each. It returns false when one stays open.
-func (fd *fleetDuty) settleOpen(ctx context.Context, held hold) bool {
+func (fd *fleetDuty) resendUnsettled(ctx context.Context, held leaseCheck) bool {
 	var open []order.Intent
 	fd.ga.group.Read(func(ma *machine.Machine) { open = ma.Orders().Unsettled() })
 	for _, in := range open {
-		if in.Lease == agent.LeaseFleet && fd.send(ctx, held, in) != nil {
+		if in.Lease == agent.LeaseFleet && fd.sendOrder(ctx, held, in) != nil {
 			return false
 		}
 	}
@@ -79,22 +79,22 @@
 	return true
 }
 
-// send gives an order whose intent is committed and settles it.
-func (fd *fleetDuty) send(ctx context.Context, held hold, in order.Intent) error {
+// sendOrder gives an order whose intent is committed and settles it.
+func (fd *fleetDuty) sendOrder(ctx context.Context, held leaseCheck, in order.Intent) error {
 	f, ok := held()
 	if !ok || f != fd.fencing {
-		return lost(agent.LeaseFleet)
+		return leaseLost(agent.LeaseFleet)
 	}
 
 	action := ordering.ActionStart
 	if in.Kind == order.KindStop {
 		action = ordering.ActionStop
 	}
-	cctx, cancel := context.WithTimeout(ctx, fd.ga.terms().MaxCall)
+	cctx, cancel := context.WithTimeout(ctx, fd.ga.leaseTerms().MaxCall)
 	defer cancel()
 	an, err := fd.ga.ordering.Send(cctx, ordering.Order{
 		ID: in.ID, Action: action, Class: in.Class, FailureDomain: in.FailureDomain, Server: in.Server,
-		Fencing: fd.fencing, Giver: fd.ga.holder(),
+		Fencing: fd.fencing, Giver: fd.ga.leaseHolder(),
 	})
 	if err != nil {
 		fd.ga.cfg.Meter.Count("ordering.failed")
@@ -107,19 +107,19 @@
 	}, nil)
 }
 
-// order commits an intent and gives the order.
-func (fd *fleetDuty) order(ctx context.Context, held hold, in order.Intent) {
-	fd.orders++
-	in.ID = fmt.Sprintf("f%d-%d", fd.fencing, fd.orders)
+// placeOrder commits an intent and gives the placeOrder.
+func (fd *fleetDuty) placeOrder(ctx context.Context, held leaseCheck, in order.Intent) {
+	fd.orderCount++
+	in.ID = fmt.Sprintf("f%d-%d", fd.fencing, fd.orderCount)
 	in.Lease, in.Fencing = agent.LeaseFleet, fd.fencing
 	if err := fd.ga.group.Propose(ctx, machine.KindOpenIntent, order.Open{Intent: in}, nil); err != nil {
 		return // committed or not, settleOpen finds out
 	}
 	fd.ga.cfg.Meter.Count("orders." + in.Kind)
-	_ = fd.send(ctx, held, in) // settleOpen sends it again
+	_ = fd.sendOrder(ctx, held, in) // settleOpen sends it again
 }
 
-func (fd *fleetDuty) size(ctx context.Context, held hold, class string, cl declaration.Class, bounds declaration.Fleet, billed []ordering.Server) {
+func (fd *fleetDuty) resizeClass(ctx context.Context, held leaseCheck, class string, cl declaration.Class, bounds declaration.Fleet, billed []ordering.Server) {
 	infos := map[string]pool.Info{}
 	po := fd.ga.poolOf(cl.Serves())
 	for _, in := range po.Infos() {
@@ -134,7 +134,7 @@
 			continue
 		}
 		info, isSeen := infos[b.Name]
-		_, drains := fd.draining[b.Name]
+		_, drains := fd.drainingSince[b.Name]
 		in.Servers = append(in.Servers, fleet.Server{
 			Name: b.Name, FailureDomain: b.FailureDomain, IsReady: isSeen && info.State == pool.StateReady,
 			IsDraining: drains, Running: info.Running,
@@ -146,9 +146,9 @@
 		fd.planners[class] = fleet.NewPlanner()
 	}
 	de := fd.planners[class].Next(in)
-	fd.ga.explainFleet(class, de.Why)
+	fd.ga.setFleetReason(class, de.Why)
 	for _, d := range de.Start {
-		fd.order(ctx, held, order.Intent{Kind: order.KindStart, Class: class, FailureDomain: d})
+		fd.placeOrder(ctx, held, order.Intent{Kind: order.KindStart, Class: class, FailureDomain: d})
 	}
 	for _, name := range de.Stop {
 		fd.drain(ctx, held, po, name)
@@ -160,7 +160,7 @@
 	own := fd.ga.poolOf(serves).Demand()
 	running, waiting = own.Running, own.Waiting
 	for _, a := range fd.ga.group.Others("") {
-		cctx, cancel := context.WithTimeout(ctx, fd.ga.terms().MaxCall)
+		cctx, cancel := context.WithTimeout(ctx, fd.ga.leaseTerms().MaxCall)
 		var rep wire.Load
 		if err := fd.ga.group.Call(cctx, a, methodDemand, &wire.QueryRequest{Kind: serves}, &rep); err == nil {
 			running += int(rep.GetRunning())
@@ -173,10 +173,10 @@
 }
 
 // drain stops new work for a backend server; it is given back once it is idle.
-func (fd *fleetDuty) drain(ctx context.Context, held hold, po *pool.Pool, name string) {
+func (fd *fleetDuty) drain(ctx context.Context, held leaseCheck, po *pool.Pool, name string) {
 	se, ok := po.Find(name)
 	if !ok {
-		fd.draining[name] = fd.ga.now()
+		fd.drainingSince[name] = fd.ga.now()
 
 		return
 	}
@@ -185,53 +185,53 @@
 		return
 	}
 
-	cctx, cancel := context.WithTimeout(ctx, fd.ga.terms().MaxCall)
+	cctx, cancel := context.WithTimeout(ctx, fd.ga.leaseTerms().MaxCall)
 	defer cancel()
 	err := se.Session().Call(cctx, agent.MethodOrder, &wire.Order{
-		OrderId: fmt.Sprintf("d%d-%s", fencing, name), Kind: agent.KindDrain, Fencing: fencing, Giver: fd.ga.holder(),
+		OrderId: fmt.Sprintf("d%d-%s", fencing, name), Kind: agent.KindDrain, Fencing: fencing, Giver: fd.ga.leaseHolder(),
 	}, &wire.OrderReply{})
 	if err == nil {
 		po.Drain(name)
-		fd.draining[name] = fd.ga.now()
+		fd.drainingSince[name] = fd.ga.now()
 	}
 }
 
 // retire gives back a backend server that has drained or was never seen, and
 // reports whether it is on its way out.
-func (fd *fleetDuty) retire(ctx context.Context, held hold, b ordering.Server, infos map[string]pool.Info, cl declaration.Class) bool {
+func (fd *fleetDuty) retire(ctx context.Context, held leaseCheck, b ordering.Server, infos map[string]pool.Info, cl declaration.Class) bool {
 	now := fd.ga.now()
 	info, isSeen := infos[b.Name]
-	if _, ok := fd.seen[b.Name]; !ok || isSeen {
-		fd.seen[b.Name] = now
+	if _, ok := fd.lastSeen[b.Name]; !ok || isSeen {
+		fd.lastSeen[b.Name] = now
 	}
 	if isSeen && info.State == pool.StateDraining {
-		if _, ok := fd.draining[b.Name]; !ok {
-			fd.draining[b.Name] = now // an earlier holder drained it
+		if _, ok := fd.drainingSince[b.Name]; !ok {
+			fd.drainingSince[b.Name] = now // an earlier holder drained it
 		}
 	}
 
-	patience := startPatience * time.Duration(cl.StartupMs) * time.Millisecond
-	since, drains := fd.draining[b.Name]
-	isDrained := drains && (!isSeen || (info.Running == 0 && info.State == pool.StateDraining) || now > since+drainLimit)
-	isLost := !isSeen && now > fd.seen[b.Name]+patience
+	patience := startupTimeoutFactor * time.Duration(cl.StartupMs) * time.Millisecond
+	since, drains := fd.drainingSince[b.Name]
+	isDrained := drains && (!isSeen || (info.Running == 0 && info.State == pool.StateDraining) || now > since+drainTimeout)
+	isLost := !isSeen && now > fd.lastSeen[b.Name]+patience
 	if !isDrained && !isLost {
 		return false
 	}
 	if isLost {
 		fd.ga.cfg.Log.WithFields(log.Fields{"server": b.Name, "order": b.OrderID}).Warn("ordered backend server was not seen, it is given back")
 	}
-	fd.order(ctx, held, order.Intent{Kind: order.KindStop, Class: b.Class, FailureDomain: b.FailureDomain, Server: b.Name})
-	delete(fd.draining, b.Name)
-	delete(fd.seen, b.Name)
+	fd.placeOrder(ctx, held, order.Intent{Kind: order.KindStop, Class: b.Class, FailureDomain: b.FailureDomain, Server: b.Name})
+	delete(fd.drainingSince, b.Name)
+	delete(fd.lastSeen, b.Name)
 
 	return true
 }
 
-func (ga *Gateway) explainFleet(class, why string) {
+func (ga *Gateway) setFleetReason(class, why string) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 
-	ga.fleet[class] = why
+	ga.fleetReasons[class] = why
 }
 
 // ExplainFleet returns the reason of the last decision on each class, empty where
@@ -240,8 +240,8 @@
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 
-	out := make(map[string]string, len(ga.fleet))
-	for k, v := range ga.fleet {
+	out := make(map[string]string, len(ga.fleetReasons))
+	for k, v := range ga.fleetReasons {
 		out[k] = v
 	}
 
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -51,7 +51,7 @@
 // Forward runs a request to a plain service.
 func (ga *Gateway) Forward(ctx context.Context, fo Forward, rep Reply) error {
 	po := ga.poolOf(fo.Route.Service)
-	leave, err := ga.enter(fo.Caller.Workspace, po.Gateways())
+	leave, err := ga.admit(fo.Caller.Workspace, po.Gateways())
 	if err != nil {
 		return err
 	}
@@ -83,14 +83,14 @@
 			continue
 		}
 		for _, v := range values {
-			if !holdsSecret(v, fo.Caller.Secret) {
+			if !containsSecret(v, fo.Caller.Secret) {
 				h.Add(name, v)
 			}
 		}
 	}
 	fo.Header = h
 	if s := fo.Caller.Secret; s != "" {
-		if holdsSecret(fo.Query, s) || holdsSecret(fo.Path, s) || bytes.Contains(fo.Body, []byte(s)) {
+		if containsSecret(fo.Query, s) || containsSecret(fo.Path, s) || bytes.Contains(fo.Body, []byte(s)) {
 			return result.New(result.KeyInRequest, "the caller's key stands in the path, the query or the body")
 		}
 	}
@@ -121,7 +121,7 @@
 	return false
 }
 
-func holdsSecret(s, secret string) bool { return secret != "" && strings.Contains(s, secret) }
+func containsSecret(s, secret string) bool { return secret != "" && strings.Contains(s, secret) }
 
 // forward is one request to a plain service on its way through attempts.
 type forward struct {
@@ -147,7 +147,7 @@
 		if f.headSent {
 			return er.With(result.Ran) // the caller has seen a part: its connection ends short
 		}
-		de := f.ga.decide(ctx, retry.Attempt{
+		de := f.ga.awaitRetry(ctx, retry.Attempt{
 			Key: key, Number: n, MaxRetries: f.fo.Route.Retries, IsRepeatable: f.fo.Route.Repeatable,
 			Err: er, Now: f.ga.now(), Deadline: f.deadline,
 		})
@@ -165,7 +165,7 @@
 	defer done()
 
 	err = f.send(ctx, gr, n)
-	f.finish(gr, err)
+	f.release(gr, err)
 
 	return err
 }
@@ -188,12 +188,12 @@
 	defer stop()
 	defer st.Close()
 
-	return f.receive(ctx, st.Recv)
+	return f.receiveAnswer(ctx, st.Recv)
 }
 
-// receive takes the answer. The head is passed on with the first part, so that an
+// receiveAnswer takes the answer. The head is passed on with the first part, so that an
 // answer that breaks before it can be tried again.
-func (f *forward) receive(ctx context.Context, recv func(m message) error) error {
+func (f *forward) receiveAnswer(ctx context.Context, recv func(m message) error) error {
 	var head wire.ForwardPart
 	for {
 		var part wire.ForwardPart
@@ -202,26 +202,26 @@
 			if head.GetStatus() == 0 {
 				return result.New(result.BackendAnswerBroken, "the answer has no head").With(result.Unknown)
 			}
-			f.passHead(&head)
+			f.forwardHead(&head)
 
 			return nil
 		}
 		if err != nil {
-			return received(ctx, err)
+			return receiveError(ctx, err)
 		}
 		if part.GetStatus() != 0 {
 			head = wire.ForwardPart{Status: part.GetStatus(), Headers: part.GetHeaders()}
 
 			continue
 		}
-		f.passHead(&head)
+		f.forwardHead(&head)
 		if err := f.rep.Body(part.GetBody()); err != nil {
 			return result.New(result.DeadlinePassed, "the caller has gone: %v", err).With(result.Unknown)
 		}
 	}
 }
 
-func (f *forward) passHead(head *wire.ForwardPart) {
+func (f *forward) forwardHead(head *wire.ForwardPart) {
 	if f.headSent {
 		return
 	}
@@ -250,8 +250,8 @@
 		return f.replay(ctx, &re)
 	}
 
-	f.ga.noteCall(f.id, true)
-	defer f.ga.noteCall(f.id, false)
+	f.ga.trackCall(f.id, true)
+	defer f.ga.trackCall(f.id, false)
 	rec := &recorder{rep: f.rep}
 	f.rep = rec.reply()
 	err = f.run(ctx)
@@ -291,7 +291,7 @@
 
 		return f.rep.Body(re.Body)
 	}
-	if f.ga.isRunning(ctx, re) {
+	if f.ga.isCallRunning(ctx, re) {
 		return result.New(result.CallInFlight, "the first request with this idempotency key runs on another connection").
 			With(result.Unknown).After(time.Second)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -34,8 +34,8 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// handOverPoll is how often a stopping gateway looks whether its leases are released.
-const handOverPoll = 50 * time.Millisecond
+// leaseReleasePoll is how often a stopping gateway looks whether its leases are released.
+const leaseReleasePoll = 50 * time.Millisecond
 
 // Config builds a Gateway.
 type Config struct {
@@ -49,22 +49,22 @@
 
 // Gateway is one gateway process without its listeners for callers and operators.
 type Gateway struct {
-	cfg      Config
-	instance uint64
-	start    time.Time
-	requests atomic.Uint64
+	cfg          Config
+	instance     uint64
+	startedAt    time.Time
+	requestCount atomic.Uint64
 
 	group    *group.Group
 	listener *peer.Listener
 	rollouts *rollout.Driver
 
-	mu      sync.Mutex
-	pools   map[string]*pool.Pool
-	limiter *admission.Limiter
-	budget  *retry.Budget
-	active  map[*activeRequest]struct{}
-	calls   map[string]struct{} // requests that may not be repeated and run here
-	fleet   map[string]string   // class to the reason of the last decision
+	mu             sync.Mutex
+	pools          map[string]*pool.Pool
+	limiter        *admission.Limiter
+	budget         *retry.Budget
+	activeRequests map[*activeRequest]struct{}
+	runningCalls   map[string]struct{} // requests that may not be repeated and run here
+	fleetReasons   map[string]string   // class to the reason of the last decision
 
 	suspects map[string]chan struct{} // fingerprints that run as suspects, closed at their end
 
@@ -73,17 +73,17 @@
 	stopping atomic.Bool
 	stopped  chan struct{} // closed when the lease duties must let go
 
-	store    *weightstore.Client
-	ordering *ordering.Client
-	sink     *usagesink.Client
+	weightStore *weightstore.Client
+	ordering    *ordering.Client
+	usageSink   *usagesink.Client
 }
 
 // New loads the state and listens for peers.
 func New(cfg Config) (*Gateway, error) {
 	se := cfg.Settings
 	ga := &Gateway{
-		cfg: cfg, instance: rand.Uint64(), start: time.Now(), pools: map[string]*pool.Pool{},
-		limiter: admission.NewLimiter(), active: map[*activeRequest]struct{}{}, fleet: map[string]string{}, calls: map[string]struct{}{},
+		cfg: cfg, instance: rand.Uint64(), startedAt: time.Now(), pools: map[string]*pool.Pool{},
+		limiter: admission.NewLimiter(), activeRequests: map[*activeRequest]struct{}{}, fleetReasons: map[string]string{}, runningCalls: map[string]struct{}{},
 		suspects: map[string]chan struct{}{},
 		budget:   retry.NewBudget(retry.Config{NoBudget: se.Policy.NoBudget}, rand.Float64),
 		stopped:  make(chan struct{}),
@@ -107,7 +107,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ga.openOutside()
+	ga.createPlatformClients()
 	ga.rollouts = rollout.New(ga.rolloutConfig())
 
 	for _, mux := range []peer.Mux{ga.group.Handlers(), ga.serverHandlers(), ga.rollouts.Handlers()} {
@@ -129,16 +129,16 @@
 	return out
 }
 
-func (ga *Gateway) openOutside() {
+func (ga *Gateway) createPlatformClients() {
 	ou, bind := ga.cfg.Settings.Outside, ga.cfg.PeerConfig.Bind
 	if ou.WeightStore != "" {
-		ga.store = weightstore.New(ou.WeightStore, bind)
+		ga.weightStore = weightstore.New(ou.WeightStore, bind)
 	}
 	if ou.Ordering != "" {
 		ga.ordering = ordering.New(ou.Ordering, bind)
 	}
 	if ou.Usage != "" {
-		ga.sink = usagesink.New(ou.Usage, bind)
+		ga.usageSink = usagesink.New(ou.Usage, bind)
 	}
 }
 
@@ -156,7 +156,7 @@
 	return rc
 }
 
-func (ga *Gateway) now() time.Duration { return time.Since(ga.start) }
+func (ga *Gateway) now() time.Duration { return time.Since(ga.startedAt) }
 
 // Group returns the gateway's part in the group.
 func (ga *Gateway) Group() *group.Group { return ga.group }
@@ -190,7 +190,7 @@
 
 	run(func() { _ = ga.listener.Serve() })
 	run(func() { ga.rollouts.Run(ctx) })
-	for _, jo := range ga.jobs() {
+	for _, jo := range ga.periodicTasks() {
 		run(func() { jo.loop(ctx) })
 	}
 	if ga.group.HasDisk() {
@@ -210,7 +210,7 @@
 func (ga *Gateway) StopDuties(ctx context.Context) {
 	ga.BeginShutdown()
 	for ctx.Err() == nil && ga.holdsLease() {
-		time.Sleep(handOverPoll)
+		time.Sleep(leaseReleasePoll)
 	}
 	ga.group.TransferLeadership(ctx)
 }
@@ -219,16 +219,18 @@
 	holds := false
 	ga.group.Read(func(ma *machine.Machine) {
 		for _, n := range []string{agent.LeaseFleet, agent.LeaseWeights, machine.UsageLease} {
-			holds = holds || ma.Leases().Get(n).Holder == ga.holder()
+			holds = holds || ma.Leases().Get(n).Holder == ga.leaseHolder()
 		}
 	})
 
 	return holds
 }
 
-func (ga *Gateway) holder() string { return fmt.Sprintf("%s/%016x", ga.cfg.Settings.Name, ga.instance) }
+func (ga *Gateway) leaseHolder() string {
+	return fmt.Sprintf("%s/%016x", ga.cfg.Settings.Name, ga.instance)
+}
 
-func (ga *Gateway) terms() lease.Terms {
+func (ga *Gateway) leaseTerms() lease.Terms {
 	te := lease.DefaultTerms()
 	te.Duration = settings.Duration(ga.cfg.Settings.Times.LeaseMs)
 	te.MaxCall = settings.Duration(ga.cfg.Settings.Times.MaxCallMs)
@@ -286,7 +288,7 @@
 
 // newRequestID returns an ID that no other request has.
 func (ga *Gateway) newRequestID() string {
-	return fmt.Sprintf("%016x-%x", ga.instance, ga.requests.Add(1))
+	return fmt.Sprintf("%016x-%x", ga.instance, ga.requestCount.Add(1))
 }
 
 // Ready returns why the balancer should not send callers here, or nil.
--- a/internal/gateway/jobs.go
+++ b/internal/gateway/jobs.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// job is work that is done again and again while the gateway runs.
-type job struct {
+// periodicTask is work that is done again and again while the gateway runs.
+type periodicTask struct {
 	name   string
 	period time.Duration
 	do     func()
 	wake   func() <-chan struct{} // nil for none
 }
 
-// jobs lists the periodic work of every gateway.
-func (ga *Gateway) jobs() []job {
-	return []job{
+// periodicTasks lists the periodic work of every gateway.
+func (ga *Gateway) periodicTasks() []periodicTask {
+	return []periodicTask{
 		{name: "sweepPools", period: 200 * time.Millisecond, do: ga.sweepPools},
-		{name: "cutWithdrawn", period: 200 * time.Millisecond, do: ga.cutWithdrawn, wake: ga.group.Changed},
-		{name: "gauges", period: time.Second, do: ga.gauges},
+		{name: "cutWithdrawn", period: 200 * time.Millisecond, do: ga.cancelRevoked, wake: ga.group.Changed},
+		{name: "gauges", period: time.Second, do: ga.updateGauges},
 	}
 }
 
-func (jo job) loop(ctx context.Context) {
+func (jo periodicTask) loop(ctx context.Context) {
 	for ctx.Err() == nil {
 		var wake <-chan struct{}
 		if jo.wake != nil {
@@ -41,9 +41,9 @@
 // same however many backend servers it sees. Its own requests in flight carry the
 // scheduling between two reports.
 const (
-	reportBudget    = 2500 // bytes a second that a gateway receives
-	reportBytes     = 200  // of one report with its reply
-	minReportPeriod = 500 * time.Millisecond
+	reportBytesPerSecond = 2500 // bytes a second that a gateway receives
+	bytesPerReport       = 200  // of one report with its reply
+	minReportPeriod      = 500 * time.Millisecond
 )
 
 func (ga *Gateway) sweepPools() {
@@ -52,11 +52,11 @@
 		n += po.Len()
 		po.Sweep()
 	}
-	p := time.Duration(n) * reportBytes * time.Second / reportBudget
+	p := time.Duration(n) * bytesPerReport * time.Second / reportBytesPerSecond
 	ga.reportPeriod.Store(int64(max(p, minReportPeriod)))
 }
 
-func (ga *Gateway) gauges() {
+func (ga *Gateway) updateGauges() {
 	me := ga.cfg.Meter
 	ga.group.Measure(me)
 	me.Gauge("configuration.version", int64(ga.group.View().Version))
--- a/internal/gateway/operator.go
+++ b/internal/gateway/operator.go
@@ -11,9 +11,9 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// patchTries is how often a change made by the product itself is made anew
+// maxPatchAttempts is how often a change made by the product itself is made anew
 // against a newer version.
-const patchTries = 20
+const maxPatchAttempts = 20
 
 // Patch takes an operator's patch.
 func (ga *Gateway) Patch(ctx context.Context, pa declaration.Patch) (declaration.Answer, error) {
@@ -23,10 +23,10 @@
 	return an, err
 }
 
-// change makes a patch against the current version, and anew when another one came first.
-func (ga *Gateway) change(ctx context.Context, author string, ops func(set *declaration.Set) ([]declaration.Op, error)) (declaration.Answer, error) {
+// proposeChange makes a patch against the current version, and anew when another one came first.
+func (ga *Gateway) proposeChange(ctx context.Context, author string, ops func(set *declaration.Set) ([]declaration.Op, error)) (declaration.Answer, error) {
 	base := ga.group.View().Version
-	for n := range patchTries {
+	for n := range maxPatchAttempts {
 		list, err := ops(ga.group.View().Set)
 		if err != nil || len(list) == 0 {
 			return declaration.Answer{Version: base}, err
@@ -37,17 +37,17 @@
 		if !result.Is(err, result.PatchVersionOld) {
 			return an, err
 		}
-		if err := ga.waitVersion(ctx, an.Version); err != nil {
+		if err := ga.waitForVersion(ctx, an.Version); err != nil {
 			return an, err
 		}
 		base = ga.group.View().Version
 	}
 
-	return declaration.Answer{}, result.New(result.PatchVersionOld, "the configuration changed %d times in between", patchTries)
+	return declaration.Answer{}, result.New(result.PatchVersionOld, "the configuration changed %d times in between", maxPatchAttempts)
 }
 
-// waitVersion waits until the view of this process has reached a version.
-func (ga *Gateway) waitVersion(ctx context.Context, version uint64) error {
+// waitForVersion waits until the view of this process has reached a version.
+func (ga *Gateway) waitForVersion(ctx context.Context, version uint64) error {
 	for {
 		changed := ga.group.Changed()
 		if ga.group.View().Version >= version {
@@ -69,7 +69,7 @@
 		return "", "", err
 	}
 	ke := declaration.Key{Workspace: workspace, Hash: declaration.HashSecret(secret), ExpiresMs: expiresMs, Note: note}
-	_, err = ga.change(ctx, author, func(*declaration.Set) ([]declaration.Op, error) {
+	_, err = ga.proposeChange(ctx, author, func(*declaration.Set) ([]declaration.Op, error) {
 		return setOp(declaration.KindKey, id, ke)
 	})
 
@@ -78,7 +78,7 @@
 
 // WithdrawKey ends a key.
 func (ga *Gateway) WithdrawKey(ctx context.Context, author, id string) (declaration.Answer, error) {
-	return ga.change(ctx, author, func(set *declaration.Set) ([]declaration.Op, error) {
+	return ga.proposeChange(ctx, author, func(set *declaration.Set) ([]declaration.Op, error) {
 		ke, ok := set.Keys[id]
 		if !ok {
 			return nil, result.New(result.UnknownObject, "key %s does not exist", id)
@@ -95,8 +95,8 @@
 // PushVersion declares a new weight version of a model for a trainer.
 func (ga *Gateway) PushVersion(ctx context.Context, workspace, model, name, source string) (declaration.Version, error) {
 	var ve declaration.Version
-	_, err := ga.change(ctx, "trainer of "+workspace, func(set *declaration.Set) ([]declaration.Op, error) {
-		if !ownsTrainer(set, workspace, model) {
+	_, err := ga.proposeChange(ctx, "trainer of "+workspace, func(set *declaration.Set) ([]declaration.Op, error) {
+		if !hasTrainer(set, workspace, model) {
 			return nil, result.New(result.RouteNotAllowed, "workspace %s has no trainer of model %s", workspace, model)
 		}
 		if old, ok := set.FindVersion(model, name); ok {
@@ -113,7 +113,7 @@
 	return ve, err
 }
 
-func ownsTrainer(set *declaration.Set, workspace, model string) bool {
+func hasTrainer(set *declaration.Set, workspace, model string) bool {
 	for _, tr := range set.Trainers {
 		if tr.Workspace == workspace && tr.Model == model {
 			return true
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -30,7 +30,7 @@
 // place waits for the request's turn and for a backend server. The returned
 // function ends the turn of a suspect.
 func (pl *placement) place(ctx context.Context) (*pool.Grant, func(), error) {
-	done, err := pl.ga.judge(ctx, pl.fingerprint, &pl.suspect)
+	done, err := pl.ga.admitFingerprint(ctx, pl.fingerprint, &pl.suspect)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -43,7 +43,7 @@
 	})
 	if err != nil {
 		done()
-		if er := causeOf(ctx); er != nil {
+		if er := cancelCause(ctx); er != nil {
 			return nil, nil, er
 		}
 
@@ -54,8 +54,8 @@
 	return gr, done, nil
 }
 
-// finish gives the slot back and remembers what a failure says of the server.
-func (pl *placement) finish(gr *pool.Grant, err error) {
+// release gives the slot back and remembers what a failure says of the server.
+func (pl *placement) release(gr *pool.Grant, err error) {
 	if err == nil {
 		gr.Release(pool.Succeeded)
 		// Whatever ran to its end is innocent, also when it did not know of the suspicion.
@@ -75,9 +75,9 @@
 	pl.exclude = append(pl.exclude, gr.Server().Name())
 }
 
-// received turns a failure while an answer was read into the one that ended ctx, if it did.
-func received(ctx context.Context, err error) error {
-	if er := causeOf(ctx); er != nil {
+// receiveError turns a failure while an answer was read into the one that ended ctx, if it did.
+func receiveError(ctx context.Context, err error) error {
+	if er := cancelCause(ctx); er != nil {
 		return er.With(result.Unknown)
 	}
 	if ctx.Err() != nil {
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -27,7 +27,7 @@
 	methodRunning = "gateway.running"
 )
 
-const clearTimeout = 2 * time.Second
+const groupCallTimeout = 2 * time.Second
 
 // serverHandlers returns the calls of agents and other gateways.
 func (ga *Gateway) serverHandlers() peer.Mux {
@@ -158,10 +158,10 @@
 	}
 }
 
-// judge refuses a quarantined fingerprint. A suspect waits for its turn; the
+// admitFingerprint refuses a quarantined fingerprint. A suspect waits for its turn; the
 // returned function ends it.
-func (ga *Gateway) judge(ctx context.Context, fp string, suspect *bool) (func(), error) {
-	if err := ga.quarantine(fp, suspect); err != nil {
+func (ga *Gateway) admitFingerprint(ctx context.Context, fp string, suspect *bool) (func(), error) {
+	if err := ga.checkQuarantine(fp, suspect); err != nil {
 		return nil, err
 	}
 	if !*suspect {
@@ -182,7 +182,7 @@
 		}
 	}
 	*suspect = false
-	if err := ga.quarantine(fp, suspect); err != nil {
+	if err := ga.checkQuarantine(fp, suspect); err != nil {
 		unlock()
 
 		return nil, err
@@ -202,7 +202,7 @@
 	if _, ok := ga.group.View().Quarantine[fp]; !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), clearTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), groupCallTimeout)
 	defer cancel()
 	if err := ga.group.Propose(ctx, machine.KindCleared, quarantine.Cleared{Fingerprint: fp}, nil); err == nil {
 		ga.cfg.Meter.Count("quarantine.cleared")
@@ -238,23 +238,23 @@
 	return st.Reply(&wire.Load{Running: uint32(de.Running), Queued: uint32(de.Waiting)})
 }
 
-// noteCall remembers which requests that may not be repeated run here.
-func (ga *Gateway) noteCall(id string, runs bool) {
+// trackCall remembers which requests that may not be repeated run here.
+func (ga *Gateway) trackCall(id string, runs bool) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 
 	if runs {
-		ga.calls[id] = struct{}{}
+		ga.runningCalls[id] = struct{}{}
 	} else {
-		delete(ga.calls, id)
+		delete(ga.runningCalls, id)
 	}
 }
 
-func (ga *Gateway) runsCall(id string) bool {
+func (ga *Gateway) isCallRunningHere(id string) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 
-	_, ok := ga.calls[id]
+	_, ok := ga.runningCalls[id]
 
 	return ok
 }
@@ -264,19 +264,19 @@
 	if err := st.Request(&rq); err != nil {
 		return err
 	}
-	if !ga.runsCall(rq.GetKind()) {
+	if !ga.isCallRunningHere(rq.GetKind()) {
 		return result.New(result.UnknownObject, "call %s does not run here", rq.GetKind())
 	}
 
 	return nil
 }
 
-// isRunning asks the gateway of a call whether it still runs.
-func (ga *Gateway) isRunning(ctx context.Context, re *call.Record) bool {
+// isCallRunning asks the gateway of a call whether it still runs.
+func (ga *Gateway) isCallRunning(ctx context.Context, re *call.Record) bool {
 	if re.Gateway == ga.cfg.Settings.PeerAddress {
-		return ga.runsCall(re.Owner)
+		return ga.isCallRunningHere(re.Owner)
 	}
-	cctx, cancel := context.WithTimeout(ctx, clearTimeout)
+	cctx, cancel := context.WithTimeout(ctx, groupCallTimeout)
 	defer cancel()
 
 	return ga.group.Call(cctx, re.Gateway, methodRunning, &wire.QueryRequest{Kind: re.Owner}, &wire.Empty{}) == nil
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -13,8 +13,8 @@
 
 // reportUsage closes windows that are over and reports closed ones, oldest first.
 // The figures are committed before they are sent, and only they are ever sent.
-func (ga *Gateway) reportUsage(ctx context.Context, held hold) {
-	if ga.sink == nil {
+func (ga *Gateway) reportUsage(ctx context.Context, held leaseCheck) {
+	if ga.usageSink == nil {
 		return
 	}
 	wi, ok := ga.group.View().Set.Windows[declaration.WindowName]
@@ -44,7 +44,7 @@
 	}
 }
 
-func (ga *Gateway) sendReport(ctx context.Context, held hold, window uint64) bool {
+func (ga *Gateway) sendReport(ctx context.Context, held leaseCheck, window uint64) bool {
 	var re usage.Report
 	err := error(nil)
 	ga.group.Read(func(ma *machine.Machine) { re, err = ma.Usage().Report(window) })
@@ -56,13 +56,13 @@
 		return false
 	}
 
-	cctx, cancel := context.WithTimeout(ctx, ga.terms().MaxCall)
+	cctx, cancel := context.WithTimeout(ctx, ga.leaseTerms().MaxCall)
 	defer cancel()
 	fencing, ok := held()
 	if !ok {
 		return false
 	}
-	if err := ga.sink.Send(cctx, window, b, ga.holder(), fencing); err != nil {
+	if err := ga.usageSink.Send(cctx, window, b, ga.leaseHolder(), fencing); err != nil {
 		ga.cfg.Meter.Count("reports.failed")
 
 		return false
--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -26,24 +26,24 @@
 type weightsDuty struct {
 	ga *Gateway
 
-	mu       sync.Mutex
-	planners map[string]*weights.Planner
-	permits  map[string]int // by version, what the store serves at once; 0 unknown
-	orders   uint64
-	fencing  uint64
+	mu          sync.Mutex
+	planners    map[string]*weights.Planner
+	storeLimits map[string]int // by version, what the store serves at once; 0 unknown
+	orderCount  uint64
+	fencing     uint64
 }
 
 func newWeightsDuty(ga *Gateway) *weightsDuty {
-	return &weightsDuty{ga: ga, planners: map[string]*weights.Planner{}, permits: map[string]int{}}
+	return &weightsDuty{ga: ga, planners: map[string]*weights.Planner{}, storeLimits: map[string]int{}}
 }
 
-func (wd *weightsDuty) work(ctx context.Context, held hold) {
+func (wd *weightsDuty) run(ctx context.Context, held leaseCheck) {
 	fencing, ok := held()
 	if !ok {
 		return
 	}
 	if fencing != wd.fencing {
-		wd.startTerm(ctx, fencing)
+		wd.takeOver(ctx, fencing)
 	}
 
 	set := wd.ga.group.View().Set
@@ -52,7 +52,7 @@
 		if !ok {
 			continue
 		}
-		wave := wd.wave(ctx, mo, latest)
+		wave := wd.waveSize(ctx, mo, latest)
 		if wave == 0 {
 			continue
 		}
@@ -68,14 +68,14 @@
 		actions := pl.Next(wd.ga.now(), latest.Name, engines, wave)
 		wd.mu.Unlock()
 		for _, ac := range actions {
-			go wd.carryOut(ctx, held, name, mo, ac)
+			go wd.executeAction(ctx, held, name, mo, ac)
 		}
 	}
 }
 
-// startTerm settles what an earlier holder left open: orders to engines are
+// takeOver settles what an earlier holder left open: orders to engines are
 // idempotent and the engines' own word says how they ended.
-func (wd *weightsDuty) startTerm(ctx context.Context, fencing uint64) {
+func (wd *weightsDuty) takeOver(ctx context.Context, fencing uint64) {
 	var open []order.Intent
 	wd.ga.group.Read(func(ma *machine.Machine) { open = ma.Orders().Unsettled() })
 	for _, in := range open {
@@ -101,19 +101,19 @@
 	return pl
 }
 
-// wave returns how many engines may load at once, 0 while the store does not know the version.
-func (wd *weightsDuty) wave(ctx context.Context, mo declaration.Model, ve declaration.Version) int {
-	if wd.ga.store == nil {
+// waveSize returns how many engines may load at once, 0 while the store does not know the version.
+func (wd *weightsDuty) waveSize(ctx context.Context, mo declaration.Model, ve declaration.Version) int {
+	if wd.ga.weightStore == nil {
 		return mo.SwapWave
 	}
 
 	wd.mu.Lock()
-	n := wd.permits[ve.Model+"@"+ve.Name]
+	n := wd.storeLimits[ve.Model+"@"+ve.Name]
 	wd.mu.Unlock()
 	if n == 0 {
 		cctx, cancel := context.WithTimeout(ctx, describeTimeout)
 		defer cancel()
-		in, err := wd.ga.store.Describe(cctx, ve.Model, ve.Name)
+		in, err := wd.ga.weightStore.Describe(cctx, ve.Model, ve.Name)
 		if err != nil {
 			wd.ga.cfg.Meter.Count("weightStore.failed")
 
@@ -121,16 +121,16 @@
 		}
 		n = max(in.MaxConcurrent, 1)
 		wd.mu.Lock()
-		wd.permits[ve.Model+"@"+ve.Name] = n
+		wd.storeLimits[ve.Model+"@"+ve.Name] = n
 		wd.mu.Unlock()
 	}
 
 	return min(n, mo.SwapWave)
 }
 
-// carryOut commits the intent of an order, gives it through the agent and settles it.
-func (wd *weightsDuty) carryOut(ctx context.Context, held hold, model string, mo declaration.Model, ac weights.Action) {
-	err := wd.give(ctx, held, model, mo, ac)
+// executeAction commits the intent of an order, gives it through the agent and settles it.
+func (wd *weightsDuty) executeAction(ctx context.Context, held leaseCheck, model string, mo declaration.Model, ac weights.Action) {
+	err := wd.sendOrder(ctx, held, model, mo, ac)
 	wd.mu.Lock()
 	wd.planner(model).Done(wd.ga.now(), ac.Server, err == nil)
 	wd.mu.Unlock()
@@ -140,16 +140,16 @@
 	}
 }
 
-func (wd *weightsDuty) give(ctx context.Context, held hold, model string, mo declaration.Model, ac weights.Action) error {
+func (wd *weightsDuty) sendOrder(ctx context.Context, held leaseCheck, model string, mo declaration.Model, ac weights.Action) error {
 	se, ok := wd.ga.poolOf(model).Find(ac.Server)
 	fencing, holds := held()
 	if !ok || !holds {
-		return lost(agent.LeaseWeights)
+		return leaseLost(agent.LeaseWeights)
 	}
 
 	wd.mu.Lock()
-	wd.orders++
-	id := fmt.Sprintf("w%d-%d", fencing, wd.orders)
+	wd.orderCount++
+	id := fmt.Sprintf("w%d-%d", fencing, wd.orderCount)
 	wd.mu.Unlock()
 	in := order.Intent{
 		ID: id, Lease: agent.LeaseWeights, Fencing: fencing, Kind: ac.Kind, Server: ac.Server, Model: model, Version: ac.Version,
@@ -159,13 +159,13 @@
 	}
 	// The process may have been paused since: the lease is looked at again right before the order.
 	if f, ok := held(); !ok || f != fencing {
-		return lost(agent.LeaseWeights)
+		return leaseLost(agent.LeaseWeights)
 	}
 
 	cctx, cancel := context.WithTimeout(ctx, swapTimeout)
 	defer cancel()
 	err := se.Session().Call(cctx, agent.MethodOrder, &wire.Order{
-		OrderId: id, Kind: ac.Kind, Model: model, Version: ac.Version, Fencing: fencing, Giver: wd.ga.holder(),
+		OrderId: id, Kind: ac.Kind, Model: model, Version: ac.Version, Fencing: fencing, Giver: wd.ga.leaseHolder(),
 		Drain: mo.SwapMode == declaration.SwapDrain,
 	}, &wire.OrderReply{})
 	outcome := "done"
