--- a/internal/gateway/caller.go
+++ b/internal/gateway/caller.go
@@ -8,30 +8,30 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// Caller is who a request runs for.
+// Caller identifies the workspace and key that a request runs under.
 type Caller struct {
 	Workspace string
 	KeyID     string // "" on an open route
-	Secret    string // of the key, to find it in what a backend server would see
+	Secret    string // secret part of the key; must not reach a backend server
 }
 
-// Authenticate returns the caller that a token belongs to.
+// Authenticate returns the caller that the token belongs to.
 func (ga *Gateway) Authenticate(token string) (Caller, error) {
 	if err := ga.group.Fresh(); err != nil {
 		return Caller{}, err
 	}
 	if token == "" {
-		return Caller{}, result.New(result.MissingKey, "no key was shown")
+		return Caller{}, result.New(result.MissingKey, "the request carries no key")
 	}
 
 	id, secret, ok := declaration.ParseToken(token)
 	if !ok {
-		return Caller{}, result.New(result.UnknownKey, "the key is not one of ours")
+		return Caller{}, result.New(result.UnknownKey, "the key is unknown")
 	}
 	ke, found := ga.group.View().Set.Keys[id]
-	// An unknown ID costs the same comparison as a known one.
+	// Compare even for an unknown ID, so that the response time does not reveal which IDs exist.
 	if matches := ke.Matches(secret); !found || !matches {
-		return Caller{}, result.New(result.UnknownKey, "the key is not one of ours")
+		return Caller{}, result.New(result.UnknownKey, "the key is unknown")
 	}
 	if err := ga.checkKey(id); err != nil {
 		return Caller{}, err
@@ -40,7 +40,7 @@
 	return Caller{Workspace: ke.Workspace, KeyID: id, Secret: secret}, nil
 }
 
-// checkKey returns why the key may not be used now, or nil.
+// checkKey returns an error if the key was withdrawn or has expired.
 func (ga *Gateway) checkKey(id string) error {
 	ke, ok := ga.group.View().Set.Keys[id]
 	switch {
@@ -53,14 +53,15 @@
 	return nil
 }
 
-// activeRequest is a request that ends when its key does.
+// activeRequest is a running request that is canceled when its key becomes invalid.
 type activeRequest struct {
 	keyID  string
 	cancel context.CancelCauseFunc
 }
 
-// Watch returns a context that ends with the caller's key, or when this process
-// can no longer vouch for it. The cause of its end is a numbered error.
+// Watch returns a context that is canceled when the caller's key is withdrawn or
+// expires, or when this process's view is too stale to verify keys. The cause is
+// a numbered error.
 func (ga *Gateway) Watch(ctx context.Context, ca Caller) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	if ca.KeyID == "" {
@@ -71,7 +72,7 @@
 	ga.mu.Lock()
 	ga.activeRequests[ar] = struct{}{}
 	ga.mu.Unlock()
-	// The key may have been withdrawn between its check and the line above.
+	// The key may have been withdrawn between Authenticate and the registration above.
 	if err := ga.checkKey(ca.KeyID); err != nil {
 		cancel(err)
 	}
@@ -84,7 +85,8 @@
 	}
 }
 
-// cancelRevoked ends the requests whose key does not hold any more.
+// cancelRevoked cancels the active requests whose key was withdrawn or has expired,
+// and all of them once this process's view is too stale to verify keys.
 func (ga *Gateway) cancelRevoked() {
 	stale := ga.group.Fresh()
 	verdicts := map[string]error{}
@@ -107,7 +109,7 @@
 	}
 }
 
-// cancelCause returns the numbered error that ended ctx, or nil.
+// cancelCause returns the numbered error that canceled ctx, or nil.
 func cancelCause(ctx context.Context) *result.Error {
 	if ctx.Err() == nil {
 		return nil
@@ -120,7 +122,8 @@
 	return er
 }
 
-// admit takes a request into the limits of its workspace.
+// admit counts a request against the limits of its workspace. The returned
+// function ends the count.
 func (ga *Gateway) admit(workspace string, gateways int) (func(), error) {
 	wo, ok := ga.group.View().Set.Workspaces[workspace]
 	if !ok {
@@ -141,7 +144,7 @@
 	}, nil
 }
 
-// Route returns the route of a name if the caller may use it.
+// Route returns the route with the given name. MayUse checks who may use it.
 func (ga *Gateway) Route(name string) (declaration.Route, error) {
 	ro, ok := ga.group.View().Set.Routes[name]
 	if !ok {
@@ -151,7 +154,7 @@
 	return ro, nil
 }
 
-// MayUse returns an error when a workspace may not use a route.
+// MayUse returns an error if the workspace may not use the route.
 func MayUse(ro declaration.Route, name, workspace string) error {
 	if len(ro.Workspaces) == 0 {
 		return nil
@@ -165,7 +168,8 @@
 	return result.New(result.RouteNotAllowed, "workspace %s may not use route %s", workspace, name)
 }
 
-// RouteOfModel returns the route on which a workspace may use a model.
+// RouteOfModel returns the route through which a workspace may use a model: the
+// first by name if there are several.
 func (ga *Gateway) RouteOfModel(model, workspace string) (string, declaration.Route, error) {
 	set := ga.group.View().Set
 	if _, ok := set.Models[model]; !ok {
@@ -185,7 +189,8 @@
 	return best, set.Routes[best], nil
 }
 
-// deadline returns the earlier of the route's timeout and the caller's own, on the gateway's clock.
+// deadline bounds ctx by timeout. It also returns the resulting deadline on the
+// gateway's clock, which is earlier if ctx already had an earlier one.
 func (ga *Gateway) deadline(ctx context.Context, timeout time.Duration) (context.Context, context.CancelFunc, time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	dl, _ := ctx.Deadline()
--- a/internal/gateway/complete.go
+++ b/internal/gateway/complete.go
@@ -23,7 +23,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// Completion asks a model for text.
+// Completion is a request to generate text with a model.
 type Completion struct {
 	Workspace   string
 	Route       string
@@ -35,10 +35,10 @@
 	Class       string
 	Retries     int
 	Timeout     time.Duration
-	MinSequence uint64 // weight versions below it may not write any part
+	MinSequence uint64 // oldest weight version allowed, by sequence number
 	IsSample    bool
-	Exclude     []string
-	Placed      func(server string) // called for each attempt, may be nil
+	Exclude     []string            // backend servers to avoid
+	Placed      func(server string) // called at the start of each attempt; may be nil
 }
 
 // Written is the result of a completion.
@@ -53,7 +53,7 @@
 	Attempts     int
 }
 
-// Complete runs a completion; onPart is called for each part as it comes.
+// Complete runs a completion. It calls onPart, if not nil, for each part as it arrives.
 func (ga *Gateway) Complete(ctx context.Context, co Completion, onPart func(requestID string, part *wire.RunChunk) error) (*Written, error) {
 	po := ga.poolOf(co.Model)
 	leave, err := ga.admit(co.Workspace, po.Gateways())
@@ -65,8 +65,8 @@
 	return ga.complete(ctx, po, co, onPart)
 }
 
-// completeSample runs a sample of a step. Samples are not held to the rate of
-// their workspace: the step was admitted as a whole.
+// completeSample runs a sample of a step. It bypasses the workspace's rate limit,
+// because the step was admitted as one unit.
 func (ga *Gateway) completeSample(ctx context.Context, sa rollout.Attempt) (*rollout.Written, error) {
 	w, err := ga.complete(ctx, ga.poolOf(sa.Model), Completion{
 		Workspace: sa.Workspace, Route: "rollout", Model: sa.Model, Prompt: sa.Prompt, MaxTokens: sa.MaxTokens,
@@ -84,10 +84,10 @@
 	}, nil
 }
 
-// promptBytesPerCostUnit is the length of a prompt that counts as one token to be generated.
+// promptBytesPerCostUnit is the number of prompt bytes that cost as much as one generated token.
 const promptBytesPerCostUnit = 64
 
-// completionRun is one completion on its way through attempts.
+// completionRun is the state of one completion across its attempts.
 type completionRun struct {
 	placement
 	co     Completion
@@ -95,12 +95,12 @@
 
 	text            strings.Builder
 	output          Written
-	beforeAttempt   Written  // what earlier attempts delivered
-	mixedVersions   []string // versions that may have written any part of this attempt
-	versionsAssumed bool     // the engine did not say the versions of this attempt's parts
+	beforeAttempt   Written  // output of earlier attempts
+	mixedVersions   []string // weight versions, any of which may have generated this attempt's parts
+	versionsAssumed bool     // the engine did not report the weight versions of this attempt's parts
 }
 
-// unknownVersion stands for parts whose version nobody can tell any more.
+// unknownVersion marks parts whose weight version cannot be determined.
 const unknownVersion = "unknown"
 
 func (ga *Gateway) complete(ctx context.Context, po *pool.Pool, co Completion, onPart func(string, *wire.RunChunk) error) (*Written, error) {
@@ -134,7 +134,7 @@
 	}
 }
 
-// markRan says of a request with delivered parts that it ran.
+// markRan sets the error's execution to Ran if any tokens were received.
 func (rn *completionRun) markRan(er *result.Error) *result.Error {
 	if rn.output.Tokens > 0 {
 		return er.With(result.Ran)
@@ -143,7 +143,7 @@
 	return er
 }
 
-// awaitRetry asks the budget about a failed attempt and waits for the delay.
+// awaitRetry checks a failed attempt against the retry budget and waits for the back-off delay.
 func (ga *Gateway) awaitRetry(ctx context.Context, at retry.Attempt) retry.Decision {
 	if er := cancelCause(ctx); er != nil {
 		return retry.Decision{Err: er.With(at.Err.Execution)}
@@ -165,7 +165,8 @@
 	return de
 }
 
-// fingerprint names what a request would make a backend server do.
+// fingerprint returns a hash of everything that determines what a request makes a
+// backend server do.
 func fingerprint(parts ...string) string {
 	h := sha256.New()
 	for _, p := range parts {
@@ -176,7 +177,9 @@
 	return hex.EncodeToString(h.Sum(nil)[:12])
 }
 
-// checkQuarantine refuses fingerprints that crashed backend servers twice, and marks suspects.
+// checkQuarantine refuses a fingerprint that was in flight at two crashes of backend
+// servers, at one of them as the only suspect. It sets *suspect for a fingerprint that
+// was in flight at a crash otherwise.
 func (ga *Gateway) checkQuarantine(fp string, suspect *bool) error {
 	en, ok := ga.group.View().Quarantine[fp]
 	if !ok {
@@ -193,7 +196,7 @@
 	return nil
 }
 
-// attempt runs one attempt on one backend server, going on from the tokens that
+// attempt runs one attempt on one backend server. It resumes after the tokens that
 // earlier attempts delivered.
 func (rn *completionRun) attempt(ctx context.Context, n uint32) error {
 	gr, done, err := rn.place(ctx)
@@ -211,8 +214,9 @@
 	return err
 }
 
-// discardAssumed handles the parts of a failed attempt whose versions were assumed:
-// they are made again, or marked where the caller has them already.
+// discardAssumed discards the parts of a failed attempt whose weight versions were
+// only assumed, so that the next attempt generates them again. Parts that the caller
+// already has are marked with unknownVersion instead.
 func (rn *completionRun) discardAssumed() {
 	if rn.onPart != nil {
 		rn.output.Versions = append(rn.beforeAttempt.Versions, rollout.VersionRange{
@@ -227,7 +231,7 @@
 	rn.text.WriteString(rn.beforeAttempt.Text)
 }
 
-// stream sends the attempt to the agent and takes the parts.
+// stream sends the attempt to the agent and receives the parts.
 func (rn *completionRun) stream(ctx context.Context, gr *pool.Grant, n uint32) error {
 	st, err := gr.Server().Session().Open(ctx, agent.MethodRun, &wire.RunRequest{
 		RequestId: rn.id, Attempt: n, Workspace: rn.co.Workspace, Model: rn.co.Model, Prompt: rn.co.Prompt,
@@ -253,7 +257,7 @@
 		err := st.Recv(&part)
 		if errors.Is(err, io.EOF) {
 			if rn.output.Finish == "" {
-				return result.New(result.BackendAnswerBroken, "the answer has no end").With(result.Ran)
+				return result.New(result.BackendAnswerBroken, "the backend server's answer ended without a finish reason").With(result.Ran)
 			}
 			for _, v := range rn.mixedVersions {
 				rn.output.Versions = append(rn.output.Versions, rollout.VersionRange{Version: v, From: rn.beforeAttempt.Tokens, To: rn.output.Tokens})
@@ -289,7 +293,7 @@
 		return nil
 	}
 	if err := rn.onPart(rn.id, part); err != nil {
-		return result.New(result.DeadlinePassed, "the caller has gone: %v", err).With(result.Unknown)
+		return result.New(result.DeadlinePassed, "the caller disconnected: %v", err).With(result.Unknown)
 	}
 
 	return nil
--- a/internal/gateway/duty.go
+++ b/internal/gateway/duty.go
@@ -9,10 +9,11 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// leaseCheck returns the fencing number of a lease, and false unless an outside call may start now.
+// leaseCheck returns the fencing number of a lease, and whether enough of the lease
+// is left to start an outside call now.
 type leaseCheck = duty.Held
 
-// duties lists the work under leases.
+// duties returns the work that only the holder of a lease may do.
 func (ga *Gateway) duties() []*duty.Duty {
 	we, fl := newWeightsDuty(ga), newFleetDuty(ga)
 	with := func(name string, work func(ctx context.Context, held leaseCheck)) *duty.Duty {
@@ -27,5 +28,7 @@
 	}
 }
 
-// leaseLost is the error of work that stops since its lease is not held any more.
-func leaseLost(name string) error { return result.New(result.LeaseLost, "lease %s is not held", name) }
+// leaseLost returns the error of work that stopped because its lease is no longer held.
+func leaseLost(name string) error {
+	return result.New(result.LeaseLost, "lease %s is no longer held by this gateway", name)
+}
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -20,7 +20,7 @@
 const (
 	fleetPeriod          = 500 * time.Millisecond
 	drainTimeout         = 60 * time.Second
-	startupTimeoutFactor = 4 // times the start-up time after which an ordered backend server counts as lost
+	startupTimeoutFactor = 4 // multiple of the class's start-up time after which an absent backend server counts as lost
 )
 
 // fleetDuty orders backend servers from the platform.
@@ -30,8 +30,8 @@
 	fencing       uint64
 	orderCount    uint64
 	nextRunAt     time.Duration
-	lastSeen      map[string]time.Duration // since when the platform lists a server
-	drainingSince map[string]time.Duration // since when a server drains
+	lastSeen      map[string]time.Duration // when a listed server was last connected; until then, when it was first listed
+	drainingSince map[string]time.Duration // when the draining of a server began
 }
 
 func newFleetDuty(ga *Gateway) *fleetDuty { return &fleetDuty{ga: ga} }
@@ -48,11 +48,11 @@
 		fd.lastSeen, fd.drainingSince = map[string]time.Duration{}, map[string]time.Duration{}
 	}
 	if !fd.resendUnsettled(ctx, held) {
-		return // what an earlier order did is not known yet: nothing is ordered on top of it
+		return // order nothing more until the outcome of every earlier order is known
 	}
 
 	cctx, cancel := context.WithTimeout(ctx, fd.ga.leaseTerms().MaxCall)
-	billed, err := fd.ga.ordering.Servers(cctx)
+	listed, err := fd.ga.ordering.Servers(cctx)
 	cancel()
 	if err != nil {
 		fd.ga.cfg.Meter.Count("ordering.failed")
@@ -61,12 +61,12 @@
 	}
 	set := fd.ga.group.View().Set
 	for class, bounds := range set.Fleet {
-		fd.resizeClass(ctx, held, class, set.Classes[class], bounds, billed)
+		fd.resizeClass(ctx, held, class, set.Classes[class], bounds, listed)
 	}
 }
 
-// resendUnsettled sends open intents again under their own IDs until the platform has
-// answered each. It returns false when one stays open.
+// resendUnsettled sends the orders of unsettled intents again, under their original
+// IDs. It returns false if any of them remains unsettled.
 func (fd *fleetDuty) resendUnsettled(ctx context.Context, held leaseCheck) bool {
 	var open []order.Intent
 	fd.ga.group.Read(func(ma *machine.Machine) { open = ma.Orders().Unsettled() })
@@ -79,7 +79,7 @@
 	return true
 }
 
-// sendOrder gives an order whose intent is committed and settles it.
+// sendOrder sends the order of a committed intent to the platform and settles the intent.
 func (fd *fleetDuty) sendOrder(ctx context.Context, held leaseCheck, in order.Intent) error {
 	f, ok := held()
 	if !ok || f != fd.fencing {
@@ -107,26 +107,26 @@
 	}, nil)
 }
 
-// placeOrder commits an intent and gives the placeOrder.
+// placeOrder commits an intent and sends its order.
 func (fd *fleetDuty) placeOrder(ctx context.Context, held leaseCheck, in order.Intent) {
 	fd.orderCount++
 	in.ID = fmt.Sprintf("f%d-%d", fd.fencing, fd.orderCount)
 	in.Lease, in.Fencing = agent.LeaseFleet, fd.fencing
 	if err := fd.ga.group.Propose(ctx, machine.KindOpenIntent, order.Open{Intent: in}, nil); err != nil {
-		return // committed or not, settleOpen finds out
+		return // the intent may be committed all the same: resendUnsettled then sends the order
 	}
 	fd.ga.cfg.Meter.Count("orders." + in.Kind)
-	_ = fd.sendOrder(ctx, held, in) // settleOpen sends it again
+	_ = fd.sendOrder(ctx, held, in) // on failure resendUnsettled sends it again
 }
 
-func (fd *fleetDuty) resizeClass(ctx context.Context, held leaseCheck, class string, cl declaration.Class, bounds declaration.Fleet, billed []ordering.Server) {
+func (fd *fleetDuty) resizeClass(ctx context.Context, held leaseCheck, class string, cl declaration.Class, bounds declaration.Fleet, listed []ordering.Server) {
 	infos := map[string]pool.Info{}
 	po := fd.ga.poolOf(cl.Serves())
 	for _, in := range po.Infos() {
 		infos[in.Server] = in
 	}
 	in := fleet.Input{Now: fd.ga.now(), Class: cl, Bounds: bounds}
-	for _, b := range billed {
+	for _, b := range listed {
 		if b.Class != class {
 			continue
 		}
@@ -134,10 +134,10 @@
 			continue
 		}
 		info, isSeen := infos[b.Name]
-		_, drains := fd.drainingSince[b.Name]
+		_, isDraining := fd.drainingSince[b.Name]
 		in.Servers = append(in.Servers, fleet.Server{
 			Name: b.Name, FailureDomain: b.FailureDomain, IsReady: isSeen && info.State == pool.StateReady,
-			IsDraining: drains, Running: info.Running,
+			IsDraining: isDraining, Running: info.Running,
 		})
 	}
 	in.Running, in.Waiting = fd.demand(ctx, cl.Serves())
@@ -155,7 +155,7 @@
 	}
 }
 
-// demand adds up what runs and waits on all gateways.
+// demand returns the number of running and waiting requests on all gateways.
 func (fd *fleetDuty) demand(ctx context.Context, serves string) (running, waiting int) {
 	own := fd.ga.poolOf(serves).Demand()
 	running, waiting = own.Running, own.Waiting
@@ -172,7 +172,7 @@
 	return running, waiting
 }
 
-// drain stops new work for a backend server; it is given back once it is idle.
+// drain stops new work for a backend server; retire stops the server once it is idle.
 func (fd *fleetDuty) drain(ctx context.Context, held leaseCheck, po *pool.Pool, name string) {
 	se, ok := po.Find(name)
 	if !ok {
@@ -196,8 +196,8 @@
 	}
 }
 
-// retire gives back a backend server that has drained or was never seen, and
-// reports whether it is on its way out.
+// retire orders the platform to stop a backend server that has drained or counts as
+// lost, and reports whether it did.
 func (fd *fleetDuty) retire(ctx context.Context, held leaseCheck, b ordering.Server, infos map[string]pool.Info, cl declaration.Class) bool {
 	now := fd.ga.now()
 	info, isSeen := infos[b.Name]
@@ -206,19 +206,19 @@
 	}
 	if isSeen && info.State == pool.StateDraining {
 		if _, ok := fd.drainingSince[b.Name]; !ok {
-			fd.drainingSince[b.Name] = now // an earlier holder drained it
+			fd.drainingSince[b.Name] = now // an earlier lease holder began to drain it
 		}
 	}
 
-	patience := startupTimeoutFactor * time.Duration(cl.StartupMs) * time.Millisecond
-	since, drains := fd.drainingSince[b.Name]
-	isDrained := drains && (!isSeen || (info.Running == 0 && info.State == pool.StateDraining) || now > since+drainTimeout)
-	isLost := !isSeen && now > fd.lastSeen[b.Name]+patience
+	startupTimeout := startupTimeoutFactor * time.Duration(cl.StartupMs) * time.Millisecond
+	since, isDraining := fd.drainingSince[b.Name]
+	isDrained := isDraining && (!isSeen || (info.Running == 0 && info.State == pool.StateDraining) || now > since+drainTimeout)
+	isLost := !isSeen && now > fd.lastSeen[b.Name]+startupTimeout
 	if !isDrained && !isLost {
 		return false
 	}
 	if isLost {
-		fd.ga.cfg.Log.WithFields(log.Fields{"server": b.Name, "order": b.OrderID}).Warn("ordered backend server was not seen, it is given back")
+		fd.ga.cfg.Log.WithFields(log.Fields{"server": b.Name, "order": b.OrderID}).Warn("ordered backend server is absent for too long, it will be stopped")
 	}
 	fd.placeOrder(ctx, held, order.Intent{Kind: order.KindStop, Class: b.Class, FailureDomain: b.FailureDomain, Server: b.Name})
 	delete(fd.drainingSince, b.Name)
@@ -234,8 +234,8 @@
 	ga.fleetReasons[class] = why
 }
 
-// ExplainFleet returns the reason of the last decision on each class, empty where
-// this gateway does not hold the lease.
+// ExplainFleet returns the reason of this gateway's last decision on each class. It
+// is empty on a gateway that never held the fleet lease.
 func (ga *Gateway) ExplainFleet() map[string]string {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -34,18 +34,19 @@
 	Timeout        time.Duration
 }
 
-// Reply is the answer of a plain service on its way to the caller.
+// Reply holds the callbacks that pass the answer of a plain service to the caller.
 type Reply struct {
 	Head func(requestID string, status int, h http.Header)
 	Body func(b []byte) error
 }
 
-// privateHeaders carry keys or belong to this hop and never reach a backend server.
+// privateHeaders carry keys or concern only the hop from the caller to the gateway.
+// They are never sent to a backend server.
 var privateHeaders = []string{
 	"Authorization", "X-Api-Key", "Api-Key", "Cookie", "X-Timeout-Ms", "X-Workspace", "Forwarded", "X-Forwarded-For",
 }
 
-// maxRecordedBody bounds the answers that are recorded for resends.
+// maxRecordedBody limits the bodies, in bytes, that are recorded for resends.
 const maxRecordedBody = 256 << 10
 
 // Forward runs a request to a plain service.
@@ -74,8 +75,9 @@
 	return f.runOnce(ctx)
 }
 
-// scrub removes what only this hop may see, and refuses a request that carries
-// the caller's key where it cannot be removed.
+// scrub removes hop-by-hop headers, privateHeaders and header values that contain
+// the caller's key. It refuses a request that carries the key in the path, the query
+// or the body, where it cannot be removed.
 func scrub(fo *Forward) error {
 	h := http.Header{}
 	for name, values := range fo.Header {
@@ -91,7 +93,7 @@
 	fo.Header = h
 	if s := fo.Caller.Secret; s != "" {
 		if containsSecret(fo.Query, s) || containsSecret(fo.Path, s) || bytes.Contains(fo.Body, []byte(s)) {
-			return result.New(result.KeyInRequest, "the caller's key stands in the path, the query or the body")
+			return result.New(result.KeyInRequest, "the caller's key must not appear in the path, the query or the body")
 		}
 	}
 
@@ -108,7 +110,7 @@
 	return false
 }
 
-// isListed reports whether a Connection header names the header as hop-by-hop.
+// isListed reports whether a Connection header lists name as hop-by-hop.
 func isListed(connection []string, name string) bool {
 	for _, line := range connection {
 		for _, n := range strings.Split(line, ",") {
@@ -123,7 +125,7 @@
 
 func containsSecret(s, secret string) bool { return secret != "" && strings.Contains(s, secret) }
 
-// forward is one request to a plain service on its way through attempts.
+// forward is the state of one request to a plain service across its attempts.
 type forward struct {
 	placement
 	fo       Forward
@@ -131,7 +133,7 @@
 	headSent bool
 }
 
-// run makes attempts until one ends the request.
+// run makes attempts until one succeeds or no retry is allowed.
 func (f *forward) run(ctx context.Context) error {
 	key := f.fo.RouteName + "/" + f.fo.Caller.Workspace
 	f.ga.mu.Lock()
@@ -145,7 +147,7 @@
 		}
 		er := result.From(err)
 		if f.headSent {
-			return er.With(result.Ran) // the caller has seen a part: its connection ends short
+			return er.With(result.Ran) // part of the answer was sent: the caller's connection is cut
 		}
 		de := f.ga.awaitRetry(ctx, retry.Attempt{
 			Key: key, Number: n, MaxRetries: f.fo.Route.Retries, IsRepeatable: f.fo.Route.Repeatable,
@@ -191,8 +193,9 @@
 	return f.receiveAnswer(ctx, st.Recv)
 }
 
-// receiveAnswer takes the answer. The head is passed on with the first part, so that an
-// answer that breaks before it can be tried again.
+// receiveAnswer forwards the answer to the caller. It holds the status and headers
+// back until the first part of the body arrives, so that the request can still be
+// retried if the answer breaks off before.
 func (f *forward) receiveAnswer(ctx context.Context, recv func(m message) error) error {
 	var head wire.ForwardPart
 	for {
@@ -200,7 +203,7 @@
 		err := recv(&part)
 		if errors.Is(err, io.EOF) {
 			if head.GetStatus() == 0 {
-				return result.New(result.BackendAnswerBroken, "the answer has no head").With(result.Unknown)
+				return result.New(result.BackendAnswerBroken, "the backend server's answer ended without a status").With(result.Unknown)
 			}
 			f.forwardHead(&head)
 
@@ -216,7 +219,7 @@
 		}
 		f.forwardHead(&head)
 		if err := f.rep.Body(part.GetBody()); err != nil {
-			return result.New(result.DeadlinePassed, "the caller has gone: %v", err).With(result.Unknown)
+			return result.New(result.DeadlinePassed, "the caller disconnected: %v", err).With(result.Unknown)
 		}
 	}
 }
@@ -234,9 +237,9 @@
 	f.rep.Head(f.id, int(head.GetStatus()), h)
 }
 
-// runOnce runs a request that may not be repeated under its idempotency key. The
-// intent is committed before anything is sent, so that a resend through any
-// gateway gets the recorded answer or learns that the first run may have happened.
+// runOnce runs a non-repeatable request under its idempotency key. The intent is
+// committed before anything is sent, so that a resend through any gateway receives
+// the recorded answer, or an error saying that the first request may have run.
 func (f *forward) runOnce(ctx context.Context) error {
 	key := f.fo.Caller.Workspace + "/" + f.fo.RouteName + "/" + f.fo.IdempotencyKey
 	var re call.Record
@@ -244,7 +247,7 @@
 		Key: key, Digest: f.fingerprint, Owner: f.id, Gateway: f.ga.cfg.Settings.PeerAddress,
 	}, &re)
 	if err != nil {
-		return result.From(err).With(result.NotRun) // nothing was sent under this request
+		return result.From(err).With(result.NotRun) // nothing was sent to a backend server
 	}
 	if re.Owner != f.id {
 		return f.replay(ctx, &re)
@@ -255,7 +258,7 @@
 	rec := &recorder{rep: f.rep}
 	f.rep = rec.reply()
 	err = f.run(ctx)
-	// The outcome is committed even if the caller has gone meanwhile.
+	// Commit the outcome even if the caller has disconnected.
 	cctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), endCallTimeout)
 	defer cancel()
 	switch {
@@ -292,14 +295,15 @@
 		return f.rep.Body(re.Body)
 	}
 	if f.ga.isCallRunning(ctx, re) {
-		return result.New(result.CallInFlight, "the first request with this idempotency key runs on another connection").
+		return result.New(result.CallInFlight, "the first request with this idempotency key is still running").
 			With(result.Unknown).After(time.Second)
 	}
 
-	return result.New(result.CallOutcomeUnknown, "the first request with this idempotency key may have run").With(result.Unknown)
+	return result.New(result.CallOutcomeUnknown, "the first request with this idempotency key may have run; its outcome is unknown").With(result.Unknown)
 }
 
-// recorder keeps an answer until it is committed; a large one passes through.
+// recorder buffers an answer until it is committed. An answer larger than
+// maxRecordedBody is not recorded and passes through unbuffered.
 type recorder struct {
 	rep      Reply
 	status   int
@@ -336,12 +340,12 @@
 	}
 }
 
-// flush passes on what was kept.
+// flush sends the buffered answer to the caller, once.
 func (re *recorder) flush(id string) {
 	if re.flushed {
 		return
 	}
 	re.flushed = true
 	re.rep.Head(id, re.status, re.header)
-	_ = re.rep.Body(re.body.Bytes()) // a caller that has gone fetches the record with its key
+	_ = re.rep.Body(re.body.Bytes()) // a caller that has disconnected can fetch the record by resending with its idempotency key
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,4 +1,4 @@
-// Package gateway joins the cores and the group into what an entry VM runs: it
+// Package gateway implements the gateway process, which runs on each entry VM. It
 // authenticates callers, places their requests on backend servers, drives rollout
 // steps and, under leases, orders backend servers, swaps weights and reports usage.
 package gateway
@@ -34,17 +34,17 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// leaseReleasePoll is how often a stopping gateway looks whether its leases are released.
+// leaseReleasePoll is how often a stopping gateway checks whether its leases are released.
 const leaseReleasePoll = 50 * time.Millisecond
 
-// Config builds a Gateway.
+// Config configures a Gateway.
 type Config struct {
 	Settings   settings.Gateway
 	Files      storage.Files
 	Log        log.Interface
 	Meter      *meter.Meter
 	WallMs     func() int64
-	PeerConfig peer.Config // TLS and bind; hello and handlers are filled in
+	PeerConfig peer.Config // TLS and bind address; New fills in the hello and the handlers
 }
 
 // Gateway is one gateway process without its listeners for callers and operators.
@@ -63,22 +63,22 @@
 	limiter        *admission.Limiter
 	budget         *retry.Budget
 	activeRequests map[*activeRequest]struct{}
-	runningCalls   map[string]struct{} // requests that may not be repeated and run here
-	fleetReasons   map[string]string   // class to the reason of the last decision
+	runningCalls   map[string]struct{} // IDs of non-repeatable requests that run on this gateway
+	fleetReasons   map[string]string   // by class, the reason of the last fleet decision
 
-	suspects map[string]chan struct{} // fingerprints that run as suspects, closed at their end
+	suspects map[string]chan struct{} // by fingerprint, closed when the running suspect request ends
 
-	reportPeriod atomic.Int64 // time.Duration, grows with the backend servers in view
+	reportPeriod atomic.Int64 // time.Duration, grows with the number of backend servers in the pools
 
 	stopping atomic.Bool
-	stopped  chan struct{} // closed when the lease duties must let go
+	stopped  chan struct{} // closed when the leases must be released
 
 	weightStore *weightstore.Client
 	ordering    *ordering.Client
 	usageSink   *usagesink.Client
 }
 
-// New loads the state and listens for peers.
+// New loads the stored state and starts listening for peers. Run serves them.
 func New(cfg Config) (*Gateway, error) {
 	se := cfg.Settings
 	ga := &Gateway{
@@ -158,7 +158,7 @@
 
 func (ga *Gateway) now() time.Duration { return time.Since(ga.startedAt) }
 
-// Group returns the gateway's part in the group.
+// Group returns the gateway's replica of the group state.
 func (ga *Gateway) Group() *group.Group { return ga.group }
 
 // Rollouts returns the driver of steps.
@@ -173,7 +173,7 @@
 // PeerAddress returns the address that peers connect to.
 func (ga *Gateway) PeerAddress() string { return ga.listener.Address() }
 
-// Run takes part until ctx ends; StopDuties comes first in a graceful end.
+// Run runs the gateway until ctx ends. For a graceful shutdown, call StopDuties first.
 func (ga *Gateway) Run(ctx context.Context) error {
 	defer ga.listener.Close()
 
@@ -190,8 +190,8 @@
 
 	run(func() { _ = ga.listener.Serve() })
 	run(func() { ga.rollouts.Run(ctx) })
-	for _, jo := range ga.periodicTasks() {
-		run(func() { jo.loop(ctx) })
+	for _, pt := range ga.periodicTasks() {
+		run(func() { pt.loop(ctx) })
 	}
 	if ga.group.HasDisk() {
 		for _, du := range ga.duties() {
@@ -206,7 +206,8 @@
 	return err
 }
 
-// StopDuties releases the leases and gives the lead of the group away.
+// StopDuties releases the leases and transfers leadership of the group if this
+// gateway is the leader.
 func (ga *Gateway) StopDuties(ctx context.Context) {
 	ga.BeginShutdown()
 	for ctx.Err() == nil && ga.holdsLease() {
@@ -258,7 +259,7 @@
 	return po
 }
 
-// Pools returns all pools by what they serve.
+// Pools returns all pools by the model or plain service that they serve.
 func (ga *Gateway) Pools() map[string]*pool.Pool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -286,21 +287,21 @@
 	return v.Sequence
 }
 
-// newRequestID returns an ID that no other request has.
+// newRequestID returns an ID that is unique across gateways and restarts.
 func (ga *Gateway) newRequestID() string {
 	return fmt.Sprintf("%016x-%x", ga.instance, ga.requestCount.Add(1))
 }
 
-// Ready returns why the balancer should not send callers here, or nil.
+// Ready returns an error if the load balancer should not send callers here.
 func (ga *Gateway) Ready() error {
 	if ga.stopping.Load() {
-		return result.New(result.ShuttingDown, "gateway %s: shuts down", ga.cfg.Settings.Name)
+		return result.New(result.ShuttingDown, "gateway %s is shutting down", ga.cfg.Settings.Name)
 	}
 
 	return ga.group.Fresh()
 }
 
-// BeginShutdown makes the health check fail; new work is still taken.
+// BeginShutdown makes Ready fail and has the leases released. New work is still accepted.
 func (ga *Gateway) BeginShutdown() {
 	if ga.stopping.CompareAndSwap(false, true) {
 		close(ga.stopped)
--- a/internal/gateway/jobs.go
+++ b/internal/gateway/jobs.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// periodicTask is work that is done again and again while the gateway runs.
+// periodicTask is work that is repeated while the gateway runs.
 type periodicTask struct {
 	name   string
 	period time.Duration
 	do     func()
-	wake   func() <-chan struct{} // nil for none
+	wake   func() <-chan struct{} // returns a channel whose closing starts the next run at once; nil for none
 }
 
-// periodicTasks lists the periodic work of every gateway.
+// periodicTasks returns the periodic work of every gateway.
 func (ga *Gateway) periodicTasks() []periodicTask {
 	return []periodicTask{
 		{name: "sweepPools", period: 200 * time.Millisecond, do: ga.sweepPools},
@@ -22,27 +22,27 @@
 	}
 }
 
-func (jo periodicTask) loop(ctx context.Context) {
+func (pt periodicTask) loop(ctx context.Context) {
 	for ctx.Err() == nil {
 		var wake <-chan struct{}
-		if jo.wake != nil {
-			wake = jo.wake()
+		if pt.wake != nil {
+			wake = pt.wake()
 		}
-		jo.do()
+		pt.do()
 		select {
-		case <-time.After(jo.period):
+		case <-time.After(pt.period):
 		case <-wake:
 		case <-ctx.Done():
 		}
 	}
 }
 
-// Load reports keep to a budget, so that a gateway's control traffic stays the
-// same however many backend servers it sees. Its own requests in flight carry the
-// scheduling between two reports.
+// Load reports share a traffic budget, so that a gateway's control traffic does not
+// grow with the number of backend servers. Between two reports the gateway schedules
+// by its own requests in flight.
 const (
-	reportBytesPerSecond = 2500 // bytes a second that a gateway receives
-	bytesPerReport       = 200  // of one report with its reply
+	reportBytesPerSecond = 2500 // received by one gateway
+	bytesPerReport       = 200  // one report with its reply
 	minReportPeriod      = 500 * time.Millisecond
 )
 
--- a/internal/gateway/operator.go
+++ b/internal/gateway/operator.go
@@ -11,11 +11,11 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// maxPatchAttempts is how often a change made by the product itself is made anew
-// against a newer version.
+// maxPatchAttempts limits how often a change made by the gateway itself is retried
+// because the configuration changed in between.
 const maxPatchAttempts = 20
 
-// Patch takes an operator's patch.
+// Patch proposes an operator's patch to the group.
 func (ga *Gateway) Patch(ctx context.Context, pa declaration.Patch) (declaration.Answer, error) {
 	var an declaration.Answer
 	err := ga.group.Propose(ctx, machine.KindPatch, pa, &an)
@@ -23,7 +23,8 @@
 	return an, err
 }
 
-// proposeChange makes a patch against the current version, and anew when another one came first.
+// proposeChange proposes the operations that ops returns for the current
+// configuration, and retries against the newer version if another patch came first.
 func (ga *Gateway) proposeChange(ctx context.Context, author string, ops func(set *declaration.Set) ([]declaration.Op, error)) (declaration.Answer, error) {
 	base := ga.group.View().Version
 	for n := range maxPatchAttempts {
@@ -43,10 +44,10 @@
 		base = ga.group.View().Version
 	}
 
-	return declaration.Answer{}, result.New(result.PatchVersionOld, "the configuration changed %d times in between", maxPatchAttempts)
+	return declaration.Answer{}, result.New(result.PatchVersionOld, "the patch was overtaken by other changes in each of %d attempts", maxPatchAttempts)
 }
 
-// waitForVersion waits until the view of this process has reached a version.
+// waitForVersion waits until this process's view has reached the configuration version.
 func (ga *Gateway) waitForVersion(ctx context.Context, version uint64) error {
 	for {
 		changed := ga.group.Changed()
@@ -56,13 +57,13 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return result.New(result.GroupTimeout, "version %d has not arrived here", version)
+			return result.New(result.GroupTimeout, "configuration version %d did not reach this gateway in time", version)
 		}
 	}
 }
 
-// IssueKey makes a key of a workspace and returns its ID and its token, which is
-// shown this once.
+// IssueKey creates a key for a workspace and returns its ID and token. The token is
+// not stored and cannot be retrieved later.
 func (ga *Gateway) IssueKey(ctx context.Context, author, workspace, note string, expiresMs int64) (id, token string, err error) {
 	id, secret, token, err := declaration.NewKey()
 	if err != nil {
@@ -76,7 +77,7 @@
 	return id, token, err
 }
 
-// WithdrawKey ends a key.
+// WithdrawKey marks a key as withdrawn.
 func (ga *Gateway) WithdrawKey(ctx context.Context, author, id string) (declaration.Answer, error) {
 	return ga.proposeChange(ctx, author, func(set *declaration.Set) ([]declaration.Op, error) {
 		ke, ok := set.Keys[id]
@@ -92,7 +93,8 @@
 	})
 }
 
-// PushVersion declares a new weight version of a model for a trainer.
+// PushVersion declares a weight version of a model for a trainer, or returns the
+// existing one of that name.
 func (ga *Gateway) PushVersion(ctx context.Context, workspace, model, name, source string) (declaration.Version, error) {
 	var ve declaration.Version
 	_, err := ga.proposeChange(ctx, "trainer of "+workspace, func(set *declaration.Set) ([]declaration.Op, error) {
@@ -129,7 +131,7 @@
 	return []declaration.Op{{Path: kind + "/" + name, Value: b}}, err
 }
 
-// ReleaseFingerprint ends a quarantine.
+// ReleaseFingerprint releases a fingerprint from quarantine.
 func (ga *Gateway) ReleaseFingerprint(ctx context.Context, fp string) error {
 	return ga.group.Propose(ctx, machine.KindRelease, quarantine.Release{Fingerprint: fp}, nil)
 }
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -9,8 +9,8 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// placement is what the attempts of one request share: where it may run, what is
-// known of its fingerprint, and which backend servers failed it.
+// placement is the state that the attempts of one request share: where it may run,
+// whether its fingerprint is suspect, and which backend servers failed it.
 type placement struct {
 	ga          *Gateway
 	po          *pool.Pool
@@ -27,8 +27,8 @@
 	exclude     []string
 }
 
-// place waits for the request's turn and for a backend server. The returned
-// function ends the turn of a suspect.
+// place waits in the queue for a slot on a backend server. The returned function
+// lets the next request with the same suspect fingerprint run.
 func (pl *placement) place(ctx context.Context) (*pool.Grant, func(), error) {
 	done, err := pl.ga.admitFingerprint(ctx, pl.fingerprint, &pl.suspect)
 	if err != nil {
@@ -54,11 +54,13 @@
 	return gr, done, nil
 }
 
-// release gives the slot back and remembers what a failure says of the server.
+// release frees the slot, records the outcome for the backend server, and excludes
+// the server from later attempts after a failure.
 func (pl *placement) release(gr *pool.Grant, err error) {
 	if err == nil {
 		gr.Release(pool.Succeeded)
-		// Whatever ran to its end is innocent, also when it did not know of the suspicion.
+		// A request that ran to its end clears its fingerprint, even if the fingerprint
+		// became suspect only while it ran.
 		pl.ga.clearSuspect(pl.fingerprint)
 
 		return
@@ -75,7 +77,8 @@
 	pl.exclude = append(pl.exclude, gr.Server().Name())
 }
 
-// receiveError turns a failure while an answer was read into the one that ended ctx, if it did.
+// receiveError returns the error of a failed read of an answer: the cause of ctx's
+// end if ctx has ended, otherwise err.
 func receiveError(ctx context.Context, err error) error {
 	if er := cancelCause(ctx); er != nil {
 		return er.With(result.Unknown)
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -21,7 +21,7 @@
 
 type message = proto.Message
 
-// Methods of calls between gateways.
+// Methods of peer calls between gateways.
 const (
 	methodDemand  = "gateway.demand"
 	methodRunning = "gateway.running"
@@ -29,7 +29,7 @@
 
 const groupCallTimeout = 2 * time.Second
 
-// serverHandlers returns the calls of agents and other gateways.
+// serverHandlers returns the handlers for calls from agents and other gateways.
 func (ga *Gateway) serverHandlers() peer.Mux {
 	return peer.Mux{
 		agent.MethodAnnounce: ga.handleAnnounce,
@@ -42,8 +42,8 @@
 	}
 }
 
-// windowSeconds returns the length of usage windows, 0 before the first declarations
-// have come here.
+// windowSeconds returns the length of usage windows, or 0 before the view holds any
+// declarations.
 func windowSeconds(vi *group.View) uint32 {
 	if vi.Version == 0 {
 		return 0
@@ -62,7 +62,7 @@
 		return err
 	}
 	if an.GetServer() == "" || an.GetModel()+an.GetService() == "" {
-		return result.New(result.InvalidField, "announce: server and what it serves must be set")
+		return result.New(result.InvalidField, "announce: the server's name and its model or service must be set")
 	}
 
 	se := st.Session()
@@ -113,7 +113,7 @@
 		return err
 	}
 	if tooOld > 0 {
-		ga.cfg.Log.WithFields(log.Fields{"agent": rq.GetAgent(), "counters": tooOld}).Warn("usage of windows that are too old is not reported")
+		ga.cfg.Log.WithFields(log.Fields{"agent": rq.GetAgent(), "counters": tooOld}).Warn("usage counters dropped: their windows are too old")
 	}
 
 	return nil
@@ -131,8 +131,8 @@
 	}, nil)
 }
 
-// lockSuspect waits until no other request with the fingerprint runs as a suspect
-// on this gateway, so that one request does not crash a fleet at once.
+// lockSuspect waits until no other request with the fingerprint runs as a suspect on
+// this gateway, so that identical requests cannot crash many backend servers at once.
 func (ga *Gateway) lockSuspect(ctx context.Context, fp string) (func(), error) {
 	for {
 		ga.mu.Lock()
@@ -153,13 +153,13 @@
 		select {
 		case <-busy:
 		case <-ctx.Done():
-			return nil, result.New(result.DeadlinePassed, "fingerprint %s is suspect and waits for its turn", fp)
+			return nil, result.New(result.DeadlinePassed, "fingerprint %s is suspect: the deadline passed while another request with it ran", fp)
 		}
 	}
 }
 
-// admitFingerprint refuses a quarantined fingerprint. A suspect waits for its turn; the
-// returned function ends it.
+// admitFingerprint refuses a quarantined fingerprint. A suspect one waits until no
+// other request with it runs here; the returned function lets the next one run.
 func (ga *Gateway) admitFingerprint(ctx context.Context, fp string, suspect *bool) (func(), error) {
 	if err := ga.checkQuarantine(fp, suspect); err != nil {
 		return nil, err
@@ -172,8 +172,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// A suspect is rare and may take a backend server with it: it runs only on the
-	// group's latest word, which may have convicted it a moment ago.
+	// The local view may lag behind a verdict that quarantines the fingerprint. Suspects
+	// are rare and may crash a backend server, so waiting for the latest state is worth it.
 	if ga.group.HasDisk() {
 		if err := ga.group.Barrier(ctx); err != nil {
 			unlock()
@@ -187,7 +187,7 @@
 
 		return nil, err
 	}
-	if !*suspect { // cleared meanwhile by the one before
+	if !*suspect { // the request before it ran to its end and cleared the fingerprint
 		unlock()
 
 		return func() {}, nil
@@ -196,8 +196,8 @@
 	return unlock, nil
 }
 
-// clearSuspect tells the group that a suspect has run to its end, before the next
-// request with the fingerprint has its turn.
+// clearSuspect records in the group that a request with a suspect fingerprint ran to
+// its end. It returns before the next request with that fingerprint may start.
 func (ga *Gateway) clearSuspect(fp string) {
 	if _, ok := ga.group.View().Quarantine[fp]; !ok {
 		return
@@ -215,7 +215,7 @@
 		return err
 	}
 	if !ga.group.HasDisk() {
-		return result.New(result.NotLeader, "gateway %s: holds no leases", ga.cfg.Settings.Name)
+		return result.New(result.NotLeader, "gateway %s has no disk and cannot answer for leases", ga.cfg.Settings.Name)
 	}
 	if err := ga.group.Barrier(ctx); err != nil {
 		return err
@@ -227,7 +227,7 @@
 	return st.Reply(&rep)
 }
 
-// handleDemand answers with the demand on one pool since the last call.
+// handleDemand returns the demand on one pool. Refused requests count since the last call.
 func (ga *Gateway) handleDemand(_ context.Context, st *peer.Stream) error {
 	var rq wire.QueryRequest
 	if err := st.Request(&rq); err != nil {
@@ -238,7 +238,7 @@
 	return st.Reply(&wire.Load{Running: uint32(de.Running), Queued: uint32(de.Waiting)})
 }
 
-// trackCall remembers which requests that may not be repeated run here.
+// trackCall records that a non-repeatable request begins or ends on this gateway.
 func (ga *Gateway) trackCall(id string, runs bool) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -265,13 +265,14 @@
 		return err
 	}
 	if !ga.isCallRunningHere(rq.GetKind()) {
-		return result.New(result.UnknownObject, "call %s does not run here", rq.GetKind())
+		return result.New(result.UnknownObject, "call %s is not running on this gateway", rq.GetKind())
 	}
 
 	return nil
 }
 
-// isCallRunning asks the gateway of a call whether it still runs.
+// isCallRunning reports whether the gateway that began a call still runs it. An
+// unreachable gateway counts as not running it.
 func (ga *Gateway) isCallRunning(ctx context.Context, re *call.Record) bool {
 	if re.Gateway == ga.cfg.Settings.PeerAddress {
 		return ga.isCallRunningHere(re.Owner)
--- a/internal/gateway/servers_test.go
+++ b/internal/gateway/servers_test.go
@@ -13,7 +13,7 @@
 
 func TestSuite(t *testing.T) { suite.Run(t, "gateway") }
 
-var _ = ginkgo.Describe("the length of usage windows that agents are told", func() {
+var _ = ginkgo.Describe("the length of usage windows that is sent to agents", func() {
 	declared := declaration.NewSet()
 	declared.Windows[declaration.WindowName] = declaration.Window{LengthSeconds: 3, GraceSeconds: 2}
 	for _, tc := range []struct {
@@ -23,7 +23,7 @@
 	}{
 		{"is the declared one", group.View{Version: 7, Set: declared}, 3},
 		{"is the default where none is declared", group.View{Version: 7, Set: declaration.NewSet()}, 3600},
-		{"is not known before the first declarations have come", group.View{Set: declaration.NewSet()}, 0},
+		{"is 0 (unknown) before the view holds any declarations", group.View{Set: declaration.NewSet()}, 0},
 	} {
 		ginkgo.It(tc.name, func() { Expect(windowSeconds(&tc.view)).To(Equal(tc.want)) })
 	}
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -11,8 +11,9 @@
 
 const millisPerSecond = 1000
 
-// reportUsage closes windows that are over and reports closed ones, oldest first.
-// The figures are committed before they are sent, and only they are ever sent.
+// reportUsage closes windows that have ended and reports closed windows, oldest
+// first. Closing commits a window's figures before they are sent, so that a repeated
+// report always carries the same figures.
 func (ga *Gateway) reportUsage(ctx context.Context, held leaseCheck) {
 	if ga.usageSink == nil {
 		return
@@ -27,13 +28,13 @@
 	ga.group.Read(func(ma *machine.Machine) {
 		closed, unreported = ma.Usage().Closed(), ma.Usage().Unreported()
 	})
-	over := uint64((ga.cfg.WallMs()/millisPerSecond-int64(wi.GraceSeconds))/int64(wi.LengthSeconds)) - 1
+	lastEnded := uint64((ga.cfg.WallMs()/millisPerSecond-int64(wi.GraceSeconds))/int64(wi.LengthSeconds)) - 1
 	fencing, ok := held()
 	if !ok {
 		return
 	}
-	if over > closed {
-		if err := ga.group.Propose(ctx, machine.KindCloseWindow, usage.Close{Window: over, Fencing: fencing}, nil); err != nil {
+	if lastEnded > closed {
+		if err := ga.group.Propose(ctx, machine.KindCloseWindow, usage.Close{Window: lastEnded, Fencing: fencing}, nil); err != nil {
 			return
 		}
 	}
--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -22,13 +22,13 @@
 	describeTimeout = time.Second
 )
 
-// weightsDuty brings the engines of each model to its latest version.
+// weightsDuty swaps the engines of each model to its latest weight version.
 type weightsDuty struct {
 	ga *Gateway
 
 	mu          sync.Mutex
 	planners    map[string]*weights.Planner
-	storeLimits map[string]int // by version, what the store serves at once; 0 unknown
+	storeLimits map[string]int // by version, concurrent downloads that the weight store allows; 0 if unknown
 	orderCount  uint64
 	fencing     uint64
 }
@@ -73,8 +73,9 @@
 	}
 }
 
-// takeOver settles what an earlier holder left open: orders to engines are
-// idempotent and the engines' own word says how they ended.
+// takeOver settles the intents that earlier lease holders left open. Their outcome
+// need not be known: orders to engines are idempotent, and the engines report the
+// version that they run.
 func (wd *weightsDuty) takeOver(ctx context.Context, fencing uint64) {
 	var open []order.Intent
 	wd.ga.group.Read(func(ma *machine.Machine) { open = ma.Orders().Unsettled() })
@@ -82,7 +83,7 @@
 		if in.Lease == agent.LeaseWeights && in.Fencing < fencing {
 			_ = wd.ga.group.Propose(ctx, machine.KindSettleIntent, order.Settle{
 				ID: in.ID, Lease: agent.LeaseWeights, Fencing: fencing, Outcome: "left by an earlier holder",
-			}, nil) // the intent stays open until the next term otherwise
+			}, nil) // on failure the intent stays open until the next holder takes over
 		}
 	}
 	wd.mu.Lock()
@@ -90,7 +91,7 @@
 	wd.mu.Unlock()
 }
 
-// planner returns the planner of a model; wd.mu is held.
+// planner returns the planner of a model. The caller must hold wd.mu.
 func (wd *weightsDuty) planner(model string) *weights.Planner {
 	pl, ok := wd.planners[model]
 	if !ok {
@@ -101,7 +102,8 @@
 	return pl
 }
 
-// waveSize returns how many engines may load at once, 0 while the store does not know the version.
+// waveSize returns how many engines may load the version at once, or 0 if the weight
+// store cannot describe it.
 func (wd *weightsDuty) waveSize(ctx context.Context, mo declaration.Model, ve declaration.Version) int {
 	if wd.ga.weightStore == nil {
 		return mo.SwapWave
@@ -128,7 +130,7 @@
 	return min(n, mo.SwapWave)
 }
 
-// executeAction commits the intent of an order, gives it through the agent and settles it.
+// executeAction sends the order of an action and reports the result to the planner.
 func (wd *weightsDuty) executeAction(ctx context.Context, held leaseCheck, model string, mo declaration.Model, ac weights.Action) {
 	err := wd.sendOrder(ctx, held, model, mo, ac)
 	wd.mu.Lock()
@@ -136,7 +138,7 @@
 	wd.mu.Unlock()
 	if err != nil {
 		wd.ga.cfg.Meter.Count("swaps.failed")
-		wd.ga.cfg.Log.WithFields(log.Fields{"server": ac.Server, "order": ac.Kind, "version": ac.Version}).WithError(err).Warn("order failed")
+		wd.ga.cfg.Log.WithFields(log.Fields{"server": ac.Server, "order": ac.Kind, "version": ac.Version}).WithError(err).Warn("order to backend server failed")
 	}
 }
 
@@ -157,7 +159,7 @@
 	if err := wd.ga.group.Propose(ctx, machine.KindOpenIntent, order.Open{Intent: in}, nil); err != nil {
 		return err
 	}
-	// The process may have been paused since: the lease is looked at again right before the order.
+	// Check the lease again right before the order: the process may have been paused meanwhile.
 	if f, ok := held(); !ok || f != fencing {
 		return leaseLost(agent.LeaseWeights)
 	}
