--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -24,9 +24,9 @@
 	defaultRetryAfter = 100 * time.Millisecond
 	// configRetryAfter is told before the first configuration has arrived.
 	configRetryAfter = 500 * time.Millisecond
-	// suspectFactor times the latency objective is how long a repeatable request
+	// attemptTimeoutFactor times the latency objective is how long a repeatable request
 	// waits for one backend server before another is tried.
-	suspectFactor = 2
+	attemptTimeoutFactor = 2
 )
 
 // Config builds an Ingress.
@@ -85,23 +85,23 @@
 	return ws, nil
 }
 
-// attempt is the state of one request on its way.
-type attempt struct {
-	in        *Ingress
-	rq        *Request
-	ro        *routing.Route
-	workspace string
-	began     time.Time // when the request arrived
-	until     time.Time // when the client must have its answer
-	tried     []string  // backend servers that were picked for it
-	sent      int       // how many of them it reached, or may have reached
-	mayHave   bool      // the request may have run
-	lastErr   error
-	failure   *whole // the last answer of a backend server that says it failed
-	version   uint64 // of the configuration that decided
+// requestState is the state of one request on its way.
+type requestState struct {
+	in            *Ingress
+	rq            *Request
+	ro            *routing.Route
+	workspace     string
+	began         time.Time // when the request arrived
+	deadline      time.Time // when the client must have its answer
+	tried         []string  // backend servers that were picked for it
+	sentCount     int       // how many of them it reached, or may have reached
+	mayHaveRun    bool      // the request may have run
+	lastErr       error
+	failedAnswer  *completeAnswer // the last answer of a backend server that says it failed
+	configVersion uint64          // of the configuration that decided
 }
 
-type whole struct {
+type completeAnswer struct {
 	answer *backend.Answer
 	body   []byte
 }
@@ -110,47 +110,47 @@
 func (in *Ingress) Serve(ctx context.Context, rq *Request, sink *Sink) error {
 	ro, ws, err := in.Admit(rq.Host, rq.Path, rq.Key)
 	if err != nil {
-		in.tell(&attempt{rq: rq}, "refused", err)
+		in.logOutcome(&requestState{rq: rq}, "refused", err)
 
 		return err
 	}
 
-	at := &attempt{in: in, rq: rq, ro: ro, began: rq.Arrived, version: in.cfg.Table().Version()}
+	rs := &requestState{in: in, rq: rq, ro: ro, began: rq.Arrived, configVersion: in.cfg.Table().Version()}
 	if ws != nil {
-		at.workspace = ws.Name
+		rs.workspace = ws.Name
 	}
 	wait := ro.Timeout
 	if rq.Patient > 0 {
 		wait = min(wait, rq.Patient)
 	}
-	at.until = rq.Arrived.Add(wait)
-	ctx, cancel := context.WithDeadline(ctx, at.until.Add(-answerMargin))
+	rs.deadline = rq.Arrived.Add(wait)
+	ctx, cancel := context.WithDeadline(ctx, rs.deadline.Add(-answerMargin))
 	defer cancel()
 
 	if ro.IsStreaming {
-		err = at.stream(ctx, sink)
+		err = rs.serveStream(ctx, sink)
 	} else {
-		err = at.whole(ctx, sink)
+		err = rs.serveComplete(ctx, sink)
 	}
 	if err != nil {
-		in.tell(at, "failed", err)
+		in.logOutcome(rs, "failed", err)
 	} else {
-		in.tell(at, "served", nil)
+		in.logOutcome(rs, "served", nil)
 	}
 
 	return err
 }
 
-func (in *Ingress) tell(at *attempt, outcome string, err error) {
-	took := time.Since(at.rq.Arrived)
+func (in *Ingress) logOutcome(rs *requestState, outcome string, err error) {
+	took := time.Since(rs.rq.Arrived)
 	in.cfg.Meter.Time("request", took)
 	in.cfg.Meter.Count("request." + outcome)
 	fl := log.Fields{
-		"request": at.rq.ID, "outcome": outcome, "ms": took.Milliseconds(), "servers": at.tried,
-		"workspace": at.workspace, "configVersion": at.version,
+		"request": rs.rq.ID, "outcome": outcome, "ms": took.Milliseconds(), "servers": rs.tried,
+		"workspace": rs.workspace, "configVersion": rs.configVersion,
 	}
-	if at.ro != nil {
-		fl["route"] = at.ro.Name
+	if rs.ro != nil {
+		fl["route"] = rs.ro.Name
 	}
 	if err == nil {
 		in.cfg.Log.WithFields(fl).Info("request ended")
@@ -162,101 +162,101 @@
 	in.cfg.Log.WithFields(fl).Warn("request ended")
 }
 
-// extraPicks bounds the backend servers that could not be reached at all, which
+// maxUnreachablePicks bounds the backend servers that could not be reached at all, which
 // the operator's limit does not count.
-const extraPicks = 3
+const maxUnreachablePicks = 3
 
-// mayRepeat reports whether the request may be sent to one more backend server.
-func (at *attempt) mayRepeat() bool {
-	allowed := max(at.ro.MaxAttempts, 1)
-	if at.sent >= allowed || len(at.tried) >= allowed+extraPicks {
+// canRetry reports whether the request may be sent to one more backend server.
+func (rs *requestState) canRetry() bool {
+	allowed := max(rs.ro.MaxAttempts, 1)
+	if rs.sentCount >= allowed || len(rs.tried) >= allowed+maxUnreachablePicks {
 		return false
 	}
 
-	return !at.mayHave || at.ro.Kind == routing.Repeatable || (at.ro.IsStreaming && at.ro.IsResumable)
+	return !rs.mayHaveRun || rs.ro.Kind == routing.Repeatable || (rs.ro.IsStreaming && rs.ro.IsResumable)
 }
 
-// place picks a backend server, one that was not tried if there is any.
-func (at *attempt) place() (*balance.Grant, error) {
-	service := at.ro.PickTarget(at.in.cfg.Random())
-	rq := &balance.Request{Service: service, Model: at.rq.Model, Exclude: at.tried}
-	if gr := at.in.cfg.Balancer.Acquire(rq); gr != nil {
+// acquireServer picks a backend server, one that was not tried if there is any.
+func (rs *requestState) acquireServer() (*balance.Grant, error) {
+	service := rs.ro.PickTarget(rs.in.cfg.Random())
+	rq := &balance.Request{Service: service, Model: rs.rq.Model, Exclude: rs.tried}
+	if gr := rs.in.cfg.Balancer.Acquire(rq); gr != nil {
 		return gr, nil
 	}
-	if len(at.tried) > 0 {
-		rq.Exclude = at.tried[len(at.tried)-1:]
-		if gr := at.in.cfg.Balancer.Acquire(rq); gr != nil {
+	if len(rs.tried) > 0 {
+		rq.Exclude = rs.tried[len(rs.tried)-1:]
+		if gr := rs.in.cfg.Balancer.Acquire(rq); gr != nil {
 			return gr, nil
 		}
 		rq.Exclude = nil
-		if gr := at.in.cfg.Balancer.Acquire(rq); gr != nil {
+		if gr := rs.in.cfg.Balancer.Acquire(rq); gr != nil {
 			return gr, nil
 		}
 	}
-	if ready, _ := at.in.cfg.Balancer.Count(service, at.rq.Model, 0); ready == 0 {
+	if ready, _ := rs.in.cfg.Balancer.Count(service, rs.rq.Model, 0); ready == 0 {
 		return nil, result.New(result.NoBackendServer, "ingress: no backend server of %s is ready", service).After(defaultRetryAfter)
 	}
 
 	return nil, result.New(result.QueueFull, "ingress: the backend servers of %s are full", service).After(defaultRetryAfter)
 }
 
-func (at *attempt) call(gr *balance.Grant) *backend.Call {
+func (rs *requestState) newCall(gr *balance.Grant) *backend.Call {
 	re := gr.Record()
-	at.tried = append(at.tried, re.ID)
-	at.sent++
+	rs.tried = append(rs.tried, re.ID)
+	rs.sentCount++
 
 	return &backend.Call{
-		ID: at.rq.ID, Method: at.rq.Method, Host: at.rq.Host, Target: at.rq.Target, Header: at.rq.Header, Body: at.rq.Body,
-		Instance: re.ID, Workspace: at.workspace, TimeLeft: time.Until(at.until), Priority: -1, ResumeAfter: at.rq.Resume,
+		ID: rs.rq.ID, Method: rs.rq.Method, Host: rs.rq.Host, Target: rs.rq.Target, Header: rs.rq.Header, Body: rs.rq.Body,
+		Instance: re.ID, Workspace: rs.workspace, TimeLeft: time.Until(rs.deadline), Priority: -1, ResumeAfter: rs.rq.Resume,
 	}
 }
 
-// whole serves a request whose answer is held back until it is complete.
-func (at *attempt) whole(ctx context.Context, sink *Sink) error {
+// serveComplete serves a request whose answer is held back until it is complete.
+func (rs *requestState) serveComplete(ctx context.Context, sink *Sink) error {
 	for {
-		gr, err := at.place()
+		gr, err := rs.acquireServer()
 		if err != nil {
-			at.lastErr = err
+			rs.lastErr = err
 
-			return at.giveUp(sink)
+			return rs.replyFailure(sink)
 		}
-		an, body, err := at.sendWhole(ctx, gr)
-		if err == nil && !at.isFailure(an) {
+		an, body, err := rs.sendComplete(ctx, gr)
+		if err == nil && !rs.isServerFailure(an) {
 			sink.Whole(an, body)
 
 			return nil
 		}
 		if err == nil {
-			at.failure = &whole{an, body}
+			rs.failedAnswer = &completeAnswer{an, body}
 			err = result.New(result.BackendRefused, "ingress: %s answered with status %d", gr.Record().ID, an.Status).With(result.Ran)
 		}
-		at.lastErr = err
-		if ctx.Err() != nil || !at.mayRepeat() {
-			return at.giveUp(sink)
+		rs.lastErr = err
+		if ctx.Err() != nil || !rs.canRetry() {
+			return rs.replyFailure(sink)
 		}
-		at.in.cfg.Meter.Retried(result.Lookup(result.From(err).Code).Name, true)
+		rs.in.cfg.Meter.Retried(result.Lookup(result.From(err).Code).Name, true)
 	}
 }
 
-// isFailure reports whether another backend server might do better. Answers that
+// isServerFailure reports whether another backend server might do better. Answers that
 // blame the request itself are passed on.
-func (at *attempt) isFailure(an *backend.Answer) bool { return an.Status >= 500 }
+func (rs *requestState) isServerFailure(an *backend.Answer) bool { return an.Status >= 500 }
 
-// sendWhole sends the request to one backend server and reads its whole answer.
-func (at *attempt) sendWhole(ctx context.Context, gr *balance.Grant) (*backend.Answer, []byte, error) {
+// sendComplete sends the request to one backend server and reads its whole answer.
+func (rs *requestState) sendComplete(ctx context.Context, gr *balance.Grant) (*backend.Answer, []byte, error) {
 	outcome, load := balance.Failed, (*backend.Load)(nil)
 	defer func() { gr.Release(outcome, load) }()
 
-	ca := at.call(gr)
-	if at.mayRepeatLater() && at.ro.Aim > 0 {
+	ca := rs.newCall(gr)
+	if rs.canRetryAfterThis() && rs.ro.Aim > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, suspectFactor*at.ro.Aim)
+		ctx, cancel = context.WithTimeout(ctx, attemptTimeoutFactor*rs.ro.Aim)
 		defer cancel()
 	}
 	sent := time.Now()
-	an, err := at.in.cfg.Client.Send(ctx, gr.Record().Address, ca)
+	an, err := rs.in.cfg.Client.Send(ctx, gr.Record().Address, ca)
 	if err != nil {
-		at.noteError(err, &outcome, sent)
+		rs.recordSendError(err, &outcome, sent)
 
 		return nil, nil, err
 	}
@@ -268,7 +268,7 @@
 
 		return nil, nil, result.New(result.ServerDraining, "ingress: %s refused with status %d", gr.Record().ID, an.Status).After(defaultRetryAfter)
 	}
-	at.noteBegan(sent)
+	rs.recordStart(sent)
 	body, err := io.ReadAll(io.LimitReader(an.Body, maxAnswerBytes+1))
 	switch {
 	case err != nil:
@@ -286,41 +286,41 @@
 	return an, body, nil
 }
 
-// mayRepeatLater reports whether one more backend server could be tried after this one.
-func (at *attempt) mayRepeatLater() bool {
-	return at.ro.Kind == routing.Repeatable && at.sent < at.ro.MaxAttempts
+// canRetryAfterThis reports whether one more backend server could be tried after this one.
+func (rs *requestState) canRetryAfterThis() bool {
+	return rs.ro.Kind == routing.Repeatable && rs.sentCount < rs.ro.MaxAttempts
 }
 
-func (at *attempt) noteError(err error, outcome *balance.Outcome, sent time.Time) {
+func (rs *requestState) recordSendError(err error, outcome *balance.Outcome, sent time.Time) {
 	if backend.HasRun(err) {
-		at.noteBegan(sent)
+		rs.recordStart(sent)
 	} else {
-		at.sent--
+		rs.sentCount--
 	}
 	if result.Is(err, result.DeadlinePassed) {
 		*outcome = balance.Unused // the client has gone
 	}
 }
 
-// noteBegan counts a request that began to run, once.
-func (at *attempt) noteBegan(sent time.Time) {
-	if !at.mayHave && at.workspace != "" {
-		at.in.cfg.Began(at.workspace, sent)
+// recordStart counts a request that began to run, once.
+func (rs *requestState) recordStart(sent time.Time) {
+	if !rs.mayHaveRun && rs.workspace != "" {
+		rs.in.cfg.Began(rs.workspace, sent)
 	}
-	at.mayHave = true
+	rs.mayHaveRun = true
 }
 
-// giveUp answers with the backend server's own failure, or with a refusal that
+// replyFailure answers with the backend server's own failure, or with a refusal that
 // says whether the request may have run.
-func (at *attempt) giveUp(sink *Sink) error {
-	if at.failure != nil {
-		sink.Whole(at.failure.answer, at.failure.body)
+func (rs *requestState) replyFailure(sink *Sink) error {
+	if rs.failedAnswer != nil {
+		sink.Whole(rs.failedAnswer.answer, rs.failedAnswer.body)
 
 		return nil
 	}
 
-	er := result.From(at.lastErr)
-	if at.mayHave {
+	er := result.From(rs.lastErr)
+	if rs.mayHaveRun {
 		return er.With(result.Unknown)
 	}
 
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -29,7 +29,7 @@
 // reply is what a backend server does with its n-th request, counted over all.
 type reply func(ctx context.Context, ca *backend.Call) (*backend.Answer, error)
 
-func whole(status int, body string) reply {
+func complete(status int, body string) reply {
 	return func(context.Context, *backend.Call) (*backend.Answer, error) {
 		return &backend.Answer{Status: status, Stamp: "s", Header: http.Header{}, Body: io.NopCloser(strings.NewReader(body))}, nil
 	}
@@ -57,7 +57,7 @@
 
 func (brokenBody) Close() error { return nil }
 
-func half(context.Context, *backend.Call) (*backend.Answer, error) {
+func truncated(context.Context, *backend.Call) (*backend.Answer, error) {
 	return &backend.Answer{Status: 200, Stamp: "s", Header: http.Header{}, Body: brokenBody{io.MultiReader(strings.NewReader("ha"), errReader{})}}, nil
 }
 
@@ -123,7 +123,7 @@
 }
 
 var _ = ginkgo.Describe("a request with a whole answer", func() {
-	ok := whole(200, "yes")
+	ok := complete(200, "yes")
 	for _, tc := range []struct {
 		name     string
 		kind     routing.Kind
@@ -139,13 +139,13 @@
 		{"goes to another one when the first says it has not run", routing.AtMostOnce, 3, []reply{notRun, ok}, 200, 0, 2},
 		{"is repeated after a cut where it may be", routing.Repeatable, 3, []reply{cut, ok}, 200, 0, 2},
 		{"is never repeated after a cut where it may not be", routing.AtMostOnce, 3, []reply{cut, ok}, 0, result.Unknown, 1},
-		{"is repeated after half an answer", routing.Repeatable, 3, []reply{half, ok}, 200, 0, 2},
-		{"is not repeated after half an answer where it may not be", routing.AtMostOnce, 3, []reply{half, ok}, 0, result.Unknown, 1},
+		{"is repeated after half an answer", routing.Repeatable, 3, []reply{truncated, ok}, 200, 0, 2},
+		{"is not repeated after half an answer where it may not be", routing.AtMostOnce, 3, []reply{truncated, ok}, 0, result.Unknown, 1},
 		{"leaves a silent backend server in time", routing.Repeatable, 3, []reply{silent, ok}, 200, 0, 2},
 		{"reaches no more backend servers than its route allows", routing.Repeatable, 2, []reply{cut}, 0, result.Unknown, 2},
 		{"is truly refused when nobody ran it", routing.Repeatable, 3, []reply{notRun}, 0, result.NotRun, 3},
-		{"is passed the failure of a backend server when all fail", routing.Repeatable, 2, []reply{whole(500, "no")}, 500, 0, 2},
-		{"is passed the failure at once where it may not be repeated", routing.AtMostOnce, 3, []reply{whole(500, "no"), ok}, 500, 0, 1},
+		{"is passed the failure of a backend server when all fail", routing.Repeatable, 2, []reply{complete(500, "no")}, 500, 0, 2},
+		{"is passed the failure at once where it may not be repeated", routing.AtMostOnce, 3, []reply{complete(500, "no"), ok}, 500, 0, 1},
 		{"is refused at once without any backend server", routing.Repeatable, 3, nil, 0, result.NotRun, 0},
 	} {
 		ginkgo.It(tc.name, func() {
--- a/internal/ingress/stream.go
+++ b/internal/ingress/stream.go
@@ -11,46 +11,46 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// stream serves a request whose answer is a stream of events, which are passed on
-// as they arrive. Where the route allows it, a stream that breaks goes on at
+// serveStream serves a request whose answer is a serveStream of events, which are passed on
+// as they arrive. Where the route allows it, a serveStream that breaks goes on at
 // another backend server after the last event passed on.
-func (at *attempt) stream(ctx context.Context, sink *Sink) error {
+func (rs *requestState) serveStream(ctx context.Context, sink *Sink) error {
 	begun := false
-	last := at.rq.Resume
+	last := rs.rq.Resume
 	for {
-		gr, err := at.place()
+		gr, err := rs.acquireServer()
 		if err == nil {
-			err = at.sendStream(ctx, gr, sink, &begun, &last)
+			err = rs.sendStream(ctx, gr, sink, &begun, &last)
 		}
 		if err == nil {
 			sink.End()
 
 			return nil
 		}
-		at.lastErr = err
-		if ctx.Err() != nil || !at.mayRepeat() || (begun && !at.ro.IsResumable) {
+		rs.lastErr = err
+		if ctx.Err() != nil || !rs.canRetry() || (begun && !rs.ro.IsResumable) {
 			break
 		}
-		at.in.cfg.Meter.Retried(result.Lookup(result.From(err).Code).Name, true)
+		rs.in.cfg.Meter.Retried(result.Lookup(result.From(err).Code).Name, true)
 	}
 	if begun {
-		return result.From(at.lastErr).With(result.Ran)
+		return result.From(rs.lastErr).With(result.Ran)
 	}
 
-	return at.giveUp(sink)
+	return rs.replyFailure(sink)
 }
 
 // sendStream passes on what one backend server streams, up to the regular end.
-func (at *attempt) sendStream(ctx context.Context, gr *balance.Grant, sink *Sink, begun *bool, last *uint64) error {
+func (rs *requestState) sendStream(ctx context.Context, gr *balance.Grant, sink *Sink, begun *bool, last *uint64) error {
 	outcome, load := balance.Failed, (*backend.Load)(nil)
 	defer func() { gr.Release(outcome, load) }()
 
-	ca := at.call(gr)
+	ca := rs.newCall(gr)
 	ca.ResumeAfter = *last
 	sent := time.Now()
-	an, err := at.in.cfg.Client.Send(ctx, gr.Record().Address, ca)
+	an, err := rs.in.cfg.Client.Send(ctx, gr.Record().Address, ca)
 	if err != nil {
-		at.noteError(err, &outcome, sent)
+		rs.recordSendError(err, &outcome, sent)
 
 		return err
 	}
@@ -62,17 +62,17 @@
 
 		return result.New(result.ServerDraining, "ingress: %s refused with status %d", gr.Record().ID, an.Status).After(defaultRetryAfter)
 	}
-	at.noteBegan(sent)
+	rs.recordStart(sent)
 	if an.Status >= 300 || an.Stamp == "" {
 		body, err := io.ReadAll(io.LimitReader(an.Body, maxAnswerBytes))
 		if err == nil && !*begun && an.Status >= 300 {
-			at.failure = &whole{an, body}
+			rs.failedAnswer = &completeAnswer{an, body}
 		}
 
 		return result.New(result.BackendRefused, "ingress: %s answered with status %d", gr.Record().ID, an.Status).With(result.Ran)
 	}
 
-	next := at.in.cfg.Client.Events(an.Body)
+	next := rs.in.cfg.Client.Events(an.Body)
 	for {
 		ev, err := next()
 		if errors.Is(err, io.EOF) {
--- a/internal/ingress/stream_test.go
+++ b/internal/ingress/stream_test.go
@@ -25,13 +25,13 @@
 
 func (*events) Close() error { return nil }
 
-const pieces = 5
+const eventCount = 5
 
 // stream answers with events after what the call holds; it breaks after the
 // event breakAt, 0 for never.
 func stream(breakAt uint64) reply {
 	return func(_ context.Context, ca *backend.Call) (*backend.Answer, error) {
-		ev := &events{next: ca.ResumeAfter + 1, last: pieces, err: io.EOF}
+		ev := &events{next: ca.ResumeAfter + 1, last: eventCount, err: io.EOF}
 		if breakAt > 0 {
 			ev.last, ev.err = breakAt, io.ErrUnexpectedEOF
 		}
@@ -56,13 +56,13 @@
 var _ = ginkgo.Describe("a request whose answer is a stream", func() {
 	all := []uint64{1, 2, 3, 4, 5}
 	for _, tc := range []struct {
-		name      string
-		resumable bool
-		replies   []reply
-		got       []uint64
-		isWhole   bool
-		runs      result.Execution // of the error, where it is not whole
-		sent      int
+		name       string
+		resumable  bool
+		replies    []reply
+		got        []uint64
+		isComplete bool
+		runs       result.Execution // of the error, where it is not whole
+		sent       int
 	}{
 		{"is passed on to its end", false, []reply{stream(0)}, all, true, 0, 1},
 		{"goes on at another backend server after its last event", true, []reply{stream(3), stream(0)}, all, true, 0, 2},
@@ -87,8 +87,8 @@
 			Expect(got).To(Equal(tc.got))
 			Expect(tr.sent).To(HaveLen(tc.sent))
 			Expect(begun).To(BeNumerically("<=", 1))
-			Expect(ended == 1).To(Equal(tc.isWhole))
-			Expect(err == nil).To(Equal(tc.isWhole))
+			Expect(ended == 1).To(Equal(tc.isComplete))
+			Expect(err == nil).To(Equal(tc.isComplete))
 			var er *result.Error
 			if errors.As(err, &er) {
 				Expect(er.Execution).To(Equal(tc.runs))
