--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -33,10 +33,10 @@
 	// missing in the report.
 	usagePeriod  = 500 * time.Millisecond
 	usageTimeout = 900 * time.Millisecond
-	// schedulerChoices is the number of backend servers that are compared for a request.
-	schedulerChoices = 8
-	// defaultMaxBody bounds a request before the first configuration tells its limit.
-	defaultMaxBody = 32 << 20
+	// schedulerCandidates is the number of backend servers that are compared for a request.
+	schedulerCandidates = 8
+	// defaultMaxBodyBytes bounds a request before the first configuration tells its limit.
+	defaultMaxBodyBytes = 32 << 20
 )
 
 // Config builds an Edge.
@@ -52,14 +52,14 @@
 
 // Edge is a running gateway at the edge.
 type Edge struct {
-	cfg      Config
-	links    *peer.Links
-	follower *feed.Follower
-	balancer *balance.Balancer
-	ingress  *ingress.Ingress
-	gate     *jobgate.Gate
-	tally    *usage.Tally
-	closing  atomic.Bool
+	cfg       Config
+	links     *peer.Links
+	follower  *feed.Follower
+	balancer  *balance.Balancer
+	ingress   *ingress.Ingress
+	jobGate   *jobgate.Gate
+	tally     *usage.Tally
+	isClosing atomic.Bool
 }
 
 // New returns an edge that knows nothing yet.
@@ -70,13 +70,13 @@
 	}
 	ed.follower = feed.NewFollower(feed.Config{Links: ed.links, Seeds: cfg.Controllers, Log: cfg.Log})
 	ed.balancer = balance.New(balance.Config{
-		FailureDomain: cfg.Settings.FailureDomain, Scheduler: scheduler.Config{Choices: schedulerChoices}, Now: cfg.Now, Random: rand.IntN, KeepIdle: cfg.Client.KeepIdle,
+		FailureDomain: cfg.Settings.FailureDomain, Scheduler: scheduler.Config{Choices: schedulerCandidates}, Now: cfg.Now, Random: rand.IntN, KeepIdle: cfg.Client.KeepIdle,
 	})
 	ed.ingress = ingress.New(ingress.Config{
 		Table: ed.Table, Fresh: ed.fresh, Balancer: ed.balancer, Client: cfg.Client, Random: rand.Float64, Began: ed.tally.Count,
 		Meter: cfg.Meter, Log: cfg.Log,
 	})
-	ed.gate = jobgate.New(jobgate.Config{
+	ed.jobGate = jobgate.New(jobgate.Config{
 		Ingress: ed.ingress, Table: ed.Table, View: ed.follower.View, Changed: ed.follower.Changed, Links: ed.links,
 		Meter: cfg.Meter, Log: cfg.Log,
 	})
@@ -88,7 +88,7 @@
 func (ed *Edge) Ingress() *ingress.Ingress { return ed.ingress }
 
 // Gate serves what concerns batch jobs.
-func (ed *Edge) Gate() *jobgate.Gate { return ed.gate }
+func (ed *Edge) Gate() *jobgate.Gate { return ed.jobGate }
 
 // Table returns the configuration in force here, nil before the first one.
 func (ed *Edge) Table() *routing.Table { return ed.follower.View().Table }
@@ -99,17 +99,17 @@
 		return int64(ta.Config().Limits.MaxBodyBytes)
 	}
 
-	return defaultMaxBody
+	return defaultMaxBodyBytes
 }
 
 // IsReady reports whether new clients may be sent here.
-func (ed *Edge) IsReady() bool { return !ed.closing.Load() && ed.Table() != nil && ed.fresh() == nil }
+func (ed *Edge) IsReady() bool { return !ed.isClosing.Load() && ed.Table() != nil && ed.fresh() == nil }
 
 // IsClosing reports whether clients should move their connections elsewhere.
-func (ed *Edge) IsClosing() bool { return ed.closing.Load() }
+func (ed *Edge) IsClosing() bool { return ed.isClosing.Load() }
 
 // BeginShutdown makes the edge not ready, so that the balancer moves on.
-func (ed *Edge) BeginShutdown() { ed.closing.Store(true) }
+func (ed *Edge) BeginShutdown() { ed.isClosing.Store(true) }
 
 // fresh returns an error where keys must not be vouched for any more.
 func (ed *Edge) fresh() error {
@@ -132,12 +132,12 @@
 	var wg sync.WaitGroup
 	wg.Go(func() { ed.follower.Run(ctx) })
 	wg.Go(func() { ed.follower.EachView(ctx, func(vi *feed.View) { ed.balancer.Sync(vi.Servers) }) })
-	wg.Go(func() { ed.usageDuty(ctx) })
+	wg.Go(func() { ed.sendUsageLoop(ctx) })
 	wg.Wait()
 }
 
-// usageDuty sends what was counted to the controllers.
-func (ed *Edge) usageDuty(ctx context.Context) {
+// sendUsageLoop sends what was counted to the controllers.
+func (ed *Edge) sendUsageLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-time.After(usagePeriod):
