--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -64,8 +64,8 @@
 
 // Ledger holds the calls of a group.
 type Ledger struct {
-	records map[string]*Record
-	order   []string // keys, oldest first
+	records   map[string]*Record
+	keysByAge []string // keys, oldest first
 }
 
 // Image is a Ledger in a snapshot.
@@ -80,15 +80,15 @@
 		im.Records = map[string]*Record{}
 	}
 
-	return &Ledger{records: im.Records, order: im.Order}
+	return &Ledger{records: im.Records, keysByAge: im.Order}
 }
 
 // Image returns the ledger's content for a snapshot.
-func (le *Ledger) Image() Image { return Image{Records: le.records, Order: le.order} }
+func (le *Ledger) Image() Image { return Image{Records: le.records, Order: le.keysByAge} }
 
 // Begin returns the record of the call. The caller runs it only if it is the owner and State is Begun.
 func (le *Ledger) Begin(be Begin, atMs int64) (Record, error) {
-	le.dropOld(atMs)
+	le.dropExpired(atMs)
 	if re, ok := le.records[be.Key]; ok {
 		if re.Digest != be.Digest {
 			return Record{}, result.New(result.IdempotencyReused, "call %s: the key was used with another request", be.Key)
@@ -102,19 +102,19 @@
 
 	re := &Record{Digest: be.Digest, Owner: be.Owner, Gateway: be.Gateway, State: Begun, AtMs: atMs}
 	le.records[be.Key] = re
-	le.order = append(le.order, be.Key)
+	le.keysByAge = append(le.keysByAge, be.Key)
 
 	return *re, nil
 }
 
-func (le *Ledger) dropOld(atMs int64) {
-	for len(le.order) > 0 {
-		re, ok := le.records[le.order[0]]
+func (le *Ledger) dropExpired(atMs int64) {
+	for len(le.keysByAge) > 0 {
+		re, ok := le.records[le.keysByAge[0]]
 		if ok && atMs <= re.AtMs+retentionMs {
 			return
 		}
-		delete(le.records, le.order[0])
-		le.order = le.order[1:]
+		delete(le.records, le.keysByAge[0])
+		le.keysByAge = le.keysByAge[1:]
 	}
 }
 
@@ -139,9 +139,9 @@
 	}
 
 	delete(le.records, ab.Key)
-	for i := len(le.order) - 1; i >= 0; i-- {
-		if le.order[i] == ab.Key {
-			le.order = append(le.order[:i], le.order[i+1:]...)
+	for i := len(le.keysByAge) - 1; i >= 0; i-- {
+		if le.keysByAge[i] == ab.Key {
+			le.keysByAge = append(le.keysByAge[:i], le.keysByAge[i+1:]...)
 
 			break
 		}
