--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -21,11 +21,11 @@
 )
 
 const (
-	dialTimeout      = time.Second
-	idleTimeout      = 30 * time.Second
-	maxIdlePerServer = 256
-	maxAnswerBytes   = 16 << 20
-	maxErrorBytes    = 512
+	defaultDialTimeout = time.Second
+	defaultIdleTimeout = 30 * time.Second
+	maxIdlePerServer   = 256
+	maxAnswerBytes     = 16 << 20
+	maxErrorBytes      = 512
 )
 
 // Config builds a client.
@@ -40,10 +40,10 @@
 // Defaults fills the fields left zero.
 func (c *Config) Defaults() {
 	if c.Idle == 0 {
-		c.Idle = idleTimeout
+		c.Idle = defaultIdleTimeout
 	}
 	if c.DialTimeout == 0 {
-		c.DialTimeout = dialTimeout
+		c.DialTimeout = defaultDialTimeout
 	}
 }
 
@@ -61,65 +61,65 @@
 	}
 }
 
-// idleShare of the time after which a server closes unused connections is how long
+// idleFraction of the time after which a server closes unused connections is how long
 // they are kept here, so that no request meets the close on its way.
-const idleShare = 0.8
+const idleFraction = 0.8
 
-// learner keeps unused connections for as long as the servers say that they do.
-type learner struct {
+// adaptiveTransport keeps unused connections for as long as the servers say that they do.
+type adaptiveTransport struct {
 	cfg Config
 
-	mu      sync.Mutex
-	current http.RoundTripper
-	told    time.Duration // shortest time that a server told, 0 before the first
+	mu         sync.Mutex
+	transport  http.RoundTripper
+	serverIdle time.Duration // shortest time that a server told, 0 before the first
 }
 
 // NewLearning returns a client that begins with the idle time of cfg and takes the
 // shortest one that servers tell.
 func NewLearning(cfg Config) *http.Client {
 	hc := New(cfg)
-	hc.Transport = &learner{cfg: cfg, current: hc.Transport}
+	hc.Transport = &adaptiveTransport{cfg: cfg, transport: hc.Transport}
 
 	return hc
 }
 
 // KeepIdle returns how long a client of NewLearning keeps an unused connection now.
 func KeepIdle(hc *http.Client) time.Duration {
-	le, ok := hc.Transport.(*learner)
+	at, ok := hc.Transport.(*adaptiveTransport)
 	if !ok {
 		return 0
 	}
-	le.mu.Lock()
-	defer le.mu.Unlock()
+	at.mu.Lock()
+	defer at.mu.Unlock()
 
-	return le.keep()
+	return at.idle()
 }
 
-// keep is called with le.mu held.
-func (le *learner) keep() time.Duration {
-	if le.told == 0 {
-		return le.cfg.Idle
+// idle is called with le.mu held.
+func (at *adaptiveTransport) idle() time.Duration {
+	if at.serverIdle == 0 {
+		return at.cfg.Idle
 	}
 
-	return time.Duration(idleShare * float64(le.told))
+	return time.Duration(idleFraction * float64(at.serverIdle))
 }
 
 // RoundTrip sends a request and learns from its answer.
-func (le *learner) RoundTrip(rq *http.Request) (*http.Response, error) {
-	le.mu.Lock()
-	rt := le.current
-	le.mu.Unlock()
+func (at *adaptiveTransport) RoundTrip(rq *http.Request) (*http.Response, error) {
+	at.mu.Lock()
+	rt := at.transport
+	at.mu.Unlock()
 
 	rs, err := rt.RoundTrip(rq)
 	if err == nil {
-		le.learn(rs.Header.Get("Keep-Alive"))
+		at.observeKeepAlive(rs.Header.Get("Keep-Alive"))
 	}
 
 	return rs, err
 }
 
-// learn takes the header that tells the time after which a server closes unused connections.
-func (le *learner) learn(header string) {
+// observeKeepAlive takes the header that tells the time after which a server closes unused connections.
+func (at *adaptiveTransport) observeKeepAlive(header string) {
 	s, ok := strings.CutPrefix(header, "timeout=")
 	if !ok {
 		return
@@ -130,17 +130,17 @@
 		return // a server that tells no time may keep its connections for ever
 	}
 
-	le.mu.Lock()
-	defer le.mu.Unlock()
+	at.mu.Lock()
+	defer at.mu.Unlock()
 	idle := time.Duration(n) * time.Second
-	if le.told > 0 && idle >= le.told {
+	if at.serverIdle > 0 && idle >= at.serverIdle {
 		return
 	}
-	le.told = idle
-	cfg := le.cfg
-	cfg.Idle = le.keep()
-	old := le.current
-	le.current = New(cfg).Transport
+	at.serverIdle = idle
+	cfg := at.cfg
+	cfg.Idle = at.idle()
+	old := at.transport
+	at.transport = New(cfg).Transport
 	if tr, ok := old.(*http.Transport); ok {
 		tr.CloseIdleConnections() // requests under way finish on the old connections
 	}
