--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -15,63 +15,65 @@
 )
 
 const (
-	// maxAnswerBytes bounds an answer that is held back until it is whole.
+	// maxAnswerBytes limits an answer that is buffered until it is complete.
 	maxAnswerBytes = 16 << 20
-	// answerMargin is kept between the answer of a failed request and its time-out.
+	// answerMargin is the time reserved before the client's deadline for sending the
+	// answer of a failed request.
 	answerMargin = 20 * time.Millisecond
-	// defaultRetryAfter is told where nothing better is known: about as long as a
+	// defaultRetryAfter is sent where no better estimate exists: about the time that a
 	// backend server needs for a few requests.
 	defaultRetryAfter = 100 * time.Millisecond
-	// configRetryAfter is told before the first configuration has arrived.
+	// configRetryAfter is sent before the first configuration has arrived.
 	configRetryAfter = 500 * time.Millisecond
-	// attemptTimeoutFactor times the latency objective is how long a repeatable request
-	// waits for one backend server before another is tried.
+	// attemptTimeoutFactor is the time-out of one attempt of a repeatable request, as a
+	// multiple of the route's latency objective. Then another backend server is tried.
 	attemptTimeoutFactor = 2
 )
 
-// Config builds an Ingress.
+// Config configures an Ingress.
 type Config struct {
-	Table    func() *routing.Table
-	Fresh    func() error // an error where this process must refuse new work
+	Table    func() *routing.Table // nil before the first configuration
+	Fresh    func() error          // an error if this process must refuse new work
 	Balancer *balance.Balancer
 	Client   *backend.Client
-	Random   func() float64 // in [0, 1)
-	Began    func(workspace string, at time.Time)
+	Random   func() float64                       // in [0, 1)
+	Began    func(workspace string, at time.Time) // called once per request that may have run
 	Meter    *meter.Meter
 	Log      log.Interface
 }
 
-// Ingress is safe for concurrent use.
+// Ingress routes requests to backend servers. It is safe for concurrent use.
 type Ingress struct{ cfg Config }
 
 // New returns an ingress.
 func New(cfg Config) *Ingress { return &Ingress{cfg: cfg} }
 
-// Admit finds the route and the workspace of a request.
+// Admit returns the route and the workspace of a request. The workspace is nil where
+// Identify returns nil.
 func (in *Ingress) Admit(host, path, key string) (*routing.Route, *routing.Workspace, error) {
 	ta := in.cfg.Table()
 	if ta == nil {
-		return nil, nil, result.New(result.StaleProcess, "ingress: no configuration is known yet").After(configRetryAfter)
+		return nil, nil, result.New(result.StaleProcess, "ingress: no configuration has been received yet").After(configRetryAfter)
 	}
 	if err := in.cfg.Fresh(); err != nil {
 		return nil, nil, err
 	}
 	ro := ta.Match(host, path)
 	if ro == nil {
-		return nil, nil, result.New(result.UnknownRoute, "ingress: no route for %s%s in version %d", host, path, ta.Version())
+		return nil, nil, result.New(result.UnknownRoute, "ingress: no route for %s%s in configuration version %d", host, path, ta.Version())
 	}
 	ws, err := in.Identify(key, ro.IsPublic)
 
 	return ro, ws, err
 }
 
-// Identify finds the workspace that holds key, nil for a public request or where
-// the configuration declares no workspaces.
+// Identify returns the workspace that owns key. It returns nil without an error for
+// a public request and if the configuration needs no keys.
 func (in *Ingress) Identify(key string, isPublic bool) (*routing.Workspace, error) {
 	ta := in.cfg.Table()
 	switch {
 	case ta == nil:
-		return nil, result.New(result.StaleProcess, "ingress: no configuration is known yet").After(configRetryAfter)
+		return nil, result.New(result.StaleProcess, "ingress: no configuration has been received yet").After(configRetryAfter)
 	case isPublic || !ta.NeedsKeys():
 		return nil, nil
 	case key == "":
@@ -79,34 +81,36 @@
 	}
 	ws := ta.Owner(key)
 	if ws == nil {
-		return nil, result.New(result.UnknownKey, "ingress: the key belongs to no workspace in version %d", ta.Version())
+		return nil, result.New(result.UnknownKey, "ingress: the key belongs to no workspace in configuration version %d", ta.Version())
 	}
 
 	return ws, nil
 }
 
-// requestState is the state of one request on its way.
+// requestState is the state of one request across its attempts.
 type requestState struct {
 	in            *Ingress
 	rq            *Request
 	ro            *routing.Route
 	workspace     string
 	began         time.Time // when the request arrived
-	deadline      time.Time // when the client must have its answer
-	tried         []string  // backend servers that were picked for it
-	sentCount     int       // how many of them it reached, or may have reached
-	mayHaveRun    bool      // the request may have run
+	deadline      time.Time // when the client must have received its answer
+	tried         []string  // IDs of the backend servers that were picked, in order
+	sentCount     int       // how many of them the request reached, or may have reached
+	mayHaveRun    bool      // whether the request may have run
 	lastErr       error
-	failedAnswer  *completeAnswer // the last answer of a backend server that says it failed
-	configVersion uint64          // of the configuration that decided
+	failedAnswer  *completeAnswer // last answer with an error status, nil if there is none
+	configVersion uint64          // configuration version at the start of the request
 }
 
+// completeAnswer is an answer whose body was read to its end.
 type completeAnswer struct {
 	answer *backend.Answer
 	body   []byte
 }
 
-// Serve serves one request. The error, if any, is the refusal that the client gets.
+// Serve serves one request. It sends the answer to sink, or returns the error that the
+// client receives instead.
 func (in *Ingress) Serve(ctx context.Context, rq *Request, sink *Sink) error {
 	ro, ws, err := in.Admit(rq.Host, rq.Path, rq.Key)
 	if err != nil {
@@ -141,6 +145,7 @@
 	return err
 }
 
+// logOutcome logs and measures a finished request.
 func (in *Ingress) logOutcome(rs *requestState, outcome string, err error) {
 	took := time.Since(rs.rq.Arrived)
 	in.cfg.Meter.Time("request", took)
@@ -162,11 +167,11 @@
 	in.cfg.Log.WithFields(fl).Warn("request ended")
 }
 
-// maxUnreachablePicks bounds the backend servers that could not be reached at all, which
-// the operator's limit does not count.
+// maxUnreachablePicks limits the picks of backend servers that could not be reached.
+// The route's MaxAttempts does not count them.
 const maxUnreachablePicks = 3
 
-// canRetry reports whether the request may be sent to one more backend server.
+// canRetry reports whether the request may be sent to another backend server.
 func (rs *requestState) canRetry() bool {
 	allowed := max(rs.ro.MaxAttempts, 1)
 	if rs.sentCount >= allowed || len(rs.tried) >= allowed+maxUnreachablePicks {
@@ -176,7 +181,8 @@
 	return !rs.mayHaveRun || rs.ro.Kind == routing.Repeatable || (rs.ro.IsStreaming && rs.ro.IsResumable)
 }
 
-// acquireServer picks a backend server, one that was not tried if there is any.
+// acquireServer acquires a slot on a backend server. It prefers a server that was not
+// tried, then any server but the last one tried.
 func (rs *requestState) acquireServer() (*balance.Grant, error) {
 	service := rs.ro.PickTarget(rs.in.cfg.Random())
 	rq := &balance.Request{Service: service, Model: rs.rq.Model, Exclude: rs.tried}
@@ -197,9 +203,10 @@
 		return nil, result.New(result.NoBackendServer, "ingress: no backend server of %s is ready", service).After(defaultRetryAfter)
 	}
 
-	return nil, result.New(result.QueueFull, "ingress: the backend servers of %s are full", service).After(defaultRetryAfter)
+	return nil, result.New(result.QueueFull, "ingress: every backend server of %s is at its limit", service).After(defaultRetryAfter)
 }
 
+// newCall returns the call for the granted backend server and records the attempt.
 func (rs *requestState) newCall(gr *balance.Grant) *backend.Call {
 	re := gr.Record()
 	rs.tried = append(rs.tried, re.ID)
@@ -211,7 +218,8 @@
 	}
 }
 
-// serveComplete serves a request whose answer is held back until it is complete.
+// serveComplete serves a request whose answer is buffered until it is complete, so
+// that the request can be retried up to then.
 func (rs *requestState) serveComplete(ctx context.Context, sink *Sink) error {
 	for {
 		gr, err := rs.acquireServer()
@@ -238,11 +246,11 @@
 	}
 }
 
-// isServerFailure reports whether another backend server might do better. Answers that
-// blame the request itself are passed on.
+// isServerFailure reports whether another backend server might succeed. Answers that
+// report a fault of the request itself are forwarded to the client.
 func (rs *requestState) isServerFailure(an *backend.Answer) bool { return an.Status >= 500 }
 
-// sendComplete sends the request to one backend server and reads its whole answer.
+// sendComplete sends the request to one backend server and reads its complete answer.
 func (rs *requestState) sendComplete(ctx context.Context, gr *balance.Grant) (*backend.Answer, []byte, error) {
 	outcome, load := balance.Failed, (*backend.Load)(nil)
 	defer func() { gr.Release(outcome, load) }()
@@ -272,11 +280,11 @@
 	body, err := io.ReadAll(io.LimitReader(an.Body, maxAnswerBytes+1))
 	switch {
 	case err != nil:
-		return nil, nil, result.New(result.BackendAnswerBroken, "ingress: %s: %v", gr.Record().ID, err).With(result.Ran)
+		return nil, nil, result.New(result.BackendAnswerBroken, "ingress: %s: the answer broke off: %v", gr.Record().ID, err).With(result.Ran)
 	case len(body) > maxAnswerBytes:
-		return nil, nil, result.New(result.BackendAnswerBroken, "ingress: %s: an answer of over %d bytes", gr.Record().ID, maxAnswerBytes).With(result.Ran)
+		return nil, nil, result.New(result.BackendAnswerBroken, "ingress: %s: the answer exceeds the limit of %d bytes", gr.Record().ID, maxAnswerBytes).With(result.Ran)
 	case an.Status < 300 && an.Stamp == "":
-		return nil, nil, result.New(result.BackendAnswerBroken, "ingress: %s: the answer bears no signature", gr.Record().ID).With(result.Ran)
+		return nil, nil, result.New(result.BackendAnswerBroken, "ingress: %s: the answer carries no signature", gr.Record().ID).With(result.Ran)
 	}
 	outcome = balance.Succeeded
 	if an.Status >= 500 {
@@ -286,11 +294,14 @@
 	return an, body, nil
 }
 
-// canRetryAfterThis reports whether one more backend server could be tried after this one.
+// canRetryAfterThis reports whether another backend server may be tried if the
+// current attempt fails.
 func (rs *requestState) canRetryAfterThis() bool {
 	return rs.ro.Kind == routing.Repeatable && rs.sentCount < rs.ro.MaxAttempts
 }
 
+// recordSendError updates the request's state and the outcome for the backend server
+// after a send that failed.
 func (rs *requestState) recordSendError(err error, outcome *balance.Outcome, sent time.Time) {
 	if backend.HasRun(err) {
 		rs.recordStart(sent)
@@ -298,11 +309,11 @@
 		rs.sentCount--
 	}
 	if result.Is(err, result.DeadlinePassed) {
-		*outcome = balance.Unused // the client has gone
+		*outcome = balance.Unused // the client disconnected: the failure says nothing about the server
 	}
 }
 
-// recordStart counts a request that began to run, once.
+// recordStart records that the request may have run, and counts it once for usage.
 func (rs *requestState) recordStart(sent time.Time) {
 	if !rs.mayHaveRun && rs.workspace != "" {
 		rs.in.cfg.Began(rs.workspace, sent)
@@ -310,8 +321,8 @@
 	rs.mayHaveRun = true
 }
 
-// replyFailure answers with the backend server's own failure, or with a refusal that
-// says whether the request may have run.
+// replyFailure sends the last failure that a backend server answered. If there is
+// none, it returns an error that says whether the request may have run.
 func (rs *requestState) replyFailure(sink *Sink) error {
 	if rs.failedAnswer != nil {
 		sink.Whole(rs.failedAnswer.answer, rs.failedAnswer.body)
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -26,7 +26,8 @@
 
 func TestSuite(t *testing.T) { suite.Run(t, "ingress") }
 
-// reply is what a backend server does with its n-th request, counted over all.
+// reply answers one request. The n-th reply of a trial answers the n-th request that
+// any backend server receives.
 type reply func(ctx context.Context, ca *backend.Call) (*backend.Answer, error)
 
 func complete(status int, body string) reply {
@@ -68,14 +69,14 @@
 type trial struct {
 	in     *ingress.Ingress
 	mu     sync.Mutex
-	sent   []string // backend servers, in order
+	sent   []string // addresses of the backend servers that received the request, in order
 	began  int
 	status int
 	body   string
 }
 
-// newTrial serves one route, whose place and times it fills in, by three backend
-// servers, or by none without replies.
+// newTrial serves the route ro with three backend servers, or with none if there are
+// no replies. It fills in the route's name, host, prefix, times and targets.
 func newTrial(ro routing.Route, replies ...reply) *trial {
 	tr := &trial{}
 	ro.Name, ro.Host, ro.Prefix, ro.Timeout, ro.Aim = "r", "h", "/p/", time.Second, 50*time.Millisecond
@@ -122,31 +123,31 @@
 	}, &ingress.Sink{Whole: func(an *backend.Answer, body []byte) { tr.status, tr.body = an.Status, string(body) }})
 }
 
-var _ = ginkgo.Describe("a request with a whole answer", func() {
+var _ = ginkgo.Describe("a request with a complete answer", func() {
 	ok := complete(200, "yes")
 	for _, tc := range []struct {
 		name     string
 		kind     routing.Kind
 		attempts int
 		replies  []reply
-		status   int // of the answer that is passed on, 0 for a refusal
+		status   int // of the forwarded answer, 0 for a refusal
 		runs     result.Execution
 		sent     int
 	}{
 		{"is answered by the first backend server", routing.Repeatable, 3, []reply{ok}, 200, 0, 1},
-		{"goes to another one after a refused connection", routing.AtMostOnce, 3, []reply{refusedConnection, ok}, 200, 0, 2},
-		{"is not counted at a backend server that it could not reach", routing.Repeatable, 1, []reply{refusedConnection, refusedConnection, ok}, 200, 0, 3},
-		{"goes to another one when the first says it has not run", routing.AtMostOnce, 3, []reply{notRun, ok}, 200, 0, 2},
-		{"is repeated after a cut where it may be", routing.Repeatable, 3, []reply{cut, ok}, 200, 0, 2},
-		{"is never repeated after a cut where it may not be", routing.AtMostOnce, 3, []reply{cut, ok}, 0, result.Unknown, 1},
-		{"is repeated after half an answer", routing.Repeatable, 3, []reply{truncated, ok}, 200, 0, 2},
-		{"is not repeated after half an answer where it may not be", routing.AtMostOnce, 3, []reply{truncated, ok}, 0, result.Unknown, 1},
-		{"leaves a silent backend server in time", routing.Repeatable, 3, []reply{silent, ok}, 200, 0, 2},
-		{"reaches no more backend servers than its route allows", routing.Repeatable, 2, []reply{cut}, 0, result.Unknown, 2},
-		{"is truly refused when nobody ran it", routing.Repeatable, 3, []reply{notRun}, 0, result.NotRun, 3},
-		{"is passed the failure of a backend server when all fail", routing.Repeatable, 2, []reply{complete(500, "no")}, 500, 0, 2},
-		{"is passed the failure at once where it may not be repeated", routing.AtMostOnce, 3, []reply{complete(500, "no"), ok}, 500, 0, 1},
-		{"is refused at once without any backend server", routing.Repeatable, 3, nil, 0, result.NotRun, 0},
+		{"is sent to another backend server after a refused connection", routing.AtMostOnce, 3, []reply{refusedConnection, ok}, 200, 0, 2},
+		{"does not count an unreachable backend server as an attempt", routing.Repeatable, 1, []reply{refusedConnection, refusedConnection, ok}, 200, 0, 3},
+		{"is sent to another backend server when the first reports that it has not run", routing.AtMostOnce, 3, []reply{notRun, ok}, 200, 0, 2},
+		{"is repeated after a cut connection if it is repeatable", routing.Repeatable, 3, []reply{cut, ok}, 200, 0, 2},
+		{"is never repeated after a cut connection if it is not repeatable", routing.AtMostOnce, 3, []reply{cut, ok}, 0, result.Unknown, 1},
+		{"is repeated after a truncated answer if it is repeatable", routing.Repeatable, 3, []reply{truncated, ok}, 200, 0, 2},
+		{"is not repeated after a truncated answer if it is not repeatable", routing.AtMostOnce, 3, []reply{truncated, ok}, 0, result.Unknown, 1},
+		{"is sent to another backend server when the first does not answer in time", routing.Repeatable, 3, []reply{silent, ok}, 200, 0, 2},
+		{"is sent to no more backend servers than the route's MaxAttempts", routing.Repeatable, 2, []reply{cut}, 0, result.Unknown, 2},
+		{"is refused as not run when no backend server ran it", routing.Repeatable, 3, []reply{notRun}, 0, result.NotRun, 3},
+		{"is answered with a backend server's failure when all attempts fail", routing.Repeatable, 2, []reply{complete(500, "no")}, 500, 0, 2},
+		{"is answered with the first failure if it is not repeatable", routing.AtMostOnce, 3, []reply{complete(500, "no"), ok}, 500, 0, 1},
+		{"is refused at once when there is no backend server", routing.Repeatable, 3, nil, 0, result.NotRun, 0},
 	} {
 		ginkgo.It(tc.name, func() {
 			tr := newTrial(routing.Route{Kind: tc.kind, MaxAttempts: tc.attempts}, tc.replies...)
@@ -163,7 +164,7 @@
 			for i := 1; i < len(tr.sent); i++ {
 				Expect(tr.sent[i]).NotTo(Equal(tr.sent[i-1]))
 			}
-			Expect(tr.began).To(BeNumerically("<=", 1), "usage counts a request once")
+			Expect(tr.began).To(BeNumerically("<=", 1), "usage counts a request at most once")
 		})
 	}
 })
--- a/internal/ingress/request.go
+++ b/internal/ingress/request.go
@@ -1,6 +1,6 @@
 // Package ingress serves requests that are routed by host and path: it finds the
-// route and the caller's workspace, picks a backend server, tries again what may
-// be tried again, and says of each refusal whether the request has run.
+// route and the caller's workspace, picks a backend server, retries where that is
+// safe, and reports with each refusal whether the request has run.
 package ingress
 
 import (
@@ -17,17 +17,17 @@
 	Host    string
 	Path    string // without the query
 	Target  string // path and query, as the client sent them
-	Key     string // "" for none; it is never passed on
+	Key     string // "" for none; never sent to a backend server
 	Header  http.Header
 	Body    []byte
 	Arrived time.Time
-	Patient time.Duration // how long the client waits, 0 where it does not say
-	Resume  uint64        // number of the last event that the client holds, 0 for none
+	Patient time.Duration // how long the client waits, 0 if unknown
+	Resume  uint64        // number of the last event that the client received, 0 for none
 	Model   string        // "" for requests to plain services
 }
 
-// Sink takes the answer of a request. Exactly one of its methods is called first;
-// Event and End follow a Begin.
+// Sink receives the answer of a request: either one call of Whole, or a Begin followed
+// by any number of Events and an End.
 type Sink struct {
 	// Whole sends a complete answer.
 	Whole func(an *backend.Answer, body []byte)
@@ -35,6 +35,6 @@
 	Begin func(an *backend.Answer)
 	// Event sends one event of the stream.
 	Event func(ev backend.Event) error
-	// End completes the stream. Without it the connection is cut.
+	// End completes the stream. If Serve returns without it, the connection must be cut.
 	End func()
 }
--- a/internal/ingress/stream.go
+++ b/internal/ingress/stream.go
@@ -11,9 +11,9 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// serveStream serves a request whose answer is a serveStream of events, which are passed on
-// as they arrive. Where the route allows it, a serveStream that breaks goes on at
-// another backend server after the last event passed on.
+// serveStream serves a request whose answer is a stream of events, which are
+// forwarded as they arrive. If the route is resumable, a broken stream continues on
+// another backend server after the last forwarded event.
 func (rs *requestState) serveStream(ctx context.Context, sink *Sink) error {
 	begun := false
 	last := rs.rq.Resume
@@ -40,7 +40,8 @@
 	return rs.replyFailure(sink)
 }
 
-// sendStream passes on what one backend server streams, up to the regular end.
+// sendStream forwards the stream of one backend server. It returns nil once the
+// stream has ended regularly.
 func (rs *requestState) sendStream(ctx context.Context, gr *balance.Grant, sink *Sink, begun *bool, last *uint64) error {
 	outcome, load := balance.Failed, (*backend.Load)(nil)
 	defer func() { gr.Release(outcome, load) }()
@@ -85,10 +86,10 @@
 			return nil
 		}
 		if err != nil {
-			return result.New(result.StreamCut, "ingress: %s: %v", gr.Record().ID, err).With(result.Ran)
+			return result.New(result.StreamCut, "ingress: %s: the stream broke off: %v", gr.Record().ID, err).With(result.Ran)
 		}
 		if *last > 0 && ev.Number != *last+1 {
-			return result.New(result.BackendAnswerBroken, "ingress: %s: event %d follows %d", gr.Record().ID, ev.Number, *last).With(result.Ran)
+			return result.New(result.BackendAnswerBroken, "ingress: %s: event %d does not follow event %d directly", gr.Record().ID, ev.Number, *last).With(result.Ran)
 		}
 		if !*begun {
 			*begun = true
@@ -97,7 +98,7 @@
 		if err := sink.Event(ev); err != nil {
 			outcome = balance.Unused
 
-			return result.New(result.DeadlinePassed, "ingress: the client has gone: %v", err).With(result.Ran)
+			return result.New(result.DeadlinePassed, "ingress: the client disconnected: %v", err).With(result.Ran)
 		}
 		*last = ev.Number
 	}
--- a/internal/ingress/stream_test.go
+++ b/internal/ingress/stream_test.go
@@ -16,7 +16,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/routing"
 )
 
-// events is a body that holds events from a number on, up to where it breaks.
+// events is a body with the events next to last, after which reading returns err.
 type events struct {
 	io.ReadCloser
 	next, last uint64
@@ -27,8 +27,8 @@
 
 const eventCount = 5
 
-// stream answers with events after what the call holds; it breaks after the
-// event breakAt, 0 for never.
+// stream answers with the events after the call's ResumeAfter. It breaks off after
+// event breakAt, or ends regularly if breakAt is 0.
 func stream(breakAt uint64) reply {
 	return func(_ context.Context, ca *backend.Call) (*backend.Answer, error) {
 		ev := &events{next: ca.ResumeAfter + 1, last: eventCount, err: io.EOF}
@@ -61,15 +61,15 @@
 		replies    []reply
 		got        []uint64
 		isComplete bool
-		runs       result.Execution // of the error, where it is not whole
+		runs       result.Execution // of the error, if the stream is not complete
 		sent       int
 	}{
-		{"is passed on to its end", false, []reply{stream(0)}, all, true, 0, 1},
-		{"goes on at another backend server after its last event", true, []reply{stream(3), stream(0)}, all, true, 0, 2},
-		{"is cut, and never joined with another run, where it may not go on", false, []reply{stream(3), stream(0)}, all[:3], false, result.Ran, 1},
-		{"goes to another backend server when the first has not run it", false, []reply{notRun, refusedConnection, stream(0)}, all, true, 0, 3},
-		{"is not run again after a cut before its first event", false, []reply{cut, stream(0)}, nil, false, result.Unknown, 1},
-		{"is truly refused when nobody ran it", true, []reply{notRun}, nil, false, result.NotRun, 3},
+		{"is forwarded to its end", false, []reply{stream(0)}, all, true, 0, 1},
+		{"resumes on another backend server after the last forwarded event", true, []reply{stream(3), stream(0)}, all, true, 0, 2},
+		{"is cut, and never continued from another run, if it is not resumable", false, []reply{stream(3), stream(0)}, all[:3], false, result.Ran, 1},
+		{"is sent to another backend server when the first has not run it", false, []reply{notRun, refusedConnection, stream(0)}, all, true, 0, 3},
+		{"is not repeated after a cut connection before its first event", false, []reply{cut, stream(0)}, nil, false, result.Unknown, 1},
+		{"is refused as not run when no backend server ran it", true, []reply{notRun}, nil, false, result.NotRun, 3},
 	} {
 		ginkgo.It(tc.name, func() {
 			tr := newTrial(routing.Route{Kind: routing.AtMostOnce, IsStreaming: true, IsResumable: tc.resumable, MaxAttempts: 3}, tc.replies...)
