--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,5 +1,5 @@
-// Package edge runs a gateway at the platform's edge: it has no disk, follows the
-// controllers, and serves clients whose requests are routed by host and path.
+// Package edge runs a gateway at the platform's edge. It has no disk, follows the
+// controllers' feed, and serves clients whose requests are routed by host and path.
 package edge
 
 import (
@@ -29,20 +29,21 @@
 )
 
 const (
-	// usagePeriod is how often counts are sent: what a lost gateway had not sent is
-	// missing in the report.
+	// usagePeriod is the time between two sends of usage counters. If a gateway is
+	// lost, the counts since its last send are missing from the usage report.
 	usagePeriod  = 500 * time.Millisecond
 	usageTimeout = 900 * time.Millisecond
-	// schedulerCandidates is the number of backend servers that are compared for a request.
+	// schedulerCandidates is the number of backend servers compared for each request.
 	schedulerCandidates = 8
-	// defaultMaxBodyBytes bounds a request before the first configuration tells its limit.
+	// defaultMaxBodyBytes limits a request's body where the configuration sets no
+	// limit, or none has arrived yet.
 	defaultMaxBodyBytes = 32 << 20
 )
 
-// Config builds an Edge.
+// Config configures an Edge.
 type Config struct {
 	Settings    *settings.Node
-	Controllers func() []string // peer addresses of the settings, which may change
+	Controllers func() []string // peer addresses from the settings, which may change
 	Peer        peer.Config
 	Client      *backend.Client
 	Now         func() time.Duration
@@ -62,7 +63,7 @@
 	isClosing atomic.Bool
 }
 
-// New returns an edge that knows nothing yet.
+// New returns an edge without a configuration. Run fetches it from the controllers.
 func New(cfg Config) *Edge {
 	ed := &Edge{
 		cfg: cfg, links: peer.NewLinks(context.Background(), cfg.Peer),
@@ -87,13 +88,14 @@
 // Ingress serves plain and streamed requests.
 func (ed *Edge) Ingress() *ingress.Ingress { return ed.ingress }
 
-// Gate serves what concerns batch jobs.
+// Gate serves requests that concern batch jobs.
 func (ed *Edge) Gate() *jobgate.Gate { return ed.jobGate }
 
-// Table returns the configuration in force here, nil before the first one.
+// Table returns the routing table of the configuration in force, or nil before the
+// first configuration has arrived.
 func (ed *Edge) Table() *routing.Table { return ed.follower.View().Table }
 
-// MaxBodyBytes bounds a request of a client.
+// MaxBodyBytes returns the limit for the body of a client's request.
 func (ed *Edge) MaxBodyBytes() int64 {
 	if ta := ed.Table(); ta != nil && ta.Config().Limits.MaxBodyBytes > 0 {
 		return int64(ta.Config().Limits.MaxBodyBytes)
@@ -102,16 +104,17 @@
 	return defaultMaxBodyBytes
 }
 
-// IsReady reports whether new clients may be sent here.
+// IsReady reports whether the load balancer may send new clients to this edge.
 func (ed *Edge) IsReady() bool { return !ed.isClosing.Load() && ed.Table() != nil && ed.fresh() == nil }
 
-// IsClosing reports whether clients should move their connections elsewhere.
+// IsClosing reports whether this edge is shutting down and clients should reconnect
+// to another one.
 func (ed *Edge) IsClosing() bool { return ed.isClosing.Load() }
 
-// BeginShutdown makes the edge not ready, so that the balancer moves on.
+// BeginShutdown makes the edge not ready, so that the load balancer picks another one.
 func (ed *Edge) BeginShutdown() { ed.isClosing.Store(true) }
 
-// fresh returns an error where keys must not be vouched for any more.
+// fresh returns an error if the configuration is too stale to verify keys.
 func (ed *Edge) fresh() error {
 	bound := ed.cfg.Settings.FreshnessBound
 	if bound <= 0 {
@@ -119,7 +122,7 @@
 	}
 	age, ok := ed.follower.Age()
 	if !ok || age > bound {
-		return result.New(result.StaleProcess, "edge: nothing heard of the configuration for %v, the bound is %v", age.Round(time.Millisecond), bound)
+		return result.New(result.StaleProcess, "edge: no confirmation of the configuration for %v, the freshness bound is %v", age.Round(time.Millisecond), bound)
 	}
 
 	return nil
@@ -136,7 +139,8 @@
 	wg.Wait()
 }
 
-// sendUsageLoop sends what was counted to the controllers.
+// sendUsageLoop sends pending usage counters to the controllers every usagePeriod,
+// and once more after ctx has ended.
 func (ed *Edge) sendUsageLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -147,7 +151,8 @@
 	}
 }
 
-// FlushUsage sends what was counted, to the first controller that records it.
+// FlushUsage sends the pending usage counters to the controllers one after another,
+// from a random one on, until one has recorded them.
 func (ed *Edge) FlushUsage(ctx context.Context) {
 	counters := ed.tally.Pending()
 	if len(counters) == 0 {
@@ -155,7 +160,7 @@
 	}
 	b, err := cbor.Marshal(usage.Fold{Counters: counters})
 	if err != nil {
-		ed.cfg.Log.WithError(err).Error("usage not encoded")
+		ed.cfg.Log.WithError(err).Error("cannot encode usage counters")
 
 		return
 	}
@@ -177,9 +182,9 @@
 		}
 	}
 	if err != nil {
-		ed.cfg.Log.WithError(err).WithField("counters", len(counters)).Warn("usage not recorded yet")
+		ed.cfg.Log.WithError(err).WithField("counters", len(counters)).Warn("no controller recorded the usage counters, they will be sent again")
 	}
 }
 
-// Measure sets the gauges of what is believed here.
+// Measure sets the gauges of this edge's view of the configuration and the servers.
 func (ed *Edge) Measure(me *meter.Meter) { ed.follower.Measure(me) }
