--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -1,18 +1,18 @@
-// Package call holds the ledger of requests that may not be repeated. An intent
-// with the caller's idempotency key is committed before the request is sent to a
-// backend server, so that a resend through any gateway is never a second run.
+// Package call holds the ledger of non-repeatable requests. An intent with the
+// caller's idempotency key is committed before the request is sent to a backend
+// server, so that a resend through any gateway never causes a second run.
 package call
 
 import (
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// State of a call.
+// State is the state of a call.
 type State uint8
 
 // States of a call.
 const (
-	Begun State = iota // may be running, or may have run
+	Begun State = iota // the intent is committed; the call may be running or may have run
 	Done               // the answer is recorded
 )
 
@@ -22,19 +22,19 @@
 	Value string `cbor:"2,keyasint"`
 }
 
-// Record is one call.
+// Record is one call in the ledger.
 type Record struct {
 	Digest  string   `cbor:"1,keyasint"` // of the request
-	Owner   string   `cbor:"2,keyasint"` // request ID of the gateway's run
-	Gateway string   `cbor:"3,keyasint"` // instance of the process that runs it
+	Owner   string   `cbor:"2,keyasint"` // ID of the request that runs the call
+	Gateway string   `cbor:"3,keyasint"` // peer address of the gateway that runs the call
 	State   State    `cbor:"4,keyasint"`
-	AtMs    int64    `cbor:"5,keyasint"`
+	AtMs    int64    `cbor:"5,keyasint"` // when the call began
 	Status  int      `cbor:"6,keyasint"`
 	Headers []Header `cbor:"7,keyasint"`
 	Body    []byte   `cbor:"8,keyasint"`
 }
 
-// Begin asks to run a call.
+// Begin is the command that records the intent to run a call.
 type Begin struct {
 	Key     string `cbor:"1,keyasint"` // workspace, route and idempotency key
 	Digest  string `cbor:"2,keyasint"`
@@ -42,7 +42,7 @@
 	Gateway string `cbor:"4,keyasint"`
 }
 
-// End records the answer of a call.
+// End is the command that records the answer of a call.
 type End struct {
 	Key     string   `cbor:"1,keyasint"`
 	Owner   string   `cbor:"2,keyasint"`
@@ -51,30 +51,31 @@
 	Body    []byte   `cbor:"5,keyasint"`
 }
 
-// Abandon says that a call has surely not run: its key may be used again.
+// Abandon is the command that removes a call that has certainly not run, so that its
+// key may be used again.
 type Abandon struct {
 	Key   string `cbor:"1,keyasint"`
 	Owner string `cbor:"2,keyasint"`
 }
 
 const (
-	retentionMs = 24 * 60 * 60 * 1000 // how long a resend gets the first answer
+	retentionMs = 24 * 60 * 60 * 1000 // how long a resend receives the recorded answer
 	maxRecords  = 1_000_000
 )
 
-// Ledger holds the calls of a group.
+// Ledger holds the non-repeatable calls of a group.
 type Ledger struct {
 	records   map[string]*Record
 	keysByAge []string // keys, oldest first
 }
 
-// Image is a Ledger in a snapshot.
+// Image is the content of a Ledger in a snapshot.
 type Image struct {
 	Records map[string]*Record `cbor:"1,keyasint"`
 	Order   []string           `cbor:"2,keyasint"`
 }
 
-// NewLedger returns the ledger of an image.
+// NewLedger returns a ledger with the content of an image.
 func NewLedger(im Image) *Ledger {
 	if im.Records == nil {
 		im.Records = map[string]*Record{}
@@ -86,18 +87,19 @@
 // Image returns the ledger's content for a snapshot.
 func (le *Ledger) Image() Image { return Image{Records: le.records, Order: le.keysByAge} }
 
-// Begin returns the record of the call. The caller runs it only if it is the owner and State is Begun.
+// Begin returns the record of the call, and adds one if there is none. The sender of
+// the command may run the call only if it is the record's owner and the state is Begun.
 func (le *Ledger) Begin(be Begin, atMs int64) (Record, error) {
 	le.dropExpired(atMs)
 	if re, ok := le.records[be.Key]; ok {
 		if re.Digest != be.Digest {
-			return Record{}, result.New(result.IdempotencyReused, "call %s: the key was used with another request", be.Key)
+			return Record{}, result.New(result.IdempotencyReused, "call %s: the idempotency key was used for a different request", be.Key)
 		}
 
 		return *re, nil
 	}
 	if len(le.records) >= maxRecords {
-		return Record{}, result.New(result.QueueFull, "call %s: the ledger holds %d calls", be.Key, maxRecords)
+		return Record{}, result.New(result.QueueFull, "call %s: the ledger is full, its limit is %d calls", be.Key, maxRecords)
 	}
 
 	re := &Record{Digest: be.Digest, Owner: be.Owner, Gateway: be.Gateway, State: Begun, AtMs: atMs}
@@ -107,6 +109,7 @@
 	return *re, nil
 }
 
+// dropExpired removes the records that are older than retentionMs.
 func (le *Ledger) dropExpired(atMs int64) {
 	for len(le.keysByAge) > 0 {
 		re, ok := le.records[le.keysByAge[0]]
@@ -118,11 +121,11 @@
 	}
 }
 
-// End records the answer, once.
+// End records the answer of a call. Later answers of the same call are ignored.
 func (le *Ledger) End(en End) error {
 	re, ok := le.records[en.Key]
 	if !ok || re.Owner != en.Owner {
-		return result.New(result.UnknownObject, "call %s: not begun by %s", en.Key, en.Owner)
+		return result.New(result.UnknownObject, "call %s: there is no record begun by request %s", en.Key, en.Owner)
 	}
 	if re.State == Begun {
 		re.State, re.Status, re.Headers, re.Body = Done, en.Status, en.Headers, en.Body
@@ -131,7 +134,7 @@
 	return nil
 }
 
-// Abandon forgets a call that has not run.
+// Abandon removes the record of a call that has not run.
 func (le *Ledger) Abandon(ab Abandon) {
 	re, ok := le.records[ab.Key]
 	if !ok || re.Owner != ab.Owner || re.State != Begun {
@@ -148,5 +151,5 @@
 	}
 }
 
-// Len returns the number of calls held.
+// Len returns the number of recorded calls.
 func (le *Ledger) Len() int { return len(le.records) }
