--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -1,6 +1,6 @@
-// Package httpcall holds what the adapters of outside interfaces share: clients
-// that dial from the process's own address, small JSON calls, and the judgement
-// whether a failed call can have run.
+// Package httpcall holds what the adapters of outside interfaces share: HTTP clients
+// that dial from the process's own address, small JSON calls, and errors that say
+// whether a failed call may have run.
 package httpcall
 
 import (
@@ -28,16 +28,16 @@
 	maxErrorBytes      = 512
 )
 
-// Config builds a client.
+// Config configures a client.
 type Config struct {
-	Bind        string        // IP number that is dialled from, "" for any
-	KeepAlive   bool          // whether connections carry more than one request
-	Idle        time.Duration // how long an unused connection is kept
+	Bind        string        // local IP number to dial from, "" for any
+	KeepAlive   bool          // whether connections are reused
+	Idle        time.Duration // how long an idle connection is kept open
 	DialTimeout time.Duration
-	Silence     time.Duration // a connection whose peer acknowledges nothing for so long is cut, 0 for the kernel's limit
+	Silence     time.Duration // a connection is cut if the peer acknowledges nothing for this long; 0 for the kernel's limit
 }
 
-// Defaults fills the fields left zero.
+// Defaults sets the default values of Idle and DialTimeout where they are zero.
 func (c *Config) Defaults() {
 	if c.Idle == 0 {
 		c.Idle = defaultIdleTimeout
@@ -47,7 +47,7 @@
 	}
 }
 
-// New returns a client.
+// New returns a client that follows no redirects.
 func New(cfg Config) *http.Client {
 	cfg.Defaults()
 	nd := dialer.New(dialer.Config{Bind: cfg.Bind, Timeout: cfg.DialTimeout, Silence: cfg.Silence})
@@ -61,21 +61,23 @@
 	}
 }
 
-// idleFraction of the time after which a server closes unused connections is how long
-// they are kept here, so that no request meets the close on its way.
+// idleFraction is the part of a server's keep-alive time for which the client keeps an
+// idle connection. The rest is a margin, so that no request is sent on a connection
+// that the server is about to close.
 const idleFraction = 0.8
 
-// adaptiveTransport keeps unused connections for as long as the servers say that they do.
+// adaptiveTransport keeps idle connections for slightly less time than the servers
+// announce in their Keep-Alive headers.
 type adaptiveTransport struct {
 	cfg Config
 
 	mu         sync.Mutex
 	transport  http.RoundTripper
-	serverIdle time.Duration // shortest time that a server told, 0 before the first
+	serverIdle time.Duration // shortest keep-alive time that a server announced, 0 before the first
 }
 
-// NewLearning returns a client that begins with the idle time of cfg and takes the
-// shortest one that servers tell.
+// NewLearning returns a client that starts with the idle time of cfg and then adapts
+// it to the shortest keep-alive time that a server announces.
 func NewLearning(cfg Config) *http.Client {
 	hc := New(cfg)
 	hc.Transport = &adaptiveTransport{cfg: cfg, transport: hc.Transport}
@@ -83,7 +85,8 @@
 	return hc
 }
 
-// KeepIdle returns how long a client of NewLearning keeps an unused connection now.
+// KeepIdle returns how long a client of NewLearning currently keeps an idle
+// connection, or 0 for any other client.
 func KeepIdle(hc *http.Client) time.Duration {
 	at, ok := hc.Transport.(*adaptiveTransport)
 	if !ok {
@@ -95,7 +98,7 @@
 	return at.idle()
 }
 
-// idle is called with le.mu held.
+// idle returns how long idle connections are currently kept. The caller must hold at.mu.
 func (at *adaptiveTransport) idle() time.Duration {
 	if at.serverIdle == 0 {
 		return at.cfg.Idle
@@ -104,7 +107,7 @@
 	return time.Duration(idleFraction * float64(at.serverIdle))
 }
 
-// RoundTrip sends a request and learns from its answer.
+// RoundTrip sends a request and adapts to the Keep-Alive header of the answer.
 func (at *adaptiveTransport) RoundTrip(rq *http.Request) (*http.Response, error) {
 	at.mu.Lock()
 	rt := at.transport
@@ -118,7 +121,8 @@
 	return rs, err
 }
 
-// observeKeepAlive takes the header that tells the time after which a server closes unused connections.
+// observeKeepAlive lowers the idle time if a Keep-Alive header announces a shorter one
+// than any before.
 func (at *adaptiveTransport) observeKeepAlive(header string) {
 	s, ok := strings.CutPrefix(header, "timeout=")
 	if !ok {
@@ -127,7 +131,7 @@
 	s, _, _ = strings.Cut(s, ",")
 	n, err := strconv.Atoi(strings.TrimSpace(s))
 	if err != nil || n <= 0 {
-		return // a server that tells no time may keep its connections for ever
+		return // without a time-out the server may keep its connections for ever
 	}
 
 	at.mu.Lock()
@@ -142,18 +146,18 @@
 	old := at.transport
 	at.transport = New(cfg).Transport
 	if tr, ok := old.(*http.Transport); ok {
-		tr.CloseIdleConnections() // requests under way finish on the old connections
+		tr.CloseIdleConnections() // requests in flight finish on the old connections
 	}
 }
 
-// NewClient returns a client that dials from the IP number bind. Without
-// keepAlive each request has a connection of its own, so that the library never
-// sends one a second time.
+// NewClient returns a client that dials from the IP number bind. Without keepAlive
+// each request opens its own connection, because net/http may send a request a second
+// time if a reused connection fails.
 func NewClient(bind string, keepAlive bool) *http.Client {
 	return New(Config{Bind: bind, KeepAlive: keepAlive})
 }
 
-// Failure returns the numbered error of a call that got no answer.
+// Failure returns the numbered error of a call that received no answer.
 func Failure(what string, err error) *result.Error {
 	var op *net.OpError
 	switch {
@@ -162,21 +166,22 @@
 	case errors.Is(err, context.DeadlineExceeded):
 		return result.New(result.BackendTimeout, "%s: %v", what, err).With(result.Unknown)
 	case errors.Is(err, context.Canceled):
-		return result.New(result.DeadlinePassed, "%s: the caller has gone", what).With(result.Unknown)
+		return result.New(result.DeadlinePassed, "%s: the caller canceled the request", what).With(result.Unknown)
 	}
 
 	return result.New(result.BackendCrashed, "%s: %v", what, err).With(result.Unknown)
 }
 
-// Refusal returns the numbered error of an answer with an error status.
+// Refusal returns the numbered error of an answer with an error status. It includes
+// the start of the answer's body.
 func Refusal(what string, rs *http.Response) *result.Error {
 	b, _ := io.ReadAll(io.LimitReader(rs.Body, maxErrorBytes))
 
 	return result.New(result.BackendRefused, "%s: status %d: %s", what, rs.StatusCode, bytes.TrimSpace(b))
 }
 
-// JSON sends in as JSON, if it is not nil, and decodes the answer into out. The
-// status of the answer is returned with every error that an answer had.
+// JSON sends in as JSON, if it is not nil, and decodes the answer into out, if it is
+// not nil. It returns the answer's status, also with an error; 0 if there was no answer.
 func JSON(ctx context.Context, hc *http.Client, method, url string, in, out any) (int, error) {
 	var body io.Reader = http.NoBody
 	if in != nil {
--- a/internal/httpcall/httpcall_test.go
+++ b/internal/httpcall/httpcall_test.go
@@ -17,8 +17,8 @@
 
 func TestSuite(t *testing.T) { suite.Run(t, "httpcall") }
 
-var _ = ginkgo.Describe("a client that learns how long servers keep connections", func() {
-	ginkgo.It("keeps an unused connection that long, and takes only a shorter time afterwards", func() {
+var _ = ginkgo.Describe("a client that adapts to the servers' keep-alive time", func() {
+	ginkgo.It("keeps idle connections for the shortest time that a server announced", func() {
 		var opened atomic.Int64
 		told := ""
 		sv := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -46,7 +46,7 @@
 
 		told = "timeout=60"
 		get()
-		get() // on the first connection that is kept for longer
+		get() // opens the first connection that is kept for longer
 		time.Sleep(60 * time.Millisecond)
 		get()
 		Expect(opened.Load()).To(Equal(int64(3)))
@@ -54,6 +54,6 @@
 		told = "timeout=120, max=5"
 		get()
 		get()
-		Expect(opened.Load()).To(Equal(int64(3)), "a longer time of another server changes nothing")
+		Expect(opened.Load()).To(Equal(int64(3)), "a longer time that a server announces later changes nothing")
 	})
 })
