--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,5 +1,5 @@
-// Package backend holds what is said to backend servers and what they answer, in
-// terms of the product. A dialect of the wire translates it.
+// Package backend defines the requests to backend servers and their answers,
+// independent of the wire format. A Client translates them to one dialect.
 package backend
 
 import (
@@ -17,17 +17,17 @@
 	Method        string
 	Host          string
 	Target        string      // path and query, as the client sent them
-	Header        http.Header // of the client, without what concerns one connection
+	Header        http.Header // of the client, without hop-by-hop headers
 	Body          []byte
-	Instance      string        // incarnation that alone may run it, "" for any
+	Instance      string        // the only incarnation that may run it, "" for any
 	Workspace     string        // "" for public routes
-	TimeLeft      time.Duration // after which the backend server stops work, 0 for never
-	ExpectVersion uint64        // weight version that alone may run it, 0 for any
-	Priority      int           // 0 is first, -1 for the default
-	ResumeAfter   uint64        // number of the last event already held, 0 for none
+	TimeLeft      time.Duration // the backend server stops work after it, 0 for never
+	ExpectVersion uint64        // the only weight version that may run it, 0 for any
+	Priority      int           // 0 is the highest, -1 for the default
+	ResumeAfter   uint64        // number of the last event already received, 0 for none
 }
 
-// Load is what a backend server tells of its work.
+// Load is the load that a backend server reports.
 type Load struct {
 	Running int
 	Waiting int
@@ -37,19 +37,19 @@
 // Answer is the answer of a backend server. Body must be closed.
 type Answer struct {
 	Status   int
-	Header   http.Header // to be passed on, without what concerns one connection
+	Header   http.Header // for the client, without hop-by-hop headers
 	Body     io.ReadCloser
-	IsNotRun bool   // the backend server says that it did not run the request
-	Stamp    string // its signature, "" where it is missing
-	Version  uint64 // weight version at the start, 0 where it is missing
-	Load     *Load  // nil where it does not tell
+	IsNotRun bool   // the backend server reports that it did not run the request
+	Stamp    string // signature of the backend server, "" if missing
+	Version  uint64 // weight version at the start, 0 if missing
+	Load     *Load  // nil if not reported
 }
 
 // Event is one event of a stream.
 type Event struct {
 	Number  uint64
 	Data    string
-	Version uint64 // weight version from this event on, 0 where it has not changed
+	Version uint64 // weight version from this event on, 0 if unchanged
 }
 
 // Weights is an order to load a weight version.
@@ -57,42 +57,44 @@
 	Model    string
 	Version  uint64
 	Mode     SwapMode
-	Holder   string // of the lease under which the order is given
+	Holder   string // of the lease under which the order is sent
 	Fencing  uint64
-	Sequence uint64 // orders that the backend server has accepted so far: with another number it refuses
-	Instance string
+	Sequence uint64 // orders that the backend server has accepted so far; it refuses any other number
+	Instance string // the only incarnation that may carry out the order
 }
 
-// SwapMode says what happens to requests that run while weights are swapped.
+// SwapMode determines what happens to requests that run while weights are swapped.
 type SwapMode uint8
 
 // Swap modes.
 const (
-	Continue SwapMode = iota // they go on under the new version
-	Drain                    // they finish first
+	Continue SwapMode = iota // requests continue under the new version
+	Drain                    // requests finish before the swap
 )
 
-// Report is the state of a backend server, as of some hundred milliseconds ago.
+// Report is the state of a backend server. It may be some hundred milliseconds old.
 type Report struct {
-	BornMs   int64
-	IsBusy   bool // an order is being carried out
-	Sequence uint64
+	BornMs   int64             // start of the backend server
+	IsBusy   bool              // an order is being carried out
+	Sequence uint64            // orders accepted so far
 	Versions map[string]uint64 // by model
 }
 
-// Client speaks to backend servers in one dialect.
+// Client sends requests to backend servers in one dialect.
 type Client struct {
-	// Send sends a request. An error says whether it can have run.
+	// Send sends a request. An error says whether the request may have run.
 	Send func(ctx context.Context, address string, ca *Call) (*Answer, error)
-	// Events reads the next event of a stream; io.EOF is its regular end.
+	// Events returns a function that reads the next event of a stream. io.EOF is the
+	// regular end of the stream.
 	Events func(body io.Reader) func() (Event, error)
-	// Swap orders weights and returns nil once the order is accepted or holds already.
+	// Swap sends a weights order. It returns nil once the order is accepted, or if it is
+	// in effect already.
 	Swap func(ctx context.Context, address string, we *Weights) error
-	// Report asks for the state.
+	// Report requests the state of a backend server.
 	Report func(ctx context.Context, address string) (Report, error)
-	// KeepIdle returns how long an unused connection is kept open.
+	// KeepIdle returns how long an idle connection is kept open.
 	KeepIdle func() time.Duration
 }
 
-// HasRun reports whether a failed call can have run.
+// HasRun reports whether a failed call may have run.
 func HasRun(err error) bool { return result.From(err).Execution != result.NotRun }
