--- a/internal/dialer/dialer.go
+++ b/internal/dialer/dialer.go
@@ -1,6 +1,5 @@
-// Package dialer opens TCP connections that notice a silent peer: one that has
-// lost its power, or stands behind a partition, answers nothing and resets
-// nothing.
+// Package dialer opens TCP connections that detect a silent peer. A peer that lost
+// power or is cut off by a partition neither answers nor resets its connections.
 package dialer
 
 import (
@@ -12,15 +11,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// keepAliveIdle is how long a connection is idle before the kernel probes it: the
-// shortest time that the socket option can hold.
+// keepAliveIdle is how long a connection is idle before the kernel probes it. One
+// second is the shortest time that the socket option allows.
 const keepAliveIdle = time.Second
 
-// Config describes connections.
+// Config configures a dialer.
 type Config struct {
-	Bind    string        // IP number that is dialled from, "" for any
-	Timeout time.Duration // of opening a connection
-	Silence time.Duration // unacknowledged for so long, a connection is cut; 0 leaves it to the kernel
+	Bind    string        // local IP number to dial from, "" for any
+	Timeout time.Duration // for opening a connection
+	Silence time.Duration // a connection is cut if the peer acknowledges nothing for this long; 0 for the kernel's limit
 }
 
 // New returns a dialer of TCP connections.
@@ -39,7 +38,7 @@
 	return nd
 }
 
-// Listen listens on address; connections that it accepts notice a silent peer too.
+// Listen listens on address. Accepted connections detect a silent peer, too.
 func Listen(address string, silence time.Duration) (net.Listener, error) {
 	lc := net.ListenConfig{}
 	if silence > 0 {
@@ -54,7 +53,8 @@
 	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveIdle, Count: 2}
 }
 
-// setUserTimeout also bounds how long keep-alive probes stay unanswered.
+// setUserTimeout sets how long sent data and keep-alive probes may stay unacknowledged
+// before the kernel cuts the connection.
 func setUserTimeout(rc syscall.RawConn, d time.Duration) error {
 	var err error
 	if cerr := rc.Control(func(fd uintptr) {
