--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -142,6 +142,8 @@
 	}
 }
 
+// sendOrder commits the intent of an order, sends the order to the backend server's
+// agent and settles the intent.
 func (wd *weightsDuty) sendOrder(ctx context.Context, held leaseCheck, model string, mo declaration.Model, ac weights.Action) error {
 	se, ok := wd.ga.poolOf(model).Find(ac.Server)
 	fencing, holds := held()
