--- a/internal/httpcall/httpcall_test.go
+++ b/internal/httpcall/httpcall_test.go
@@ -20,10 +20,10 @@
 var _ = ginkgo.Describe("a client that adapts to the servers' keep-alive time", func() {
 	ginkgo.It("keeps idle connections for the shortest time that a server announced", func() {
 		var opened atomic.Int64
-		told := ""
+		announced := ""
 		sv := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			if told != "" {
-				w.Header().Set("Keep-Alive", told)
+			if announced != "" {
+				w.Header().Set("Keep-Alive", announced)
 			}
 		}))
 		sv.Config.ConnState = func(_ net.Conn, st http.ConnState) {
@@ -44,14 +44,14 @@
 		get()
 		Expect(opened.Load()).To(Equal(int64(2)))
 
-		told = "timeout=60"
+		announced = "timeout=60"
 		get()
 		get() // opens the first connection that is kept for longer
 		time.Sleep(60 * time.Millisecond)
 		get()
 		Expect(opened.Load()).To(Equal(int64(3)))
 
-		told = "timeout=120, max=5"
+		announced = "timeout=120, max=5"
 		get()
 		get()
 		Expect(opened.Load()).To(Equal(int64(3)), "a longer time that a server announces later changes nothing")
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -44,11 +44,11 @@
 	return nil, result.New(result.BackendUnreachable, "refused")
 }
 
-func cut(context.Context, *backend.Call) (*backend.Answer, error) {
+func cutConnection(context.Context, *backend.Call) (*backend.Answer, error) {
 	return nil, result.New(result.BackendCrashed, "cut").With(result.Unknown)
 }
 
-func silent(ctx context.Context, _ *backend.Call) (*backend.Answer, error) {
+func noAnswer(ctx context.Context, _ *backend.Call) (*backend.Answer, error) {
 	<-ctx.Done()
 
 	return nil, result.New(result.BackendTimeout, "silent").With(result.Unknown)
@@ -66,7 +66,7 @@
 
 func (errReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-type trial struct {
+type fixture struct {
 	in     *ingress.Ingress
 	mu     sync.Mutex
 	sent   []string // addresses of the backend servers that received the request, in order
@@ -75,10 +75,10 @@
 	body   string
 }
 
-// newTrial serves the route ro with three backend servers, or with none if there are
+// newFixture serves the route ro with three backend servers, or with none if there are
 // no replies. It fills in the route's name, host, prefix, times and targets.
-func newTrial(ro routing.Route, replies ...reply) *trial {
-	tr := &trial{}
+func newFixture(ro routing.Route, replies ...reply) *fixture {
+	fi := &fixture{}
 	ro.Name, ro.Host, ro.Prefix, ro.Timeout, ro.Aim = "r", "h", "/p/", time.Second, 50*time.Millisecond
 	ro.Targets = []routing.Target{{Service: "s", Weight: 1}}
 	cfg := &routing.Config{
@@ -99,14 +99,14 @@
 	if len(replies) > 0 {
 		ba.Sync(records)
 	}
-	tr.in = ingress.New(ingress.Config{
+	fi.in = ingress.New(ingress.Config{
 		Table: func() *routing.Table { return ta }, Fresh: func() error { return nil }, Balancer: ba, Random: func() float64 { return 0 },
-		Began: func(string, time.Time) { tr.began++ }, Meter: meter.New(), Log: logging.Discard(),
+		Began: func(string, time.Time) { fi.began++ }, Meter: meter.New(), Log: logging.Discard(),
 		Client: &backend.Client{Events: readEvents, Send: func(ctx context.Context, address string, ca *backend.Call) (*backend.Answer, error) {
-			tr.mu.Lock()
-			n := len(tr.sent)
-			tr.sent = append(tr.sent, address)
-			tr.mu.Unlock()
+			fi.mu.Lock()
+			n := len(fi.sent)
+			fi.sent = append(fi.sent, address)
+			fi.mu.Unlock()
 			Expect(ca.Workspace).To(Equal("w"))
 			Expect(ca.Instance).To(Equal(address))
 
@@ -114,57 +114,57 @@
 		}},
 	})
 
-	return tr
+	return fi
 }
 
-func (tr *trial) serve() error {
-	return tr.in.Serve(context.Background(), &ingress.Request{
+func (fi *fixture) serve() error {
+	return fi.in.Serve(context.Background(), &ingress.Request{
 		ID: "1", Method: "POST", Host: "h", Path: "/p/x", Target: "/p/x", Key: "k", Arrived: time.Now(), Patient: 400 * time.Millisecond,
-	}, &ingress.Sink{Whole: func(an *backend.Answer, body []byte) { tr.status, tr.body = an.Status, string(body) }})
+	}, &ingress.Sink{Whole: func(an *backend.Answer, body []byte) { fi.status, fi.body = an.Status, string(body) }})
 }
 
 var _ = ginkgo.Describe("a request with a complete answer", func() {
 	ok := complete(200, "yes")
 	for _, tc := range []struct {
-		name     string
-		kind     routing.Kind
-		attempts int
-		replies  []reply
-		status   int // of the forwarded answer, 0 for a refusal
-		runs     result.Execution
-		sent     int
+		name      string
+		kind      routing.Kind
+		attempts  int
+		replies   []reply
+		status    int // of the forwarded answer, 0 for a refusal
+		execution result.Execution
+		sent      int
 	}{
 		{"is answered by the first backend server", routing.Repeatable, 3, []reply{ok}, 200, 0, 1},
 		{"is sent to another backend server after a refused connection", routing.AtMostOnce, 3, []reply{refusedConnection, ok}, 200, 0, 2},
 		{"does not count an unreachable backend server as an attempt", routing.Repeatable, 1, []reply{refusedConnection, refusedConnection, ok}, 200, 0, 3},
 		{"is sent to another backend server when the first reports that it has not run", routing.AtMostOnce, 3, []reply{notRun, ok}, 200, 0, 2},
-		{"is repeated after a cut connection if it is repeatable", routing.Repeatable, 3, []reply{cut, ok}, 200, 0, 2},
-		{"is never repeated after a cut connection if it is not repeatable", routing.AtMostOnce, 3, []reply{cut, ok}, 0, result.Unknown, 1},
+		{"is repeated after a cut connection if it is repeatable", routing.Repeatable, 3, []reply{cutConnection, ok}, 200, 0, 2},
+		{"is never repeated after a cut connection if it is not repeatable", routing.AtMostOnce, 3, []reply{cutConnection, ok}, 0, result.Unknown, 1},
 		{"is repeated after a truncated answer if it is repeatable", routing.Repeatable, 3, []reply{truncated, ok}, 200, 0, 2},
 		{"is not repeated after a truncated answer if it is not repeatable", routing.AtMostOnce, 3, []reply{truncated, ok}, 0, result.Unknown, 1},
-		{"is sent to another backend server when the first does not answer in time", routing.Repeatable, 3, []reply{silent, ok}, 200, 0, 2},
-		{"is sent to no more backend servers than the route's MaxAttempts", routing.Repeatable, 2, []reply{cut}, 0, result.Unknown, 2},
+		{"is sent to another backend server when the first does not answer in time", routing.Repeatable, 3, []reply{noAnswer, ok}, 200, 0, 2},
+		{"is sent to no more backend servers than the route's MaxAttempts", routing.Repeatable, 2, []reply{cutConnection}, 0, result.Unknown, 2},
 		{"is refused as not run when no backend server ran it", routing.Repeatable, 3, []reply{notRun}, 0, result.NotRun, 3},
 		{"is answered with a backend server's failure when all attempts fail", routing.Repeatable, 2, []reply{complete(500, "no")}, 500, 0, 2},
 		{"is answered with the first failure if it is not repeatable", routing.AtMostOnce, 3, []reply{complete(500, "no"), ok}, 500, 0, 1},
 		{"is refused at once when there is no backend server", routing.Repeatable, 3, nil, 0, result.NotRun, 0},
 	} {
 		ginkgo.It(tc.name, func() {
-			tr := newTrial(routing.Route{Kind: tc.kind, MaxAttempts: tc.attempts}, tc.replies...)
+			fi := newFixture(routing.Route{Kind: tc.kind, MaxAttempts: tc.attempts}, tc.replies...)
 			began := time.Now()
-			err := tr.serve()
+			err := fi.serve()
 			Expect(time.Since(began)).To(BeNumerically("<", 400*time.Millisecond))
-			Expect(tr.status).To(Equal(tc.status))
-			Expect(tr.sent).To(HaveLen(tc.sent))
+			Expect(fi.status).To(Equal(tc.status))
+			Expect(fi.sent).To(HaveLen(tc.sent))
 			if tc.status == 0 {
 				var er *result.Error
 				Expect(errors.As(err, &er)).To(BeTrue())
-				Expect(er.Execution).To(Equal(tc.runs))
+				Expect(er.Execution).To(Equal(tc.execution))
 			}
-			for i := 1; i < len(tr.sent); i++ {
-				Expect(tr.sent[i]).NotTo(Equal(tr.sent[i-1]))
+			for i := 1; i < len(fi.sent); i++ {
+				Expect(fi.sent[i]).NotTo(Equal(fi.sent[i-1]))
 			}
-			Expect(tr.began).To(BeNumerically("<=", 1), "usage counts a request at most once")
+			Expect(fi.began).To(BeNumerically("<=", 1), "usage counts a request at most once")
 		})
 	}
 })
--- a/internal/ingress/stream_test.go
+++ b/internal/ingress/stream_test.go
@@ -27,9 +27,9 @@
 
 const eventCount = 5
 
-// stream answers with the events after the call's ResumeAfter. It breaks off after
+// streamUntil answers with the events after the call's ResumeAfter. It breaks off after
 // event breakAt, or ends regularly if breakAt is 0.
-func stream(breakAt uint64) reply {
+func streamUntil(breakAt uint64) reply {
 	return func(_ context.Context, ca *backend.Call) (*backend.Answer, error) {
 		ev := &events{next: ca.ResumeAfter + 1, last: eventCount, err: io.EOF}
 		if breakAt > 0 {
@@ -61,21 +61,21 @@
 		replies    []reply
 		got        []uint64
 		isComplete bool
-		runs       result.Execution // of the error, if the stream is not complete
+		execution  result.Execution // of the error, if the stream is not complete
 		sent       int
 	}{
-		{"is forwarded to its end", false, []reply{stream(0)}, all, true, 0, 1},
-		{"resumes on another backend server after the last forwarded event", true, []reply{stream(3), stream(0)}, all, true, 0, 2},
-		{"is cut, and never continued from another run, if it is not resumable", false, []reply{stream(3), stream(0)}, all[:3], false, result.Ran, 1},
-		{"is sent to another backend server when the first has not run it", false, []reply{notRun, refusedConnection, stream(0)}, all, true, 0, 3},
-		{"is not repeated after a cut connection before its first event", false, []reply{cut, stream(0)}, nil, false, result.Unknown, 1},
+		{"is forwarded to its end", false, []reply{streamUntil(0)}, all, true, 0, 1},
+		{"resumes on another backend server after the last forwarded event", true, []reply{streamUntil(3), streamUntil(0)}, all, true, 0, 2},
+		{"is cut, and never continued from another run, if it is not resumable", false, []reply{streamUntil(3), streamUntil(0)}, all[:3], false, result.Ran, 1},
+		{"is sent to another backend server when the first has not run it", false, []reply{notRun, refusedConnection, streamUntil(0)}, all, true, 0, 3},
+		{"is not repeated after a cut connection before its first event", false, []reply{cutConnection, streamUntil(0)}, nil, false, result.Unknown, 1},
 		{"is refused as not run when no backend server ran it", true, []reply{notRun}, nil, false, result.NotRun, 3},
 	} {
 		ginkgo.It(tc.name, func() {
-			tr := newTrial(routing.Route{Kind: routing.AtMostOnce, IsStreaming: true, IsResumable: tc.resumable, MaxAttempts: 3}, tc.replies...)
+			fi := newFixture(routing.Route{Kind: routing.AtMostOnce, IsStreaming: true, IsResumable: tc.resumable, MaxAttempts: 3}, tc.replies...)
 			var got []uint64
 			begun, ended := 0, 0
-			err := tr.in.Serve(context.Background(), &ingress.Request{ID: "1", Host: "h", Path: "/p/x", Key: "k", Arrived: time.Now()}, &ingress.Sink{
+			err := fi.in.Serve(context.Background(), &ingress.Request{ID: "1", Host: "h", Path: "/p/x", Key: "k", Arrived: time.Now()}, &ingress.Sink{
 				Begin: func(*backend.Answer) { begun++ },
 				Event: func(ev backend.Event) error {
 					got = append(got, ev.Number)
@@ -85,13 +85,13 @@
 				End: func() { ended++ },
 			})
 			Expect(got).To(Equal(tc.got))
-			Expect(tr.sent).To(HaveLen(tc.sent))
+			Expect(fi.sent).To(HaveLen(tc.sent))
 			Expect(begun).To(BeNumerically("<=", 1))
 			Expect(ended == 1).To(Equal(tc.isComplete))
 			Expect(err == nil).To(Equal(tc.isComplete))
 			var er *result.Error
 			if errors.As(err, &er) {
-				Expect(er.Execution).To(Equal(tc.runs))
+				Expect(er.Execution).To(Equal(tc.execution))
 			}
 		})
 	}
