--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,5 +1,5 @@
-// Package edge runs a gateway at the platform's edge: it has no disk, follows the
-// controllers, and serves clients whose requests are routed by host and path.
+// Package edge runs a gateway at the platform's edge. It has no disk, follows the
+// controllers' feed, and serves clients whose requests are routed by host and path.
 package edge
 
 import (
@@ -29,20 +29,21 @@
 )
 
 const (
-	// usagePeriod is how often counts are sent: what a lost gateway had not sent is
-	// missing in the report.
+	// usagePeriod is the time between two sends of usage counters. If a gateway is
+	// lost, the counts since its last send are missing from the usage report.
 	usagePeriod  = 500 * time.Millisecond
 	usageTimeout = 900 * time.Millisecond
-	// schedulerChoices is the number of backend servers that are compared for a request.
-	schedulerChoices = 8
-	// defaultMaxBody bounds a request before the first configuration tells its limit.
-	defaultMaxBody = 32 << 20
+	// schedulerCandidates is the number of backend servers compared for each request.
+	schedulerCandidates = 8
+	// defaultMaxBodyBytes limits a request's body where the configuration sets no
+	// limit, or none has arrived yet.
+	defaultMaxBodyBytes = 32 << 20
 )
 
-// Config builds an Edge.
+// Config configures an Edge.
 type Config struct {
 	Settings    *settings.Node
-	Controllers func() []string // peer addresses of the settings, which may change
+	Controllers func() []string // peer addresses from the settings, which may change
 	Peer        peer.Config
 	Client      *backend.Client
 	Now         func() time.Duration
@@ -52,17 +53,17 @@
 
 // Edge is a running gateway at the edge.
 type Edge struct {
-	cfg      Config
-	links    *peer.Links
-	follower *feed.Follower
-	balancer *balance.Balancer
-	ingress  *ingress.Ingress
-	gate     *jobgate.Gate
-	tally    *usage.Tally
-	closing  atomic.Bool
+	cfg       Config
+	links     *peer.Links
+	follower  *feed.Follower
+	balancer  *balance.Balancer
+	ingress   *ingress.Ingress
+	jobGate   *jobgate.Gate
+	tally     *usage.Tally
+	isClosing atomic.Bool
 }
 
-// New returns an edge that knows nothing yet.
+// New returns an edge without a configuration. Run fetches it from the controllers.
 func New(cfg Config) *Edge {
 	ed := &Edge{
 		cfg: cfg, links: peer.NewLinks(context.Background(), cfg.Peer),
@@ -70,13 +71,13 @@
 	}
 	ed.follower = feed.NewFollower(feed.Config{Links: ed.links, Seeds: cfg.Controllers, Log: cfg.Log})
 	ed.balancer = balance.New(balance.Config{
-		FailureDomain: cfg.Settings.FailureDomain, Scheduler: scheduler.Config{Choices: schedulerChoices}, Now: cfg.Now, Random: rand.IntN, KeepIdle: cfg.Client.KeepIdle,
+		FailureDomain: cfg.Settings.FailureDomain, Scheduler: scheduler.Config{Choices: schedulerCandidates}, Now: cfg.Now, Random: rand.IntN, KeepIdle: cfg.Client.KeepIdle,
 	})
 	ed.ingress = ingress.New(ingress.Config{
 		Table: ed.Table, Fresh: ed.fresh, Balancer: ed.balancer, Client: cfg.Client, Random: rand.Float64, Began: ed.tally.Count,
 		Meter: cfg.Meter, Log: cfg.Log,
 	})
-	ed.gate = jobgate.New(jobgate.Config{
+	ed.jobGate = jobgate.New(jobgate.Config{
 		Ingress: ed.ingress, Table: ed.Table, View: ed.follower.View, Changed: ed.follower.Changed, Links: ed.links,
 		Meter: cfg.Meter, Log: cfg.Log,
 	})
@@ -87,31 +88,33 @@
 // Ingress serves plain and streamed requests.
 func (ed *Edge) Ingress() *ingress.Ingress { return ed.ingress }
 
-// Gate serves what concerns batch jobs.
-func (ed *Edge) Gate() *jobgate.Gate { return ed.gate }
+// Gate serves requests that concern batch jobs.
+func (ed *Edge) Gate() *jobgate.Gate { return ed.jobGate }
 
-// Table returns the configuration in force here, nil before the first one.
+// Table returns the routing table of the configuration in force, or nil before the
+// first configuration has arrived.
 func (ed *Edge) Table() *routing.Table { return ed.follower.View().Table }
 
-// MaxBodyBytes bounds a request of a client.
+// MaxBodyBytes returns the limit for the body of a client's request.
 func (ed *Edge) MaxBodyBytes() int64 {
 	if ta := ed.Table(); ta != nil && ta.Config().Limits.MaxBodyBytes > 0 {
 		return int64(ta.Config().Limits.MaxBodyBytes)
 	}
 
-	return defaultMaxBody
+	return defaultMaxBodyBytes
 }
 
-// IsReady reports whether new clients may be sent here.
-func (ed *Edge) IsReady() bool { return !ed.closing.Load() && ed.Table() != nil && ed.fresh() == nil }
+// IsReady reports whether the load balancer may send new clients to this edge.
+func (ed *Edge) IsReady() bool { return !ed.isClosing.Load() && ed.Table() != nil && ed.fresh() == nil }
 
-// IsClosing reports whether clients should move their connections elsewhere.
-func (ed *Edge) IsClosing() bool { return ed.closing.Load() }
+// IsClosing reports whether this edge is shutting down and clients should reconnect
+// to another one.
+func (ed *Edge) IsClosing() bool { return ed.isClosing.Load() }
 
-// BeginShutdown makes the edge not ready, so that the balancer moves on.
-func (ed *Edge) BeginShutdown() { ed.closing.Store(true) }
+// BeginShutdown makes the edge not ready, so that the load balancer picks another one.
+func (ed *Edge) BeginShutdown() { ed.isClosing.Store(true) }
 
-// fresh returns an error where keys must not be vouched for any more.
+// fresh returns an error if the configuration is too stale to verify keys.
 func (ed *Edge) fresh() error {
 	bound := ed.cfg.Settings.FreshnessBound
 	if bound <= 0 {
@@ -119,7 +122,7 @@
 	}
 	age, ok := ed.follower.Age()
 	if !ok || age > bound {
-		return result.New(result.StaleProcess, "edge: nothing heard of the configuration for %v, the bound is %v", age.Round(time.Millisecond), bound)
+		return result.New(result.StaleProcess, "edge: no confirmation of the configuration for %v, the freshness bound is %v", age.Round(time.Millisecond), bound)
 	}
 
 	return nil
@@ -132,12 +135,13 @@
 	var wg sync.WaitGroup
 	wg.Go(func() { ed.follower.Run(ctx) })
 	wg.Go(func() { ed.follower.EachView(ctx, func(vi *feed.View) { ed.balancer.Sync(vi.Servers) }) })
-	wg.Go(func() { ed.usageDuty(ctx) })
+	wg.Go(func() { ed.sendUsageLoop(ctx) })
 	wg.Wait()
 }
 
-// usageDuty sends what was counted to the controllers.
-func (ed *Edge) usageDuty(ctx context.Context) {
+// sendUsageLoop sends pending usage counters to the controllers every usagePeriod,
+// and once more after ctx has ended.
+func (ed *Edge) sendUsageLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-time.After(usagePeriod):
@@ -147,7 +151,8 @@
 	}
 }
 
-// FlushUsage sends what was counted, to the first controller that records it.
+// FlushUsage sends the pending usage counters to the controllers one after another,
+// from a random one on, until one has recorded them.
 func (ed *Edge) FlushUsage(ctx context.Context) {
 	counters := ed.tally.Pending()
 	if len(counters) == 0 {
@@ -155,7 +160,7 @@
 	}
 	b, err := cbor.Marshal(usage.Fold{Counters: counters})
 	if err != nil {
-		ed.cfg.Log.WithError(err).Error("usage not encoded")
+		ed.cfg.Log.WithError(err).Error("cannot encode usage counters")
 
 		return
 	}
@@ -177,9 +182,9 @@
 		}
 	}
 	if err != nil {
-		ed.cfg.Log.WithError(err).WithField("counters", len(counters)).Warn("usage not recorded yet")
+		ed.cfg.Log.WithError(err).WithField("counters", len(counters)).Warn("no controller recorded the usage counters, they will be sent again")
 	}
 }
 
-// Measure sets the gauges of what is believed here.
+// Measure sets the gauges of this edge's view of the configuration and the servers.
 func (ed *Edge) Measure(me *meter.Meter) { ed.follower.Measure(me) }
--- a/internal/gateway/complete.go
+++ b/internal/gateway/complete.go
@@ -23,7 +23,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// Completion asks a model for text.
+// Completion is a request to generate text with a model.
 type Completion struct {
 	Workspace   string
 	Route       string
@@ -35,10 +35,10 @@
 	Class       string
 	Retries     int
 	Timeout     time.Duration
-	MinSequence uint64 // weight versions below it may not write any part
+	MinSequence uint64 // oldest weight version allowed, by sequence number
 	IsSample    bool
-	Exclude     []string
-	Placed      func(server string) // called for each attempt, may be nil
+	Exclude     []string            // backend servers to avoid
+	Placed      func(server string) // called at the start of each attempt; may be nil
 }
 
 // Written is the result of a completion.
@@ -53,10 +53,10 @@
 	Attempts     int
 }
 
-// Complete runs a completion; onPart is called for each part as it comes.
+// Complete runs a completion. It calls onPart, if not nil, for each part as it arrives.
 func (ga *Gateway) Complete(ctx context.Context, co Completion, onPart func(requestID string, part *wire.RunChunk) error) (*Written, error) {
 	po := ga.poolOf(co.Model)
-	leave, err := ga.enter(co.Workspace, po.Gateways())
+	leave, err := ga.admit(co.Workspace, po.Gateways())
 	if err != nil {
 		return nil, err
 	}
@@ -65,8 +65,8 @@
 	return ga.complete(ctx, po, co, onPart)
 }
 
-// completeSample runs a sample of a step. Samples are not held to the rate of
-// their workspace: the step was admitted as a whole.
+// completeSample runs a sample of a step. It bypasses the workspace's rate limit,
+// because the step was admitted as one unit.
 func (ga *Gateway) completeSample(ctx context.Context, sa rollout.Attempt) (*rollout.Written, error) {
 	w, err := ga.complete(ctx, ga.poolOf(sa.Model), Completion{
 		Workspace: sa.Workspace, Route: "rollout", Model: sa.Model, Prompt: sa.Prompt, MaxTokens: sa.MaxTokens,
@@ -84,36 +84,36 @@
 	}, nil
 }
 
-// promptBytesPerCost is the length of a prompt that counts as one token to be generated.
-const promptBytesPerCost = 64
+// promptBytesPerCostUnit is the number of prompt bytes that cost as much as one generated token.
+const promptBytesPerCostUnit = 64
 
-// run is one completion on its way through attempts.
-type run struct {
+// completionRun is the state of one completion across its attempts.
+type completionRun struct {
 	placement
 	co     Completion
 	onPart func(requestID string, part *wire.RunChunk) error
 
-	text    strings.Builder
-	written Written
-	before  Written  // what earlier attempts delivered
-	mixed   []string // versions that may have written any part of this attempt
-	assumed bool     // the engine did not say the versions of this attempt's parts
+	text            strings.Builder
+	output          Written
+	beforeAttempt   Written  // output of earlier attempts
+	mixedVersions   []string // weight versions, any of which may have generated this attempt's parts
+	versionsAssumed bool     // the engine did not report the weight versions of this attempt's parts
 }
 
-// unknownVersion stands for parts whose version nobody can tell any more.
+// unknownVersion marks parts whose weight version cannot be determined.
 const unknownVersion = "unknown"
 
 func (ga *Gateway) complete(ctx context.Context, po *pool.Pool, co Completion, onPart func(string, *wire.RunChunk) error) (*Written, error) {
 	ctx, cancel, deadline := ga.deadline(ctx, co.Timeout)
 	defer cancel()
 
-	rn := &run{co: co, onPart: onPart, placement: placement{
+	rn := &completionRun{co: co, onPart: onPart, placement: placement{
 		ga: ga, po: po, id: ga.newRequestID(), workspace: co.Workspace, class: co.Class,
-		cost: float64(co.MaxTokens) + float64(len(co.Prompt))/promptBytesPerCost, deadline: deadline,
+		cost: float64(co.MaxTokens) + float64(len(co.Prompt))/promptBytesPerCostUnit, deadline: deadline,
 		minSequence: co.MinSequence, newestFirst: co.IsSample, prefix: xxhash.Sum64String(co.Prompt), exclude: co.Exclude,
 		fingerprint: fingerprint(co.Model, co.Prompt, fmt.Sprint(co.MaxTokens)),
 	}}
-	rn.written.RequestID = rn.id
+	rn.output.RequestID = rn.id
 	key := co.Route + "/" + co.Workspace
 	ga.mu.Lock()
 	ga.budget.First(key)
@@ -122,30 +122,30 @@
 	for n := 1; ; n++ {
 		err := rn.attempt(ctx, uint32(n))
 		if err == nil {
-			rn.written.Attempts, rn.written.Text = n, rn.text.String()
+			rn.output.Attempts, rn.output.Text = n, rn.text.String()
 
-			return &rn.written, nil
+			return &rn.output, nil
 		}
-		if de := ga.decide(ctx, retry.Attempt{
+		if de := ga.awaitRetry(ctx, retry.Attempt{
 			Key: key, Number: n, MaxRetries: co.Retries, IsRepeatable: true, Err: result.From(err), Now: ga.now(), Deadline: deadline,
 		}); !de.Retry {
-			return nil, rn.settle(de.Err)
+			return nil, rn.markRan(de.Err)
 		}
 	}
 }
 
-// settle says of a request with delivered parts that it ran.
-func (rn *run) settle(er *result.Error) *result.Error {
-	if rn.written.Tokens > 0 {
+// markRan sets the error's execution to Ran if any tokens were received.
+func (rn *completionRun) markRan(er *result.Error) *result.Error {
+	if rn.output.Tokens > 0 {
 		return er.With(result.Ran)
 	}
 
 	return er
 }
 
-// decide asks the budget about a failed attempt and waits for the delay.
-func (ga *Gateway) decide(ctx context.Context, at retry.Attempt) retry.Decision {
-	if er := causeOf(ctx); er != nil {
+// awaitRetry checks a failed attempt against the retry budget and waits for the back-off delay.
+func (ga *Gateway) awaitRetry(ctx context.Context, at retry.Attempt) retry.Decision {
+	if er := cancelCause(ctx); er != nil {
 		return retry.Decision{Err: er.With(at.Err.Execution)}
 	}
 
@@ -165,7 +165,8 @@
 	return de
 }
 
-// fingerprint names what a request would make a backend server do.
+// fingerprint returns a hash of everything that determines what a request makes a
+// backend server do.
 func fingerprint(parts ...string) string {
 	h := sha256.New()
 	for _, p := range parts {
@@ -176,8 +177,10 @@
 	return hex.EncodeToString(h.Sum(nil)[:12])
 }
 
-// quarantine refuses fingerprints that crashed backend servers twice, and marks suspects.
-func (ga *Gateway) quarantine(fp string, suspect *bool) error {
+// checkQuarantine refuses a fingerprint that was in flight at two crashes of backend
+// servers, at one of them as the only suspect. It sets *suspect for a fingerprint that
+// was in flight at a crash otherwise.
+func (ga *Gateway) checkQuarantine(fp string, suspect *bool) error {
 	en, ok := ga.group.View().Quarantine[fp]
 	if !ok {
 		return nil
@@ -193,9 +196,9 @@
 	return nil
 }
 
-// attempt runs one attempt on one backend server, going on from the tokens that
+// attempt runs one attempt on one backend server. It resumes after the tokens that
 // earlier attempts delivered.
-func (rn *run) attempt(ctx context.Context, n uint32) error {
+func (rn *completionRun) attempt(ctx context.Context, n uint32) error {
 	gr, done, err := rn.place(ctx)
 	if err != nil {
 		return err
@@ -203,35 +206,36 @@
 	defer done()
 
 	err = rn.stream(ctx, gr, n)
-	if err != nil && rn.assumed {
-		rn.dropAssumed()
+	if err != nil && rn.versionsAssumed {
+		rn.discardAssumed()
 	}
-	rn.finish(gr, err)
+	rn.release(gr, err)
 
 	return err
 }
 
-// dropAssumed handles the parts of a failed attempt whose versions were assumed:
-// they are made again, or marked where the caller has them already.
-func (rn *run) dropAssumed() {
+// discardAssumed discards the parts of a failed attempt whose weight versions were
+// only assumed, so that the next attempt generates them again. Parts that the caller
+// already has are marked with unknownVersion instead.
+func (rn *completionRun) discardAssumed() {
 	if rn.onPart != nil {
-		rn.written.Versions = append(rn.before.Versions, rollout.VersionRange{
-			Version: unknownVersion, From: rn.before.Tokens, To: rn.written.Tokens,
+		rn.output.Versions = append(rn.beforeAttempt.Versions, rollout.VersionRange{
+			Version: unknownVersion, From: rn.beforeAttempt.Tokens, To: rn.output.Tokens,
 		})
 
 		return
 	}
 
-	rn.written = rn.before
+	rn.output = rn.beforeAttempt
 	rn.text.Reset()
-	rn.text.WriteString(rn.before.Text)
+	rn.text.WriteString(rn.beforeAttempt.Text)
 }
 
-// stream sends the attempt to the agent and takes the parts.
-func (rn *run) stream(ctx context.Context, gr *pool.Grant, n uint32) error {
+// stream sends the attempt to the agent and receives the parts.
+func (rn *completionRun) stream(ctx context.Context, gr *pool.Grant, n uint32) error {
 	st, err := gr.Server().Session().Open(ctx, agent.MethodRun, &wire.RunRequest{
 		RequestId: rn.id, Attempt: n, Workspace: rn.co.Workspace, Model: rn.co.Model, Prompt: rn.co.Prompt,
-		MaxTokens: rn.co.MaxTokens - min(rn.written.Tokens, rn.co.MaxTokens-1), Temperature: rn.co.Temperature, Seed: rn.co.Seed,
+		MaxTokens: rn.co.MaxTokens - min(rn.output.Tokens, rn.co.MaxTokens-1), Temperature: rn.co.Temperature, Seed: rn.co.Seed,
 		Priority: uint32(declaration.ClassRank(rn.co.Class)), ResumeText: rn.text.String(),
 		Sample: rn.co.IsSample, Fingerprint: rn.fingerprint, Suspect: rn.suspect, CacheKey: rn.prefix,
 	})
@@ -242,45 +246,45 @@
 	defer stop()
 	defer st.Close()
 
-	rn.written.Server, rn.mixed, rn.assumed = gr.Server().Name(), nil, false
-	rn.before = rn.written
-	rn.before.Text, rn.before.Versions = rn.text.String(), slices.Clone(rn.written.Versions)
+	rn.output.Server, rn.mixedVersions, rn.versionsAssumed = gr.Server().Name(), nil, false
+	rn.beforeAttempt = rn.output
+	rn.beforeAttempt.Text, rn.beforeAttempt.Versions = rn.text.String(), slices.Clone(rn.output.Versions)
 	if rn.co.Placed != nil {
-		rn.co.Placed(rn.written.Server)
+		rn.co.Placed(rn.output.Server)
 	}
 	for {
 		var part wire.RunChunk
 		err := st.Recv(&part)
 		if errors.Is(err, io.EOF) {
-			if rn.written.Finish == "" {
-				return result.New(result.BackendAnswerBroken, "the answer has no end").With(result.Ran)
+			if rn.output.Finish == "" {
+				return result.New(result.BackendAnswerBroken, "the backend server's answer ended without a finish reason").With(result.Ran)
 			}
-			for _, v := range rn.mixed {
-				rn.written.Versions = append(rn.written.Versions, rollout.VersionRange{Version: v, From: rn.before.Tokens, To: rn.written.Tokens})
+			for _, v := range rn.mixedVersions {
+				rn.output.Versions = append(rn.output.Versions, rollout.VersionRange{Version: v, From: rn.beforeAttempt.Tokens, To: rn.output.Tokens})
 			}
 
 			return nil
 		}
 		if err != nil {
-			return received(ctx, err)
+			return receiveError(ctx, err)
 		}
-		if err := rn.take(&part); err != nil {
+		if err := rn.addChunk(&part); err != nil {
 			return err
 		}
 	}
 }
 
-func (rn *run) take(part *wire.RunChunk) error {
-	wr := &rn.written
+func (rn *completionRun) addChunk(part *wire.RunChunk) error {
+	wr := &rn.output
 	switch {
 	case part.GetMixed():
-		rn.mixed = append(rn.mixed, part.GetVersion())
+		rn.mixedVersions = append(rn.mixedVersions, part.GetVersion())
 
 		return nil
 	case part.GetTokens() > 0:
 		wr.Versions = rollout.AddRange(wr.Versions, part.GetVersion(), wr.Tokens, wr.Tokens+part.GetTokens())
 	}
-	rn.assumed = rn.assumed || part.GetAssumed()
+	rn.versionsAssumed = rn.versionsAssumed || part.GetAssumed()
 	rn.text.WriteString(part.GetText())
 	wr.Tokens += part.GetTokens()
 	wr.PromptTokens = max(wr.PromptTokens, part.GetPromptTokens())
@@ -289,7 +293,7 @@
 		return nil
 	}
 	if err := rn.onPart(rn.id, part); err != nil {
-		return result.New(result.DeadlinePassed, "the caller has gone: %v", err).With(result.Unknown)
+		return result.New(result.DeadlinePassed, "the caller disconnected: %v", err).With(result.Unknown)
 	}
 
 	return nil
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,4 +1,4 @@
-// Package gateway joins the cores and the group into what an entry VM runs: it
+// Package gateway implements the gateway process, which runs on each entry VM. It
 // authenticates callers, places their requests on backend servers, drives rollout
 // steps and, under leases, orders backend servers, swaps weights and reports usage.
 package gateway
@@ -34,56 +34,56 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// handOverPoll is how often a stopping gateway looks whether its leases are released.
-const handOverPoll = 50 * time.Millisecond
+// leaseReleasePoll is how often a stopping gateway checks whether its leases are released.
+const leaseReleasePoll = 50 * time.Millisecond
 
-// Config builds a Gateway.
+// Config configures a Gateway.
 type Config struct {
 	Settings   settings.Gateway
 	Files      storage.Files
 	Log        log.Interface
 	Meter      *meter.Meter
 	WallMs     func() int64
-	PeerConfig peer.Config // TLS and bind; hello and handlers are filled in
+	PeerConfig peer.Config // TLS and bind address; New fills in the hello and the handlers
 }
 
 // Gateway is one gateway process without its listeners for callers and operators.
 type Gateway struct {
-	cfg      Config
-	instance uint64
-	start    time.Time
-	requests atomic.Uint64
+	cfg          Config
+	instance     uint64
+	startedAt    time.Time
+	requestCount atomic.Uint64
 
 	group    *group.Group
 	listener *peer.Listener
 	rollouts *rollout.Driver
 
-	mu      sync.Mutex
-	pools   map[string]*pool.Pool
-	limiter *admission.Limiter
-	budget  *retry.Budget
-	active  map[*activeRequest]struct{}
-	calls   map[string]struct{} // requests that may not be repeated and run here
-	fleet   map[string]string   // class to the reason of the last decision
+	mu             sync.Mutex
+	pools          map[string]*pool.Pool
+	limiter        *admission.Limiter
+	budget         *retry.Budget
+	activeRequests map[*activeRequest]struct{}
+	runningCalls   map[string]struct{} // IDs of non-repeatable requests that run on this gateway
+	fleetReasons   map[string]string   // by class, the reason of the last fleet decision
 
-	suspects map[string]chan struct{} // fingerprints that run as suspects, closed at their end
+	suspects map[string]chan struct{} // by fingerprint, closed when the running suspect request ends
 
-	reportPeriod atomic.Int64 // time.Duration, grows with the backend servers in view
+	reportPeriod atomic.Int64 // time.Duration, grows with the number of backend servers in the pools
 
 	stopping atomic.Bool
-	stopped  chan struct{} // closed when the lease duties must let go
+	stopped  chan struct{} // closed when the leases must be released
 
-	store    *weightstore.Client
-	ordering *ordering.Client
-	sink     *usagesink.Client
+	weightStore *weightstore.Client
+	ordering    *ordering.Client
+	usageSink   *usagesink.Client
 }
 
-// New loads the state and listens for peers.
+// New loads the stored state and starts listening for peers. Run serves them.
 func New(cfg Config) (*Gateway, error) {
 	se := cfg.Settings
 	ga := &Gateway{
-		cfg: cfg, instance: rand.Uint64(), start: time.Now(), pools: map[string]*pool.Pool{},
-		limiter: admission.NewLimiter(), active: map[*activeRequest]struct{}{}, fleet: map[string]string{}, calls: map[string]struct{}{},
+		cfg: cfg, instance: rand.Uint64(), startedAt: time.Now(), pools: map[string]*pool.Pool{},
+		limiter: admission.NewLimiter(), activeRequests: map[*activeRequest]struct{}{}, fleetReasons: map[string]string{}, runningCalls: map[string]struct{}{},
 		suspects: map[string]chan struct{}{},
 		budget:   retry.NewBudget(retry.Config{NoBudget: se.Policy.NoBudget}, rand.Float64),
 		stopped:  make(chan struct{}),
@@ -107,7 +107,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ga.openOutside()
+	ga.createPlatformClients()
 	ga.rollouts = rollout.New(ga.rolloutConfig())
 
 	for _, mux := range []peer.Mux{ga.group.Handlers(), ga.serverHandlers(), ga.rollouts.Handlers()} {
@@ -129,16 +129,16 @@
 	return out
 }
 
-func (ga *Gateway) openOutside() {
+func (ga *Gateway) createPlatformClients() {
 	ou, bind := ga.cfg.Settings.Outside, ga.cfg.PeerConfig.Bind
 	if ou.WeightStore != "" {
-		ga.store = weightstore.New(ou.WeightStore, bind)
+		ga.weightStore = weightstore.New(ou.WeightStore, bind)
 	}
 	if ou.Ordering != "" {
 		ga.ordering = ordering.New(ou.Ordering, bind)
 	}
 	if ou.Usage != "" {
-		ga.sink = usagesink.New(ou.Usage, bind)
+		ga.usageSink = usagesink.New(ou.Usage, bind)
 	}
 }
 
@@ -156,9 +156,9 @@
 	return rc
 }
 
-func (ga *Gateway) now() time.Duration { return time.Since(ga.start) }
+func (ga *Gateway) now() time.Duration { return time.Since(ga.startedAt) }
 
-// Group returns the gateway's part in the group.
+// Group returns the gateway's replica of the group state.
 func (ga *Gateway) Group() *group.Group { return ga.group }
 
 // Rollouts returns the driver of steps.
@@ -173,7 +173,7 @@
 // PeerAddress returns the address that peers connect to.
 func (ga *Gateway) PeerAddress() string { return ga.listener.Address() }
 
-// Run takes part until ctx ends; StopDuties comes first in a graceful end.
+// Run runs the gateway until ctx ends. For a graceful shutdown, call StopDuties first.
 func (ga *Gateway) Run(ctx context.Context) error {
 	defer ga.listener.Close()
 
@@ -190,8 +190,8 @@
 
 	run(func() { _ = ga.listener.Serve() })
 	run(func() { ga.rollouts.Run(ctx) })
-	for _, jo := range ga.jobs() {
-		run(func() { jo.loop(ctx) })
+	for _, pt := range ga.periodicTasks() {
+		run(func() { pt.loop(ctx) })
 	}
 	if ga.group.HasDisk() {
 		for _, du := range ga.duties() {
@@ -206,11 +206,12 @@
 	return err
 }
 
-// StopDuties releases the leases and gives the lead of the group away.
+// StopDuties releases the leases and transfers leadership of the group if this
+// gateway is the leader.
 func (ga *Gateway) StopDuties(ctx context.Context) {
 	ga.BeginShutdown()
 	for ctx.Err() == nil && ga.holdsLease() {
-		time.Sleep(handOverPoll)
+		time.Sleep(leaseReleasePoll)
 	}
 	ga.group.TransferLeadership(ctx)
 }
@@ -219,16 +220,18 @@
 	holds := false
 	ga.group.Read(func(ma *machine.Machine) {
 		for _, n := range []string{agent.LeaseFleet, agent.LeaseWeights, machine.UsageLease} {
-			holds = holds || ma.Leases().Get(n).Holder == ga.holder()
+			holds = holds || ma.Leases().Get(n).Holder == ga.leaseHolder()
 		}
 	})
 
 	return holds
 }
 
-func (ga *Gateway) holder() string { return fmt.Sprintf("%s/%016x", ga.cfg.Settings.Name, ga.instance) }
+func (ga *Gateway) leaseHolder() string {
+	return fmt.Sprintf("%s/%016x", ga.cfg.Settings.Name, ga.instance)
+}
 
-func (ga *Gateway) terms() lease.Terms {
+func (ga *Gateway) leaseTerms() lease.Terms {
 	te := lease.DefaultTerms()
 	te.Duration = settings.Duration(ga.cfg.Settings.Times.LeaseMs)
 	te.MaxCall = settings.Duration(ga.cfg.Settings.Times.MaxCallMs)
@@ -256,7 +259,7 @@
 	return po
 }
 
-// Pools returns all pools by what they serve.
+// Pools returns all pools by the model or plain service that they serve.
 func (ga *Gateway) Pools() map[string]*pool.Pool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -284,21 +287,21 @@
 	return v.Sequence
 }
 
-// newRequestID returns an ID that no other request has.
+// newRequestID returns an ID that is unique across gateways and restarts.
 func (ga *Gateway) newRequestID() string {
-	return fmt.Sprintf("%016x-%x", ga.instance, ga.requests.Add(1))
+	return fmt.Sprintf("%016x-%x", ga.instance, ga.requestCount.Add(1))
 }
 
-// Ready returns why the balancer should not send callers here, or nil.
+// Ready returns an error if the load balancer should not send callers here.
 func (ga *Gateway) Ready() error {
 	if ga.stopping.Load() {
-		return result.New(result.ShuttingDown, "gateway %s: shuts down", ga.cfg.Settings.Name)
+		return result.New(result.ShuttingDown, "gateway %s is shutting down", ga.cfg.Settings.Name)
 	}
 
 	return ga.group.Fresh()
 }
 
-// BeginShutdown makes the health check fail; new work is still taken.
+// BeginShutdown makes Ready fail and has the leases released. New work is still accepted.
 func (ga *Gateway) BeginShutdown() {
 	if ga.stopping.CompareAndSwap(false, true) {
 		close(ga.stopped)
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -9,8 +9,8 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// placement is what the attempts of one request share: where it may run, what is
-// known of its fingerprint, and which backend servers failed it.
+// placement is the state that the attempts of one request share: where it may run,
+// whether its fingerprint is suspect, and which backend servers failed it.
 type placement struct {
 	ga          *Gateway
 	po          *pool.Pool
@@ -27,10 +27,10 @@
 	exclude     []string
 }
 
-// place waits for the request's turn and for a backend server. The returned
-// function ends the turn of a suspect.
+// place waits in the queue for a slot on a backend server. The returned function
+// lets the next request with the same suspect fingerprint run.
 func (pl *placement) place(ctx context.Context) (*pool.Grant, func(), error) {
-	done, err := pl.ga.judge(ctx, pl.fingerprint, &pl.suspect)
+	done, err := pl.ga.admitFingerprint(ctx, pl.fingerprint, &pl.suspect)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -43,7 +43,7 @@
 	})
 	if err != nil {
 		done()
-		if er := causeOf(ctx); er != nil {
+		if er := cancelCause(ctx); er != nil {
 			return nil, nil, er
 		}
 
@@ -54,11 +54,13 @@
 	return gr, done, nil
 }
 
-// finish gives the slot back and remembers what a failure says of the server.
-func (pl *placement) finish(gr *pool.Grant, err error) {
+// release frees the slot, records the outcome for the backend server, and excludes
+// the server from later attempts after a failure.
+func (pl *placement) release(gr *pool.Grant, err error) {
 	if err == nil {
 		gr.Release(pool.Succeeded)
-		// Whatever ran to its end is innocent, also when it did not know of the suspicion.
+		// A request that ran to its end clears its fingerprint, even if the fingerprint
+		// became suspect only while it ran.
 		pl.ga.clearSuspect(pl.fingerprint)
 
 		return
@@ -75,9 +77,10 @@
 	pl.exclude = append(pl.exclude, gr.Server().Name())
 }
 
-// received turns a failure while an answer was read into the one that ended ctx, if it did.
-func received(ctx context.Context, err error) error {
-	if er := causeOf(ctx); er != nil {
+// receiveError returns the error of a failed read of an answer: the cause of ctx's
+// end if ctx has ended, otherwise err.
+func receiveError(ctx context.Context, err error) error {
+	if er := cancelCause(ctx); er != nil {
 		return er.With(result.Unknown)
 	}
 	if ctx.Err() != nil {
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -1,6 +1,6 @@
-// Package httpcall holds what the adapters of outside interfaces share: clients
-// that dial from the process's own address, small JSON calls, and the judgement
-// whether a failed call can have run.
+// Package httpcall holds what the adapters of outside interfaces share: HTTP clients
+// that dial from the process's own address, small JSON calls, and errors that say
+// whether a failed call may have run.
 package httpcall
 
 import (
@@ -21,33 +21,33 @@
 )
 
 const (
-	dialTimeout      = time.Second
-	idleTimeout      = 30 * time.Second
-	maxIdlePerServer = 256
-	maxAnswerBytes   = 16 << 20
-	maxErrorBytes    = 512
+	defaultDialTimeout = time.Second
+	defaultIdleTimeout = 30 * time.Second
+	maxIdlePerServer   = 256
+	maxAnswerBytes     = 16 << 20
+	maxErrorBytes      = 512
 )
 
-// Config builds a client.
+// Config configures a client.
 type Config struct {
-	Bind        string        // IP number that is dialled from, "" for any
-	KeepAlive   bool          // whether connections carry more than one request
-	Idle        time.Duration // how long an unused connection is kept
+	Bind        string        // local IP number to dial from, "" for any
+	KeepAlive   bool          // whether connections are reused
+	Idle        time.Duration // how long an idle connection is kept open
 	DialTimeout time.Duration
-	Silence     time.Duration // a connection whose peer acknowledges nothing for so long is cut, 0 for the kernel's limit
+	Silence     time.Duration // a connection is cut if the peer acknowledges nothing for this long; 0 for the kernel's limit
 }
 
-// Defaults fills the fields left zero.
+// Defaults sets the default values of Idle and DialTimeout where they are zero.
 func (c *Config) Defaults() {
 	if c.Idle == 0 {
-		c.Idle = idleTimeout
+		c.Idle = defaultIdleTimeout
 	}
 	if c.DialTimeout == 0 {
-		c.DialTimeout = dialTimeout
+		c.DialTimeout = defaultDialTimeout
 	}
 }
 
-// New returns a client.
+// New returns a client that follows no redirects.
 func New(cfg Config) *http.Client {
 	cfg.Defaults()
 	nd := dialer.New(dialer.Config{Bind: cfg.Bind, Timeout: cfg.DialTimeout, Silence: cfg.Silence})
@@ -61,65 +61,69 @@
 	}
 }
 
-// idleShare of the time after which a server closes unused connections is how long
-// they are kept here, so that no request meets the close on its way.
-const idleShare = 0.8
+// idleFraction is the part of a server's keep-alive time for which the client keeps an
+// idle connection. The rest is a margin, so that no request is sent on a connection
+// that the server is about to close.
+const idleFraction = 0.8
 
-// learner keeps unused connections for as long as the servers say that they do.
-type learner struct {
+// adaptiveTransport keeps idle connections for slightly less time than the servers
+// announce in their Keep-Alive headers.
+type adaptiveTransport struct {
 	cfg Config
 
-	mu      sync.Mutex
-	current http.RoundTripper
-	told    time.Duration // shortest time that a server told, 0 before the first
+	mu         sync.Mutex
+	transport  http.RoundTripper
+	serverIdle time.Duration // shortest keep-alive time that a server announced, 0 before the first
 }
 
-// NewLearning returns a client that begins with the idle time of cfg and takes the
-// shortest one that servers tell.
+// NewLearning returns a client that starts with the idle time of cfg and then adapts
+// it to the shortest keep-alive time that a server announces.
 func NewLearning(cfg Config) *http.Client {
 	hc := New(cfg)
-	hc.Transport = &learner{cfg: cfg, current: hc.Transport}
+	hc.Transport = &adaptiveTransport{cfg: cfg, transport: hc.Transport}
 
 	return hc
 }
 
-// KeepIdle returns how long a client of NewLearning keeps an unused connection now.
+// KeepIdle returns how long a client of NewLearning currently keeps an idle
+// connection, or 0 for any other client.
 func KeepIdle(hc *http.Client) time.Duration {
-	le, ok := hc.Transport.(*learner)
+	at, ok := hc.Transport.(*adaptiveTransport)
 	if !ok {
 		return 0
 	}
-	le.mu.Lock()
-	defer le.mu.Unlock()
+	at.mu.Lock()
+	defer at.mu.Unlock()
 
-	return le.keep()
+	return at.idle()
 }
 
-// keep is called with le.mu held.
-func (le *learner) keep() time.Duration {
-	if le.told == 0 {
-		return le.cfg.Idle
+// idle returns how long idle connections are currently kept. The caller must hold at.mu.
+func (at *adaptiveTransport) idle() time.Duration {
+	if at.serverIdle == 0 {
+		return at.cfg.Idle
 	}
 
-	return time.Duration(idleShare * float64(le.told))
+	return time.Duration(idleFraction * float64(at.serverIdle))
 }
 
-// RoundTrip sends a request and learns from its answer.
-func (le *learner) RoundTrip(rq *http.Request) (*http.Response, error) {
-	le.mu.Lock()
-	rt := le.current
-	le.mu.Unlock()
+// RoundTrip sends a request and adapts to the Keep-Alive header of the answer.
+func (at *adaptiveTransport) RoundTrip(rq *http.Request) (*http.Response, error) {
+	at.mu.Lock()
+	rt := at.transport
+	at.mu.Unlock()
 
 	rs, err := rt.RoundTrip(rq)
 	if err == nil {
-		le.learn(rs.Header.Get("Keep-Alive"))
+		at.observeKeepAlive(rs.Header.Get("Keep-Alive"))
 	}
 
 	return rs, err
 }
 
-// learn takes the header that tells the time after which a server closes unused connections.
-func (le *learner) learn(header string) {
+// observeKeepAlive lowers the idle time if a Keep-Alive header announces a shorter one
+// than any before.
+func (at *adaptiveTransport) observeKeepAlive(header string) {
 	s, ok := strings.CutPrefix(header, "timeout=")
 	if !ok {
 		return
@@ -127,33 +131,33 @@
 	s, _, _ = strings.Cut(s, ",")
 	n, err := strconv.Atoi(strings.TrimSpace(s))
 	if err != nil || n <= 0 {
-		return // a server that tells no time may keep its connections for ever
+		return // without a time-out the server may keep its connections for ever
 	}
 
-	le.mu.Lock()
-	defer le.mu.Unlock()
+	at.mu.Lock()
+	defer at.mu.Unlock()
 	idle := time.Duration(n) * time.Second
-	if le.told > 0 && idle >= le.told {
+	if at.serverIdle > 0 && idle >= at.serverIdle {
 		return
 	}
-	le.told = idle
-	cfg := le.cfg
-	cfg.Idle = le.keep()
-	old := le.current
-	le.current = New(cfg).Transport
+	at.serverIdle = idle
+	cfg := at.cfg
+	cfg.Idle = at.idle()
+	old := at.transport
+	at.transport = New(cfg).Transport
 	if tr, ok := old.(*http.Transport); ok {
-		tr.CloseIdleConnections() // requests under way finish on the old connections
+		tr.CloseIdleConnections() // requests in flight finish on the old connections
 	}
 }
 
-// NewClient returns a client that dials from the IP number bind. Without
-// keepAlive each request has a connection of its own, so that the library never
-// sends one a second time.
+// NewClient returns a client that dials from the IP number bind. Without keepAlive
+// each request opens its own connection, because net/http may send a request a second
+// time if a reused connection fails.
 func NewClient(bind string, keepAlive bool) *http.Client {
 	return New(Config{Bind: bind, KeepAlive: keepAlive})
 }
 
-// Failure returns the numbered error of a call that got no answer.
+// Failure returns the numbered error of a call that received no answer.
 func Failure(what string, err error) *result.Error {
 	var op *net.OpError
 	switch {
@@ -162,21 +166,22 @@
 	case errors.Is(err, context.DeadlineExceeded):
 		return result.New(result.BackendTimeout, "%s: %v", what, err).With(result.Unknown)
 	case errors.Is(err, context.Canceled):
-		return result.New(result.DeadlinePassed, "%s: the caller has gone", what).With(result.Unknown)
+		return result.New(result.DeadlinePassed, "%s: the caller canceled the request", what).With(result.Unknown)
 	}
 
 	return result.New(result.BackendCrashed, "%s: %v", what, err).With(result.Unknown)
 }
 
-// Refusal returns the numbered error of an answer with an error status.
+// Refusal returns the numbered error of an answer with an error status. It includes
+// the start of the answer's body.
 func Refusal(what string, rs *http.Response) *result.Error {
 	b, _ := io.ReadAll(io.LimitReader(rs.Body, maxErrorBytes))
 
 	return result.New(result.BackendRefused, "%s: status %d: %s", what, rs.StatusCode, bytes.TrimSpace(b))
 }
 
-// JSON sends in as JSON, if it is not nil, and decodes the answer into out. The
-// status of the answer is returned with every error that an answer had.
+// JSON sends in as JSON, if it is not nil, and decodes the answer into out, if it is
+// not nil. It returns the answer's status, also with an error; 0 if there was no answer.
 func JSON(ctx context.Context, hc *http.Client, method, url string, in, out any) (int, error) {
 	var body io.Reader = http.NoBody
 	if in != nil {
