--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,7 @@
-// Package agent runs beside one backend server. It announces it to the gateways,
-// passes requests on, knows the true weight version, refuses orders with an old
-// fencing number, runs no attempt twice, counts usage and drains.
+// Package agent implements the process that runs next to one backend server. It
+// announces the server to the gateways, forwards requests to it, verifies its weight
+// version, refuses orders with an old fencing number and attempts that it has
+// already received, counts usage and drains the server.
 package agent
 
 import (
@@ -35,23 +36,23 @@
 	MethodOrder   = "agent.order"
 )
 
-// Periods of an agent's duties.
+// Periods, timeouts and limits of the agent's background loops.
 const (
 	statusPeriod   = 100 * time.Millisecond
 	statusTimeout  = 500 * time.Millisecond
-	statusFailures = 3 // failed polls after which a ready backend server is suspect
+	statusFailures = 3 // consecutive failed polls after which a started backend server is suspect
 	loadPeriod     = 500 * time.Millisecond
 	usagePeriod    = time.Second
 	callTimeout    = 2 * time.Second
 	fencingPeriod  = 200 * time.Millisecond
 )
 
-// Config describes the backend server and the gateways.
+// Config describes the backend server and the gateways that the agent reports to.
 type Config struct {
 	Server        string
 	Class         string
-	Model         string // of an engine
-	Service       string // of a plain service
+	Model         string // set if the backend server is an engine
+	Service       string // set if the backend server is a plain service
 	Address       string // of the backend server, an IP number with a port
 	Bind          string // IP number to dial from
 	FailureDomain string
@@ -65,14 +66,14 @@
 	WallSeconds   func() int64
 }
 
-// Agent is the process beside one backend server.
+// Agent runs next to one backend server and serves the gateways' calls to it.
 type Agent struct {
 	cfg         Config
 	incarnation uint64
 	engine      *engine.Client
 	service     *plainservice.Client
 	links       []*peer.Link
-	kick        []chan struct{} // wakes the load duty of each link
+	kick        []chan struct{} // one per link; triggers a load report at once
 	usage       *counters
 	guard       *guard
 	fences      *fences
@@ -86,18 +87,18 @@
 	paused       bool
 	failures     int
 	inFlight     map[*work]struct{}
-	idle         chan struct{} // closed and replaced when nothing is in flight
-	suspect      chan struct{} // holds one token: a suspect request runs alone among suspects
-	crash        *crashReport
+	idle         chan struct{} // closed and replaced when the last request in flight ends
+	suspect      chan struct{} // semaphore of size 1: at most one suspect request runs at a time
+	crash        *crashReport  // of the current instance of the backend server
 	sequence     uint64
-	cacheSent    map[*peer.Session]uint64
+	cacheSent    map[*peer.Session]uint64 // sequence number of the last cache event sent in a session
 }
 
-// work is one request in flight.
+// work is a request in flight.
 type work struct {
 	fingerprint string
 	isSuspect   bool
-	versions    map[string]struct{} // that may have been served since it began
+	versions    map[string]struct{} // weight versions activated since the request began
 }
 
 // New returns an agent.
@@ -122,7 +123,8 @@
 	return ag
 }
 
-// Run serves until ctx ends. Call Drain first for a graceful end.
+// Run connects to the gateways and serves until ctx is done. Call Drain first for a
+// graceful shutdown.
 func (ag *Agent) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	start := func(duty func(context.Context)) {
@@ -142,7 +144,8 @@
 	wg.Wait()
 }
 
-// Drain refuses new work, waits for what runs and sends the last counters.
+// Drain refuses new requests, waits for those in flight and sends the remaining
+// usage counters.
 func (ag *Agent) Drain(ctx context.Context) {
 	ag.mu.Lock()
 	ag.draining = true
@@ -150,11 +153,12 @@
 	ag.wakeAll()
 
 	if err := ag.waitIdle(ctx); err != nil {
-		ag.cfg.Log.WithError(err).Warn("the drain was cut short")
+		ag.cfg.Log.WithError(err).Warn("requests were still running at the end of the drain")
 	}
 	ag.sendUsage(ctx)
 }
 
+// wake triggers a load report to gateway i.
 func (ag *Agent) wake(i int) {
 	select {
 	case ag.kick[i] <- struct{}{}:
@@ -168,7 +172,7 @@
 	}
 }
 
-// statusDuty follows the backend server's state.
+// statusDuty polls the backend server's status.
 func (ag *Agent) statusDuty(ctx context.Context) {
 	for ctx.Err() == nil {
 		ag.poll(ctx)
@@ -192,6 +196,8 @@
 	ag.setState(st, err == nil)
 }
 
+// setState applies the result of a poll. A change of state or version is reported
+// to the gateways at once.
 func (ag *Agent) setState(st engine.Status, ok bool) {
 	ag.mu.Lock()
 	before := ag.state
@@ -225,8 +231,8 @@
 	}
 }
 
-// noteVersion remembers for every request in flight that a version may write a
-// part of it; ag.mu is held.
+// noteVersion records for every request in flight that a part of its answer may
+// come from version. The caller holds ag.mu.
 func (ag *Agent) noteVersion(version string) {
 	for w := range ag.inFlight {
 		if version != "" && version != ag.status.Version {
@@ -235,7 +241,8 @@
 	}
 }
 
-// reportDuty announces the backend server to one gateway and reports its load.
+// reportDuty announces the backend server to gateway i once per session and
+// reports its load periodically.
 func (ag *Agent) reportDuty(ctx context.Context, i int) {
 	var announced *peer.Session
 	period := loadPeriod
@@ -285,7 +292,8 @@
 	return nil
 }
 
-// report sends the load and returns how long the gateway wants to wait for the next report.
+// report sends the load and returns the time until the next report, as set by the
+// gateway.
 func (ag *Agent) report(ctx context.Context, se *peer.Session) time.Duration {
 	cctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -334,7 +342,8 @@
 	return lo
 }
 
-// begin registers a request in flight, or tells why there is no room for it.
+// begin registers a request in flight. It returns false while the agent drains or
+// is paused for a swap.
 func (ag *Agent) begin(w *work) bool {
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
@@ -348,6 +357,7 @@
 	return true
 }
 
+// end unregisters a request.
 func (ag *Agent) end(w *work) {
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
--- a/internal/agent/crash.go
+++ b/internal/agent/crash.go
@@ -9,8 +9,8 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// crashReport makes sure that one crash of the backend server is reported once,
-// with all that was in flight.
+// crashReport ensures that a crash of one instance of the backend server is
+// reported once, with the fingerprints of all requests that were in flight.
 type crashReport struct {
 	once sync.Once
 	done chan struct{}
@@ -18,8 +18,9 @@
 
 func newCrashReport() *crashReport { return &crashReport{done: make(chan struct{})} }
 
-// reportCrash tells a gateway which fingerprints were in flight, and returns when
-// the group knows it. Suspects are reported alone if there were any.
+// reportCrash reports the fingerprints in flight to a gateway and returns when the
+// replica group has recorded them or the call has failed. If suspect requests were
+// in flight, only those are reported.
 func (ag *Agent) reportCrash() {
 	ag.mu.Lock()
 	cr, instance := ag.crash, ag.status.Instance
--- a/internal/agent/guard.go
+++ b/internal/agent/guard.go
@@ -9,22 +9,22 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// guardSize is the number of attempts that an agent remembers.
+// guardSize is the number of most recent attempts that an agent retains.
 const guardSize = 100_000
 
-// guard remembers the attempts that were given to this agent, so that none runs twice.
+// guard detects attempts that the agent has already received, so that none runs twice.
 type guard struct {
 	mu   sync.Mutex
 	seen map[string]struct{}
-	ring []string
-	next int
+	ring []string // retained attempts; the oldest one is replaced first
+	next int      // index in ring of the oldest attempt
 }
 
 func newGuard() *guard {
 	return &guard{seen: map[string]struct{}{}, ring: make([]string, 0, 1024)}
 }
 
-// first reports whether the attempt is given for the first time.
+// first records an attempt and reports whether it is new.
 func (gu *guard) first(attempt string) bool {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
@@ -45,8 +45,9 @@
 	return true
 }
 
-// cacheEvents reads the engine's cache events for one gateway. Each session has
-// its own position; a gateway that misses events is sent the whole cache.
+// cacheEvents reads the engine's cache events that a gateway has not received yet.
+// Each session has its own position; a gateway that missed events gets the complete
+// cache.
 func (ag *Agent) cacheEvents(ctx context.Context, se *peer.Session) []*wire.CacheEvent {
 	ag.mu.Lock()
 	after, newest := ag.cacheSent[se], ag.status.CacheSequence
@@ -71,6 +72,8 @@
 	return out
 }
 
+// noteCacheSent advances the position of a session past the sent events, or resets it
+// if the gateway requested a resync.
 func (ag *Agent) noteCacheSent(se *peer.Session, events []*wire.CacheEvent, resync bool) {
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
--- a/internal/agent/order.go
+++ b/internal/agent/order.go
@@ -14,17 +14,17 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// Leases under which orders to backend servers are given.
+// Leases whose holders send orders to agents.
 const (
 	LeaseFleet   = "fleet"
 	LeaseWeights = "weights"
 )
 
-// KindDrain is the order to take no new work.
+// KindDrain is the kind of an order to refuse new requests.
 const KindDrain = "drain"
 
-// fences holds the highest fencing number seen for each lease. After a start no
-// order passes before the number was learned from the group.
+// fences holds the highest fencing number seen for each lease. After a start, orders
+// are refused until the lease's current number has been read from the replica group.
 type fences struct {
 	mu      sync.Mutex
 	floor   map[string]uint64
@@ -35,6 +35,7 @@
 	return &fences{floor: map[string]uint64{}, learned: map[string]bool{}}
 }
 
+// learn records the fencing number of a lease as read from the replica group.
 func (fe *fences) learn(lease string, n uint64) {
 	fe.mu.Lock()
 	defer fe.mu.Unlock()
@@ -43,6 +44,7 @@
 	fe.learned[lease] = true
 }
 
+// missing returns the leases whose fencing number has not been read yet.
 func (fe *fences) missing() []string {
 	fe.mu.Lock()
 	defer fe.mu.Unlock()
@@ -57,23 +59,25 @@
 	return out
 }
 
-// pass lets an order with fencing number n through, or refuses it.
+// pass returns an error if the lease's fencing number has not been read yet or if n
+// is lower than the highest one seen. Otherwise it records n.
 func (fe *fences) pass(lease string, n uint64) error {
 	fe.mu.Lock()
 	defer fe.mu.Unlock()
 
 	switch {
 	case !fe.learned[lease]:
-		return result.New(result.FencingTooLow, "agent: the fencing number of lease %s is not learned yet", lease).After(time.Second)
+		return result.New(result.FencingTooLow, "agent: the fencing number of lease %s has not been read from the replica group yet", lease).After(time.Second)
 	case n < fe.floor[lease]:
-		return result.New(result.FencingTooLow, "agent: fencing number %d of lease %s, the highest seen is %d", n, lease, fe.floor[lease])
+		return result.New(result.FencingTooLow, "agent: fencing number %d of lease %s is lower than the highest seen, %d", n, lease, fe.floor[lease])
 	}
 	fe.floor[lease] = n
 
 	return nil
 }
 
-// fencingDuty learns the fencing numbers after a start.
+// fencingDuty reads the fencing numbers from the replica group after a start and
+// returns when it has all of them.
 func (ag *Agent) fencingDuty(ctx context.Context) {
 	for ctx.Err() == nil {
 		missing := ag.fences.missing()
@@ -95,7 +99,7 @@
 	}
 }
 
-// callAny makes a call on the first gateway that answers it.
+// callAny calls the connected gateways one after another until a call succeeds.
 func (ag *Agent) callAny(ctx context.Context, method string, rq, rep proto.Message) error {
 	err := error(result.New(result.NoLeader, "agent %s: no gateway is connected", ag.cfg.Server))
 	for _, li := range ag.links {
@@ -111,6 +115,7 @@
 	return err
 }
 
+// leaseOf returns the lease whose holder sends orders of a kind.
 func leaseOf(kind string) string {
 	if kind == KindDrain {
 		return LeaseFleet
@@ -147,11 +152,11 @@
 		return st.Reply(&wire.OrderReply{Version: v, Fencing: or.GetFencing()})
 	}
 
-	return result.New(result.InvalidField, "agent %s: order of unknown kind %q", ag.cfg.Server, or.GetKind())
+	return result.New(result.InvalidField, "agent %s: unknown kind of order %q", ag.cfg.Server, or.GetKind())
 }
 
-// swap loads or activates weights. While an activation runs, and after one that
-// failed until the engine's word is read again, the version is unknown.
+// swap loads or activates weights. The version counts as unknown from the start of
+// an activation until the engine's status has been read again.
 func (ag *Agent) swap(ctx context.Context, or *wire.Order) error {
 	if ag.engine == nil {
 		return result.New(result.InvalidField, "agent %s: a plain service has no weights", ag.cfg.Server)
@@ -193,7 +198,8 @@
 	return nil
 }
 
-// pause refuses new work while an engine finishes what it runs before a swap.
+// pause sets whether new requests are refused, as they are while an engine finishes
+// its requests before a swap.
 func (ag *Agent) pause(isPaused bool) {
 	ag.mu.Lock()
 	ag.paused = isPaused
@@ -201,7 +207,7 @@
 	ag.wakeAll()
 }
 
-// waitIdle waits until nothing is in flight.
+// waitIdle waits until no request is in flight.
 func (ag *Agent) waitIdle(ctx context.Context) error {
 	for {
 		ag.mu.Lock()
@@ -213,7 +219,7 @@
 		select {
 		case <-idle:
 		case <-ctx.Done():
-			return result.New(result.SwapFailed, "agent %s: %d requests still run", ag.cfg.Server, n)
+			return result.New(result.SwapFailed, "agent %s: %d requests were still running at the deadline", ag.cfg.Server, n)
 		}
 	}
 }
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -18,7 +18,8 @@
 
 const abortTimeout = time.Second
 
-// enter checks that a request may run here and registers it.
+// enter checks that a request may run here and registers it. The returned function
+// unregisters it.
 func (ag *Agent) enter(id string, attempt uint32, w *work) (func(), error) {
 	ag.mu.Lock()
 	state := ag.state
@@ -30,7 +31,7 @@
 		select {
 		case ag.suspect <- struct{}{}:
 		default:
-			return nil, result.New(result.ServerDraining, "agent %s: another suspect request runs", ag.cfg.Server)
+			return nil, result.New(result.ServerDraining, "agent %s: another suspect request is running", ag.cfg.Server)
 		}
 	}
 
@@ -43,24 +44,25 @@
 	if !ag.begin(w) {
 		leave()
 
-		return nil, result.New(result.ServerDraining, "agent %s: drains", ag.cfg.Server)
+		return nil, result.New(result.ServerDraining, "agent %s: the backend server is draining or paused for a swap", ag.cfg.Server)
 	}
 	if !ag.guard.first(fmt.Sprintf("%s/%d", id, attempt)) {
 		leave()
 
-		return nil, result.New(result.AttemptRepeated, "agent %s: attempt %d of %s was given before", ag.cfg.Server, attempt, id).With(result.Unknown)
+		return nil, result.New(result.AttemptRepeated, "agent %s: attempt %d of request %s was already received", ag.cfg.Server, attempt, id).With(result.Unknown)
 	}
 
 	return leave, nil
 }
 
+// handleRun serves MethodRun: it runs a completion on the engine.
 func (ag *Agent) handleRun(ctx context.Context, st *peer.Stream) error {
 	var rq wire.RunRequest
 	if err := st.Request(&rq); err != nil {
 		return err
 	}
 	if ag.engine == nil || rq.GetModel() != ag.cfg.Model {
-		return result.New(result.UnknownModel, "agent %s: serves %q, not %q", ag.cfg.Server, ag.cfg.Model, rq.GetModel())
+		return result.New(result.UnknownModel, "agent %s: the backend server serves model %q, not %q", ag.cfg.Server, ag.cfg.Model, rq.GetModel())
 	}
 
 	w := &work{fingerprint: rq.GetFingerprint(), isSuspect: rq.GetSuspect()}
@@ -72,12 +74,13 @@
 
 	before, known := ag.version()
 	if rq.GetSample() && !known {
-		return result.New(result.VersionUnknown, "agent %s: the weight version is not verified", ag.cfg.Server)
+		return result.New(result.VersionUnknown, "agent %s: the weight version of the engine is not verified", ag.cfg.Server)
 	}
 
 	return ag.complete(ctx, st, &rq, w, before)
 }
 
+// version returns the engine's last known weight version and whether it is verified.
 func (ag *Agent) version() (string, bool) {
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
@@ -85,8 +88,9 @@
 	return ag.status.Version, ag.versionKnown
 }
 
-// complete runs a completion. Each part carries the version that wrote it; where
-// the engine does not say it, the versions before and after the run stand for all.
+// complete runs a completion. Each part names the weight version that produced it. If
+// the engine doesn't name one, the version before the run is assumed, and every
+// further version until the end of the run is sent separately.
 func (ag *Agent) complete(ctx context.Context, st *peer.Stream, rq *wire.RunRequest, w *work, before string) error {
 	id := fmt.Sprintf("%s.%d", rq.GetRequestId(), rq.GetAttempt())
 	er := engine.Request{
@@ -109,7 +113,7 @@
 			isSilent, rc.Version, rc.Assumed = true, before, true
 		}
 		if rc.Finish != "" {
-			last = rc // sent once the versions are known
+			last = rc // sent last, after any further versions
 
 			return nil
 		}
@@ -122,7 +126,7 @@
 		return err
 	}
 	if last == nil {
-		return result.New(result.BackendAnswerBroken, "agent %s: no finish reason", ag.cfg.Server).With(result.Unknown)
+		return result.New(result.BackendAnswerBroken, "agent %s: the engine's answer has no finish reason", ag.cfg.Server).With(result.Unknown)
 	}
 	if isSilent {
 		if err := ag.closeBracket(ctx, st, w, before); err != nil {
@@ -133,12 +137,13 @@
 	return st.Reply(last)
 }
 
-// closeBracket asks a silent engine for its version after a run, and names every
-// version besides the first that may have written a part of it.
+// closeBracket is called after a run whose engine didn't name its versions. It reads
+// the engine's version and sends every version, other than the one before the run,
+// that may have produced a part of the answer.
 func (ag *Agent) closeBracket(ctx context.Context, st *peer.Stream, w *work, before string) error {
 	after, err := ag.engine.Status(ctx)
 	if err != nil || after.Version == "" || after.State != engine.StateReady {
-		return result.New(result.VersionUnknown, "agent %s: the weight version after the run is not known", ag.cfg.Server).With(result.Ran)
+		return result.New(result.VersionUnknown, "agent %s: the weight version of the engine after the run is not known", ag.cfg.Server).With(result.Ran)
 	}
 
 	ag.mu.Lock()
@@ -155,8 +160,8 @@
 	return nil
 }
 
-// afterFailure aborts what the engine may still run, and reports a crash before
-// the gateway hears of the failure.
+// afterFailure aborts a request that the engine may still be running. A crash is
+// reported before the gateway receives the failure of the request.
 func (ag *Agent) afterFailure(ctx context.Context, mayRun bool, id string, err error) {
 	switch {
 	case result.Is(err, result.BackendCrashed) || result.Is(err, result.BackendUnreachable):
@@ -166,17 +171,18 @@
 	case mayRun && ag.engine != nil:
 		actx, cancel := context.WithTimeout(context.Background(), abortTimeout)
 		defer cancel()
-		_ = ag.engine.Abort(actx, id) // the engine ends the request with its connection as well
+		_ = ag.engine.Abort(actx, id) // best effort: the engine also ends the request when its connection closes
 	}
 }
 
+// handleForward serves MethodForward: it forwards a request to the plain service.
 func (ag *Agent) handleForward(ctx context.Context, st *peer.Stream) error {
 	var rq wire.ForwardRequest
 	if err := st.Request(&rq); err != nil {
 		return err
 	}
 	if ag.service == nil {
-		return result.New(result.UnknownRoute, "agent %s: serves no plain service", ag.cfg.Server)
+		return result.New(result.UnknownRoute, "agent %s: the backend server is not a plain service", ag.cfg.Server)
 	}
 
 	w := &work{fingerprint: rq.GetFingerprint(), isSuspect: rq.GetSuspect()}
--- a/internal/agent/usage.go
+++ b/internal/agent/usage.go
@@ -9,41 +9,45 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
+// counterKey identifies the counter of a workspace in a usage window.
 type counterKey struct {
 	workspace string
 	window    uint64
 }
 
-// counters are cumulative for this incarnation of the agent.
+// counters holds the usage counters, which are cumulative within one incarnation of
+// the agent.
 type counters struct {
 	mu     sync.Mutex
-	length int64 // seconds of a window, 0 before a gateway has told it
-	early  map[earlyKey]usage.Figures
-	now    map[counterKey]usage.Figures
-	acked  map[counterKey]usage.Figures
+	length int64                        // of a window in seconds; 0 until a gateway reports it
+	early  map[earlyKey]usage.Figures   // counted before the length is known
+	now    map[counterKey]usage.Figures // current values
+	acked  map[counterKey]usage.Figures // values last acknowledged by a gateway
 }
 
-// earlyKey is what is counted before the length of the windows is known.
+// earlyKey identifies a counter that can't be assigned to a window yet, because the
+// length of windows is not known.
 type earlyKey struct {
 	workspace string
 	second    int64
 }
 
-// keepWindows is the number of windows whose counters an agent keeps.
+// keepWindows is the number of windows before the newest acknowledged one whose
+// counters are retained.
 const keepWindows = 8
 
 func newCounters() *counters {
 	return &counters{early: map[earlyKey]usage.Figures{}, now: map[counterKey]usage.Figures{}, acked: map[counterKey]usage.Figures{}}
 }
 
-// count adds to a workspace's counter of the current window.
+// count adds to the counter of a workspace in the current window.
 func (ag *Agent) count(workspace string, requests, tokens uint64) {
 	ag.usage.count(workspace, ag.cfg.WallSeconds(), usage.Figures{Requests: requests, Tokens: tokens})
 }
 
-// setWindow takes the length of the windows that a gateway told. One that has just
-// started knows none and tells 0: a window of another length is a wrong one, whose
-// counters nobody reports.
+// setWindow sets the length of windows that a gateway reported. A gateway that has
+// just started reports 0, which is ignored: counters of windows with a wrong length
+// would never be part of a usage report.
 func (ag *Agent) setWindow(seconds uint32) { ag.usage.setLength(int64(seconds)) }
 
 func (co *counters) count(workspace string, second int64, f usage.Figures) {
@@ -58,6 +62,7 @@
 	add(co.now, counterKey{workspace, uint64(second / co.length)}, f)
 }
 
+// setLength sets the length of windows and assigns the early counters to windows.
 func (co *counters) setLength(seconds int64) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
@@ -79,7 +84,7 @@
 	m[k] = v
 }
 
-// unsent returns the counters that grew since they were acknowledged.
+// unsent returns the counters that changed since they were last acknowledged.
 func (co *counters) unsent() map[counterKey]usage.Figures {
 	co.mu.Lock()
 	defer co.mu.Unlock()
@@ -94,7 +99,8 @@
 	return out
 }
 
-// sent notes what a gateway committed and forgets old windows that are committed whole.
+// sent records the counters that a gateway acknowledged as committed, and removes old
+// counters that are fully committed.
 func (co *counters) sent(cs map[counterKey]usage.Figures) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
@@ -112,7 +118,7 @@
 	}
 }
 
-// usageDuty sends the counters that grew.
+// usageDuty periodically sends the counters that changed.
 func (ag *Agent) usageDuty(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
--- a/internal/agent/usage_test.go
+++ b/internal/agent/usage_test.go
@@ -12,7 +12,7 @@
 
 func TestSuite(t *testing.T) { suite.Run(t, "agent") }
 
-var _ = ginkgo.Describe("the counters of an agent", func() {
+var _ = ginkgo.Describe("the usage counters of an agent", func() {
 	var ag *Agent
 	var now int64
 	ginkgo.BeforeEach(func() {
@@ -22,7 +22,7 @@
 	const length = 3
 	one := usage.Figures{Requests: 1, Tokens: 20}
 
-	ginkgo.It("stay in windows of the length that was told, when a gateway that has just started knows none", func() {
+	ginkgo.It("keep the reported window length when a gateway that has just started reports 0", func() {
 		ag.setWindow(length)
 		ag.count("w", 1, 20)
 		ag.setWindow(0)
@@ -32,7 +32,7 @@
 		Expect(ag.usage.unsent()).To(Equal(map[counterKey]usage.Figures{{"w", first}: one, {"w", first + 1}: one}))
 	})
 
-	ginkgo.It("wait for the length of the windows where it is not known yet", func() {
+	ginkgo.It("are assigned to windows once the window length is known", func() {
 		ag.count("w", 1, 0)
 		ag.count("w", 0, 20)
 		now += length
