--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -38,13 +38,13 @@
 
 // Periods, timeouts and limits of the agent's background loops.
 const (
-	statusPeriod   = 100 * time.Millisecond
-	statusTimeout  = 500 * time.Millisecond
-	statusFailures = 3 // consecutive failed polls after which a started backend server is suspect
-	loadPeriod     = 500 * time.Millisecond
-	usagePeriod    = time.Second
-	callTimeout    = 2 * time.Second
-	fencingPeriod  = 200 * time.Millisecond
+	statusPeriod      = 100 * time.Millisecond
+	statusTimeout     = 500 * time.Millisecond
+	maxStatusFailures = 3 // consecutive failed polls after which a started backend server is suspect
+	loadPeriod        = 500 * time.Millisecond
+	usagePeriod       = time.Second
+	callTimeout       = 2 * time.Second
+	fencingPeriod     = 200 * time.Millisecond
 )
 
 // Config describes the backend server and the gateways that the agent reports to.
@@ -73,29 +73,29 @@
 	engine      *engine.Client
 	service     *plainservice.Client
 	links       []*peer.Link
-	kick        []chan struct{} // one per link; triggers a load report at once
+	reportNow   []chan struct{} // one per link; triggers a load report at once
 	usage       *counters
-	guard       *guard
-	fences      *fences
-
-	mu           sync.Mutex
-	state        string
-	status       engine.Status
-	versionKnown bool
-	swapping     bool
-	draining     bool
-	paused       bool
-	failures     int
-	inFlight     map[*work]struct{}
-	idle         chan struct{} // closed and replaced when the last request in flight ends
-	suspect      chan struct{} // semaphore of size 1: at most one suspect request runs at a time
-	crash        *crashReport  // of the current instance of the backend server
-	sequence     uint64
-	cacheSent    map[*peer.Session]uint64 // sequence number of the last cache event sent in a session
+	attempts    *attemptGuard
+	fencing     *fencingNumbers
+
+	mu             sync.Mutex
+	state          string
+	status         engine.Status
+	versionKnown   bool
+	swapping       bool
+	draining       bool
+	paused         bool
+	failures       int
+	inFlight       map[*inFlightRequest]struct{}
+	idle           chan struct{} // closed and replaced when the last request in flight ends
+	suspectSlot    chan struct{} // semaphore of size 1: at most one suspect request runs at a time
+	crash          *crashReport  // of the current instance of the backend server
+	sequence       uint64
+	cachePositions map[*peer.Session]uint64 // sequence number of the last cache event sent in a session
 }
 
-// work is a request in flight.
-type work struct {
+// inFlightRequest holds what is recorded of a request while it runs.
+type inFlightRequest struct {
 	fingerprint string
 	isSuspect   bool
 	versions    map[string]struct{} // weight versions activated since the request began
@@ -104,9 +104,9 @@
 // New returns an agent.
 func New(cfg Config) *Agent {
 	ag := &Agent{
-		cfg: cfg, incarnation: rand.Uint64(), state: pool.StateStarting, usage: newCounters(), guard: newGuard(),
-		fences: newFences(), inFlight: map[*work]struct{}{}, idle: make(chan struct{}),
-		suspect: make(chan struct{}, 1), crash: newCrashReport(), cacheSent: map[*peer.Session]uint64{},
+		cfg: cfg, incarnation: rand.Uint64(), state: pool.StateStarting, usage: newCounters(), attempts: newAttemptGuard(),
+		fencing: newFencingNumbers(), inFlight: map[*inFlightRequest]struct{}{}, idle: make(chan struct{}),
+		suspectSlot: make(chan struct{}, 1), crash: newCrashReport(), cachePositions: map[*peer.Session]uint64{},
 	}
 	if cfg.Model != "" {
 		ag.engine = engine.New(cfg.Address, cfg.Bind)
@@ -116,8 +116,8 @@
 	pc := cfg.Peer
 	pc.Mux = peer.Mux{MethodRun: ag.handleRun, MethodForward: ag.handleForward, MethodOrder: ag.handleOrder}
 	for i, a := range cfg.Gateways {
-		ag.kick = append(ag.kick, make(chan struct{}, 1))
-		ag.links = append(ag.links, peer.NewLink(a, pc, func(*peer.Session) { ag.wake(i) }))
+		ag.reportNow = append(ag.reportNow, make(chan struct{}, 1))
+		ag.links = append(ag.links, peer.NewLink(a, pc, func(*peer.Session) { ag.reportTo(i) }))
 	}
 
 	return ag
@@ -136,11 +136,11 @@
 	}
 	for i, li := range ag.links {
 		start(li.Run)
-		start(func(ctx context.Context) { ag.reportDuty(ctx, i) })
+		start(func(ctx context.Context) { ag.reportLoop(ctx, i) })
 	}
-	start(ag.statusDuty)
-	start(ag.usageDuty)
-	start(ag.fencingDuty)
+	start(ag.statusLoop)
+	start(ag.usageLoop)
+	start(ag.fencingLoop)
 	wg.Wait()
 }
 
@@ -150,7 +150,7 @@
 	ag.mu.Lock()
 	ag.draining = true
 	ag.mu.Unlock()
-	ag.wakeAll()
+	ag.reportToAll()
 
 	if err := ag.waitIdle(ctx); err != nil {
 		ag.cfg.Log.WithError(err).Warn("requests were still running at the end of the drain")
@@ -158,24 +158,24 @@
 	ag.sendUsage(ctx)
 }
 
-// wake triggers a load report to gateway i.
-func (ag *Agent) wake(i int) {
+// reportTo triggers a load report to gateway i.
+func (ag *Agent) reportTo(i int) {
 	select {
-	case ag.kick[i] <- struct{}{}:
+	case ag.reportNow[i] <- struct{}{}:
 	default:
 	}
 }
 
-func (ag *Agent) wakeAll() {
-	for i := range ag.kick {
-		ag.wake(i)
+func (ag *Agent) reportToAll() {
+	for i := range ag.reportNow {
+		ag.reportTo(i)
 	}
 }
 
-// statusDuty polls the backend server's status.
-func (ag *Agent) statusDuty(ctx context.Context) {
+// statusLoop polls the backend server's status.
+func (ag *Agent) statusLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		ag.poll(ctx)
+		ag.pollStatus(ctx)
 		select {
 		case <-time.After(statusPeriod):
 		case <-ctx.Done():
@@ -183,28 +183,28 @@
 	}
 }
 
-func (ag *Agent) poll(ctx context.Context) {
+func (ag *Agent) pollStatus(ctx context.Context) {
 	cctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 
 	if ag.engine == nil {
-		ag.setState(engine.Status{State: engine.StateReady}, ag.service.Healthy(cctx))
+		ag.applyStatus(engine.Status{State: engine.StateReady}, ag.service.Healthy(cctx))
 
 		return
 	}
 	st, err := ag.engine.Status(cctx)
-	ag.setState(st, err == nil)
+	ag.applyStatus(st, err == nil)
 }
 
-// setState applies the result of a poll. A change of state or version is reported
+// applyStatus applies the result of a poll. A change of state or version is reported
 // to the gateways at once.
-func (ag *Agent) setState(st engine.Status, ok bool) {
+func (ag *Agent) applyStatus(st engine.Status, ok bool) {
 	ag.mu.Lock()
 	before := ag.state
 	switch {
 	case !ok:
 		ag.failures++
-		if ag.failures >= statusFailures && ag.state != pool.StateStarting {
+		if ag.failures >= maxStatusFailures && ag.state != pool.StateStarting {
 			ag.state = pool.StateSuspect
 		}
 	case st.State == engine.StateReady:
@@ -218,7 +218,7 @@
 		if st.Instance != ag.status.Instance {
 			ag.crash = newCrashReport()
 		}
-		ag.noteVersion(st.Version)
+		ag.recordVersion(st.Version)
 		ag.status = st
 		ag.versionKnown = st.State == engine.StateReady && st.Version != "" && !ag.swapping
 	} else {
@@ -227,13 +227,13 @@
 	ag.mu.Unlock()
 
 	if changed {
-		ag.wakeAll()
+		ag.reportToAll()
 	}
 }
 
-// noteVersion records for every request in flight that a part of its answer may
+// recordVersion records for every request in flight that a part of its answer may
 // come from version. The caller holds ag.mu.
-func (ag *Agent) noteVersion(version string) {
+func (ag *Agent) recordVersion(version string) {
 	for w := range ag.inFlight {
 		if version != "" && version != ag.status.Version {
 			w.versions[version] = struct{}{}
@@ -241,9 +241,9 @@
 	}
 }
 
-// reportDuty announces the backend server to gateway i once per session and
+// reportLoop announces the backend server to gateway i once per session and
 // reports its load periodically.
-func (ag *Agent) reportDuty(ctx context.Context, i int) {
+func (ag *Agent) reportLoop(ctx context.Context, i int) {
 	var announced *peer.Session
 	period := loadPeriod
 	timer := time.NewTimer(0)
@@ -252,7 +252,7 @@
 	for {
 		select {
 		case <-timer.C:
-		case <-ag.kick[i]:
+		case <-ag.reportNow[i]:
 		case <-ctx.Done():
 			return
 		}
@@ -287,7 +287,7 @@
 	if err != nil {
 		return err
 	}
-	ag.setWindow(rep.GetWindowSeconds())
+	ag.setWindowLength(rep.GetWindowSeconds())
 
 	return nil
 }
@@ -306,8 +306,8 @@
 	if err := se.Call(cctx, MethodLoad, lo, &rep); err != nil {
 		return loadPeriod
 	}
-	ag.setWindow(rep.GetWindowSeconds())
-	ag.noteCacheSent(se, lo.GetCacheEvents(), rep.GetResync())
+	ag.setWindowLength(rep.GetWindowSeconds())
+	ag.recordCachePosition(se, lo.GetCacheEvents(), rep.GetResync())
 
 	return max(loadPeriod, time.Duration(rep.GetPeriodMs())*time.Millisecond)
 }
@@ -342,9 +342,9 @@
 	return lo
 }
 
-// begin registers a request in flight. It returns false while the agent drains or
+// register registers a request in flight. It returns false while the agent drains or
 // is paused for a swap.
-func (ag *Agent) begin(w *work) bool {
+func (ag *Agent) register(w *inFlightRequest) bool {
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
 
@@ -357,8 +357,8 @@
 	return true
 }
 
-// end unregisters a request.
-func (ag *Agent) end(w *work) {
+// unregister removes a request from those in flight.
+func (ag *Agent) unregister(w *inFlightRequest) {
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
 
--- a/internal/agent/crash.go
+++ b/internal/agent/crash.go
@@ -43,7 +43,7 @@
 
 	cr.once.Do(func() {
 		defer close(cr.done)
-		ag.wakeAll()
+		ag.reportToAll()
 		if len(all) == 0 {
 			return
 		}
--- a/internal/agent/guard.go
+++ b/internal/agent/guard.go
@@ -9,23 +9,24 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// guardSize is the number of most recent attempts that an agent retains.
-const guardSize = 100_000
+// retainedAttempts is the number of most recent attempts that attemptGuard retains.
+const retainedAttempts = 100_000
 
-// guard detects attempts that the agent has already received, so that none runs twice.
-type guard struct {
-	mu   sync.Mutex
-	seen map[string]struct{}
-	ring []string // retained attempts; the oldest one is replaced first
-	next int      // index in ring of the oldest attempt
+// attemptGuard detects attempts that the agent has already received, so that none
+// runs twice.
+type attemptGuard struct {
+	mu     sync.Mutex
+	seen   map[string]struct{}
+	ring   []string // retained attempts; the oldest one is replaced first
+	oldest int      // index in ring of the oldest attempt
 }
 
-func newGuard() *guard {
-	return &guard{seen: map[string]struct{}{}, ring: make([]string, 0, 1024)}
+func newAttemptGuard() *attemptGuard {
+	return &attemptGuard{seen: map[string]struct{}{}, ring: make([]string, 0, 1024)}
 }
 
-// first records an attempt and reports whether it is new.
-func (gu *guard) first(attempt string) bool {
+// recordFirst records an attempt and reports whether it is new.
+func (gu *attemptGuard) recordFirst(attempt string) bool {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
 
@@ -33,14 +34,14 @@
 		return false
 	}
 	gu.seen[attempt] = struct{}{}
-	if len(gu.ring) < guardSize {
+	if len(gu.ring) < retainedAttempts {
 		gu.ring = append(gu.ring, attempt)
 
 		return true
 	}
-	delete(gu.seen, gu.ring[gu.next])
-	gu.ring[gu.next] = attempt
-	gu.next = (gu.next + 1) % guardSize
+	delete(gu.seen, gu.ring[gu.oldest])
+	gu.ring[gu.oldest] = attempt
+	gu.oldest = (gu.oldest + 1) % retainedAttempts
 
 	return true
 }
@@ -50,7 +51,7 @@
 // cache.
 func (ag *Agent) cacheEvents(ctx context.Context, se *peer.Session) []*wire.CacheEvent {
 	ag.mu.Lock()
-	after, newest := ag.cacheSent[se], ag.status.CacheSequence
+	after, newest := ag.cachePositions[se], ag.status.CacheSequence
 	ag.mu.Unlock()
 	if newest <= after {
 		return nil
@@ -72,21 +73,21 @@
 	return out
 }
 
-// noteCacheSent advances the position of a session past the sent events, or resets it
-// if the gateway requested a resync.
-func (ag *Agent) noteCacheSent(se *peer.Session, events []*wire.CacheEvent, resync bool) {
+// recordCachePosition advances the position of a session past the sent events, or
+// resets it if the gateway requested a resync.
+func (ag *Agent) recordCachePosition(se *peer.Session, events []*wire.CacheEvent, resync bool) {
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
 
 	if resync {
-		delete(ag.cacheSent, se)
+		delete(ag.cachePositions, se)
 
 		return
 	}
 	if n := len(events); n > 0 {
-		if len(ag.cacheSent) > 4*len(ag.links) {
-			clear(ag.cacheSent) // positions of sessions that have ended
+		if len(ag.cachePositions) > 4*len(ag.links) {
+			clear(ag.cachePositions) // positions of sessions that have ended
 		}
-		ag.cacheSent[se] = events[n-1].GetSequence()
+		ag.cachePositions[se] = events[n-1].GetSequence()
 	}
 }
--- a/internal/agent/order.go
+++ b/internal/agent/order.go
@@ -23,35 +23,36 @@
 // KindDrain is the kind of an order to refuse new requests.
 const KindDrain = "drain"
 
-// fences holds the highest fencing number seen for each lease. After a start, orders
-// are refused until the lease's current number has been read from the replica group.
-type fences struct {
+// fencingNumbers holds the highest fencing number seen for each lease. After a
+// start, orders are refused until the lease's current number has been read from the
+// replica group.
+type fencingNumbers struct {
 	mu      sync.Mutex
-	floor   map[string]uint64
-	learned map[string]bool
+	highest map[string]uint64
+	isRead  map[string]bool
 }
 
-func newFences() *fences {
-	return &fences{floor: map[string]uint64{}, learned: map[string]bool{}}
+func newFencingNumbers() *fencingNumbers {
+	return &fencingNumbers{highest: map[string]uint64{}, isRead: map[string]bool{}}
 }
 
-// learn records the fencing number of a lease as read from the replica group.
-func (fe *fences) learn(lease string, n uint64) {
+// recordRead records the fencing number of a lease as read from the replica group.
+func (fe *fencingNumbers) recordRead(lease string, n uint64) {
 	fe.mu.Lock()
 	defer fe.mu.Unlock()
 
-	fe.floor[lease] = max(fe.floor[lease], n)
-	fe.learned[lease] = true
+	fe.highest[lease] = max(fe.highest[lease], n)
+	fe.isRead[lease] = true
 }
 
-// missing returns the leases whose fencing number has not been read yet.
-func (fe *fences) missing() []string {
+// unread returns the leases whose fencing number has not been read yet.
+func (fe *fencingNumbers) unread() []string {
 	fe.mu.Lock()
 	defer fe.mu.Unlock()
 
 	var out []string
 	for _, l := range []string{LeaseFleet, LeaseWeights} {
-		if !fe.learned[l] {
+		if !fe.isRead[l] {
 			out = append(out, l)
 		}
 	}
@@ -59,28 +60,28 @@
 	return out
 }
 
-// pass returns an error if the lease's fencing number has not been read yet or if n
-// is lower than the highest one seen. Otherwise it records n.
-func (fe *fences) pass(lease string, n uint64) error {
+// checkOrder returns an error if the lease's fencing number has not been read yet or
+// if n is lower than the highest one seen. Otherwise it records n.
+func (fe *fencingNumbers) checkOrder(lease string, n uint64) error {
 	fe.mu.Lock()
 	defer fe.mu.Unlock()
 
 	switch {
-	case !fe.learned[lease]:
+	case !fe.isRead[lease]:
 		return result.New(result.FencingTooLow, "agent: the fencing number of lease %s has not been read from the replica group yet", lease).After(time.Second)
-	case n < fe.floor[lease]:
-		return result.New(result.FencingTooLow, "agent: fencing number %d of lease %s is lower than the highest seen, %d", n, lease, fe.floor[lease])
+	case n < fe.highest[lease]:
+		return result.New(result.FencingTooLow, "agent: fencing number %d of lease %s is lower than the highest seen, %d", n, lease, fe.highest[lease])
 	}
-	fe.floor[lease] = n
+	fe.highest[lease] = n
 
 	return nil
 }
 
-// fencingDuty reads the fencing numbers from the replica group after a start and
+// fencingLoop reads the fencing numbers from the replica group after a start and
 // returns when it has all of them.
-func (ag *Agent) fencingDuty(ctx context.Context) {
+func (ag *Agent) fencingLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		missing := ag.fences.missing()
+		missing := ag.fencing.unread()
 		if len(missing) == 0 {
 			return
 		}
@@ -88,7 +89,7 @@
 			cctx, cancel := context.WithTimeout(ctx, callTimeout)
 			var rep wire.FencingReply
 			if err := ag.callAny(cctx, MethodFencing, &wire.FencingRequest{Lease: l}, &rep); err == nil {
-				ag.fences.learn(l, rep.GetFencing())
+				ag.fencing.recordRead(l, rep.GetFencing())
 			}
 			cancel()
 		}
@@ -129,7 +130,7 @@
 	if err := st.Request(&or); err != nil {
 		return err
 	}
-	if err := ag.fences.pass(leaseOf(or.GetKind()), or.GetFencing()); err != nil {
+	if err := ag.fencing.checkOrder(leaseOf(or.GetKind()), or.GetFencing()); err != nil {
 		ag.cfg.Meter.Refused(err)
 
 		return err
@@ -140,7 +141,7 @@
 		ag.mu.Lock()
 		ag.draining = true
 		ag.mu.Unlock()
-		ag.wakeAll()
+		ag.reportToAll()
 
 		return st.Reply(&wire.OrderReply{Fencing: or.GetFencing()})
 	case order.KindLoad, order.KindActivate:
@@ -167,27 +168,27 @@
 		if err := ag.engine.Load(ctx, eo); err != nil {
 			return err
 		}
-		ag.poll(ctx)
+		ag.pollStatus(ctx)
 
 		return nil
 	}
 
 	if or.GetDrain() {
-		ag.pause(true)
-		defer ag.pause(false)
+		ag.setPaused(true)
+		defer ag.setPaused(false)
 		if err := ag.waitIdle(ctx); err != nil {
 			return err
 		}
 	}
 	ag.mu.Lock()
 	ag.swapping, ag.versionKnown = true, false
-	ag.noteVersion(or.GetVersion())
+	ag.recordVersion(or.GetVersion())
 	ag.mu.Unlock()
 	err := ag.engine.Activate(ctx, eo)
 	ag.mu.Lock()
 	ag.swapping = false
 	ag.mu.Unlock()
-	ag.poll(ctx)
+	ag.pollStatus(ctx)
 	if err != nil {
 		return err
 	}
@@ -198,13 +199,13 @@
 	return nil
 }
 
-// pause sets whether new requests are refused, as they are while an engine finishes
+// setPaused sets whether new requests are refused, as they are while an engine finishes
 // its requests before a swap.
-func (ag *Agent) pause(isPaused bool) {
+func (ag *Agent) setPaused(isPaused bool) {
 	ag.mu.Lock()
 	ag.paused = isPaused
 	ag.mu.Unlock()
-	ag.wakeAll()
+	ag.reportToAll()
 }
 
 // waitIdle waits until no request is in flight.
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -18,9 +18,9 @@
 
 const abortTimeout = time.Second
 
-// enter checks that a request may run here and registers it. The returned function
+// admit checks that a request may run here and registers it. The returned function
 // unregisters it.
-func (ag *Agent) enter(id string, attempt uint32, w *work) (func(), error) {
+func (ag *Agent) admit(id string, attempt uint32, w *inFlightRequest) (func(), error) {
 	ag.mu.Lock()
 	state := ag.state
 	ag.mu.Unlock()
@@ -29,30 +29,30 @@
 	}
 	if w.isSuspect {
 		select {
-		case ag.suspect <- struct{}{}:
+		case ag.suspectSlot <- struct{}{}:
 		default:
 			return nil, result.New(result.ServerDraining, "agent %s: another suspect request is running", ag.cfg.Server)
 		}
 	}
 
-	leave := func() {
-		ag.end(w)
+	release := func() {
+		ag.unregister(w)
 		if w.isSuspect {
-			<-ag.suspect
+			<-ag.suspectSlot
 		}
 	}
-	if !ag.begin(w) {
-		leave()
+	if !ag.register(w) {
+		release()
 
 		return nil, result.New(result.ServerDraining, "agent %s: the backend server is draining or paused for a swap", ag.cfg.Server)
 	}
-	if !ag.guard.first(fmt.Sprintf("%s/%d", id, attempt)) {
-		leave()
+	if !ag.attempts.recordFirst(fmt.Sprintf("%s/%d", id, attempt)) {
+		release()
 
 		return nil, result.New(result.AttemptRepeated, "agent %s: attempt %d of request %s was already received", ag.cfg.Server, attempt, id).With(result.Unknown)
 	}
 
-	return leave, nil
+	return release, nil
 }
 
 // handleRun serves MethodRun: it runs a completion on the engine.
@@ -65,12 +65,12 @@
 		return result.New(result.UnknownModel, "agent %s: the backend server serves model %q, not %q", ag.cfg.Server, ag.cfg.Model, rq.GetModel())
 	}
 
-	w := &work{fingerprint: rq.GetFingerprint(), isSuspect: rq.GetSuspect()}
-	leave, err := ag.enter(rq.GetRequestId(), rq.GetAttempt(), w)
+	w := &inFlightRequest{fingerprint: rq.GetFingerprint(), isSuspect: rq.GetSuspect()}
+	release, err := ag.admit(rq.GetRequestId(), rq.GetAttempt(), w)
 	if err != nil {
 		return err
 	}
-	defer leave()
+	defer release()
 
 	before, known := ag.version()
 	if rq.GetSample() && !known {
@@ -91,7 +91,7 @@
 // complete runs a completion. Each part names the weight version that produced it. If
 // the engine doesn't name one, the version before the run is assumed, and every
 // further version until the end of the run is sent separately.
-func (ag *Agent) complete(ctx context.Context, st *peer.Stream, rq *wire.RunRequest, w *work, before string) error {
+func (ag *Agent) complete(ctx context.Context, st *peer.Stream, rq *wire.RunRequest, w *inFlightRequest, before string) error {
 	id := fmt.Sprintf("%s.%d", rq.GetRequestId(), rq.GetAttempt())
 	er := engine.Request{
 		ID: id, Model: rq.GetModel(), Prompt: rq.GetPrompt() + rq.GetResumeText(), MaxTokens: rq.GetMaxTokens(),
@@ -100,7 +100,7 @@
 	if k := rq.GetCacheKey(); k != 0 {
 		er.CacheKey = fmt.Sprintf("%016x", k)
 	}
-	isSilent, isFirst := false, true
+	isAssumed, isFirst := false, true
 	var last *wire.RunChunk
 	err := ag.engine.Complete(ctx, er, func(ch engine.Chunk) error {
 		if isFirst {
@@ -110,7 +110,7 @@
 		ag.count(rq.GetWorkspace(), 0, uint64(ch.Tokens))
 		rc := &wire.RunChunk{Text: ch.Text, Tokens: ch.Tokens, Version: ch.Version, Finish: ch.Finish, PromptTokens: ch.PromptTokens}
 		if rc.Version == "" {
-			isSilent, rc.Version, rc.Assumed = true, before, true
+			isAssumed, rc.Version, rc.Assumed = true, before, true
 		}
 		if rc.Finish != "" {
 			last = rc // sent last, after any further versions
@@ -121,15 +121,15 @@
 		return st.Send(rc)
 	})
 	if err != nil {
-		ag.afterFailure(ctx, rq.GetSample() || rq.GetMaxTokens() > 0, id, err)
+		ag.cleanUpAfterFailure(ctx, rq.GetSample() || rq.GetMaxTokens() > 0, id, err)
 
 		return err
 	}
 	if last == nil {
 		return result.New(result.BackendAnswerBroken, "agent %s: the engine's answer has no finish reason", ag.cfg.Server).With(result.Unknown)
 	}
-	if isSilent {
-		if err := ag.closeBracket(ctx, st, w, before); err != nil {
+	if isAssumed {
+		if err := ag.sendFurtherVersions(ctx, st, w, before); err != nil {
 			return err
 		}
 	}
@@ -137,10 +137,10 @@
 	return st.Reply(last)
 }
 
-// closeBracket is called after a run whose engine didn't name its versions. It reads
-// the engine's version and sends every version, other than the one before the run,
-// that may have produced a part of the answer.
-func (ag *Agent) closeBracket(ctx context.Context, st *peer.Stream, w *work, before string) error {
+// sendFurtherVersions is called after a run whose engine didn't name its versions. It
+// reads the engine's version and sends every version, other than the one before the
+// run, that may have produced a part of the answer.
+func (ag *Agent) sendFurtherVersions(ctx context.Context, st *peer.Stream, w *inFlightRequest, before string) error {
 	after, err := ag.engine.Status(ctx)
 	if err != nil || after.Version == "" || after.State != engine.StateReady {
 		return result.New(result.VersionUnknown, "agent %s: the weight version of the engine after the run is not known", ag.cfg.Server).With(result.Ran)
@@ -149,9 +149,9 @@
 	ag.mu.Lock()
 	w.versions[after.Version] = struct{}{}
 	delete(w.versions, before)
-	also := slices.Sorted(maps.Keys(w.versions))
+	further := slices.Sorted(maps.Keys(w.versions))
 	ag.mu.Unlock()
-	for _, v := range also {
+	for _, v := range further {
 		if err := st.Send(&wire.RunChunk{Version: v, Mixed: true}); err != nil {
 			return err
 		}
@@ -160,9 +160,9 @@
 	return nil
 }
 
-// afterFailure aborts a request that the engine may still be running. A crash is
+// cleanUpAfterFailure aborts a request that the engine may still be running. A crash is
 // reported before the gateway receives the failure of the request.
-func (ag *Agent) afterFailure(ctx context.Context, mayRun bool, id string, err error) {
+func (ag *Agent) cleanUpAfterFailure(ctx context.Context, mayRun bool, id string, err error) {
 	switch {
 	case result.Is(err, result.BackendCrashed) || result.Is(err, result.BackendUnreachable):
 		if ctx.Err() == nil {
@@ -185,12 +185,12 @@
 		return result.New(result.UnknownRoute, "agent %s: the backend server is not a plain service", ag.cfg.Server)
 	}
 
-	w := &work{fingerprint: rq.GetFingerprint(), isSuspect: rq.GetSuspect()}
-	leave, err := ag.enter(rq.GetRequestId(), rq.GetAttempt(), w)
+	w := &inFlightRequest{fingerprint: rq.GetFingerprint(), isSuspect: rq.GetSuspect()}
+	release, err := ag.admit(rq.GetRequestId(), rq.GetAttempt(), w)
 	if err != nil {
 		return err
 	}
-	defer leave()
+	defer release()
 
 	pr := plainservice.Request{
 		ID: rq.GetRequestId(), Method: rq.GetMethod(), Path: rq.GetPath(), Query: rq.GetQuery(),
@@ -216,7 +216,7 @@
 		return st.Send(&wire.ForwardPart{Body: b})
 	})
 	if err != nil {
-		ag.afterFailure(ctx, false, rq.GetRequestId(), err)
+		ag.cleanUpAfterFailure(ctx, false, rq.GetRequestId(), err)
 	}
 
 	return err
--- a/internal/agent/usage.go
+++ b/internal/agent/usage.go
@@ -18,26 +18,26 @@
 // counters holds the usage counters, which are cumulative within one incarnation of
 // the agent.
 type counters struct {
-	mu     sync.Mutex
-	length int64                        // of a window in seconds; 0 until a gateway reports it
-	early  map[earlyKey]usage.Figures   // counted before the length is known
-	now    map[counterKey]usage.Figures // current values
-	acked  map[counterKey]usage.Figures // values last acknowledged by a gateway
+	mu            sync.Mutex
+	windowSeconds int64                        // length of a usage window; 0 until a gateway reports it
+	unassigned    map[secondKey]usage.Figures  // counted before the length is known
+	totals        map[counterKey]usage.Figures // current values
+	acknowledged  map[counterKey]usage.Figures // values last acknowledged by a gateway
 }
 
-// earlyKey identifies a counter that can't be assigned to a window yet, because the
+// secondKey identifies a counter that can't be assigned to a window yet, because the
 // length of windows is not known.
-type earlyKey struct {
+type secondKey struct {
 	workspace string
 	second    int64
 }
 
-// keepWindows is the number of windows before the newest acknowledged one whose
+// retainedWindows is the number of windows before the newest acknowledged one whose
 // counters are retained.
-const keepWindows = 8
+const retainedWindows = 8
 
 func newCounters() *counters {
-	return &counters{early: map[earlyKey]usage.Figures{}, now: map[counterKey]usage.Figures{}, acked: map[counterKey]usage.Figures{}}
+	return &counters{unassigned: map[secondKey]usage.Figures{}, totals: map[counterKey]usage.Figures{}, acknowledged: map[counterKey]usage.Figures{}}
 }
 
 // count adds to the counter of a workspace in the current window.
@@ -45,53 +45,54 @@
 	ag.usage.count(workspace, ag.cfg.WallSeconds(), usage.Figures{Requests: requests, Tokens: tokens})
 }
 
-// setWindow sets the length of windows that a gateway reported. A gateway that has
+// setWindowLength sets the length of windows that a gateway reported. A gateway that has
 // just started reports 0, which is ignored: counters of windows with a wrong length
 // would never be part of a usage report.
-func (ag *Agent) setWindow(seconds uint32) { ag.usage.setLength(int64(seconds)) }
+func (ag *Agent) setWindowLength(seconds uint32) { ag.usage.setWindowSeconds(int64(seconds)) }
 
 func (co *counters) count(workspace string, second int64, f usage.Figures) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 
-	if co.length == 0 {
-		add(co.early, earlyKey{workspace, second}, f)
+	if co.windowSeconds == 0 {
+		addFigures(co.unassigned, secondKey{workspace, second}, f)
 
 		return
 	}
-	add(co.now, counterKey{workspace, uint64(second / co.length)}, f)
+	addFigures(co.totals, counterKey{workspace, uint64(second / co.windowSeconds)}, f)
 }
 
-// setLength sets the length of windows and assigns the early counters to windows.
-func (co *counters) setLength(seconds int64) {
+// setWindowSeconds sets the length of windows and assigns the unassigned counters
+// to them.
+func (co *counters) setWindowSeconds(seconds int64) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 
 	if seconds <= 0 {
 		return
 	}
-	co.length = seconds
-	for k, f := range co.early {
-		add(co.now, counterKey{k.workspace, uint64(k.second / seconds)}, f)
+	co.windowSeconds = seconds
+	for k, f := range co.unassigned {
+		addFigures(co.totals, counterKey{k.workspace, uint64(k.second / seconds)}, f)
 	}
-	clear(co.early)
+	clear(co.unassigned)
 }
 
-func add[K comparable](m map[K]usage.Figures, k K, f usage.Figures) {
+func addFigures[K comparable](m map[K]usage.Figures, k K, f usage.Figures) {
 	v := m[k]
 	v.Requests += f.Requests
 	v.Tokens += f.Tokens
 	m[k] = v
 }
 
-// unsent returns the counters that changed since they were last acknowledged.
-func (co *counters) unsent() map[counterKey]usage.Figures {
+// unacknowledged returns the counters that changed since they were last acknowledged.
+func (co *counters) unacknowledged() map[counterKey]usage.Figures {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 
 	out := map[counterKey]usage.Figures{}
-	for k, v := range co.now {
-		if co.acked[k] != v {
+	for k, v := range co.totals {
+		if co.acknowledged[k] != v {
 			out[k] = v
 		}
 	}
@@ -99,27 +100,27 @@
 	return out
 }
 
-// sent records the counters that a gateway acknowledged as committed, and removes old
-// counters that are fully committed.
-func (co *counters) sent(cs map[counterKey]usage.Figures) {
+// acknowledge records the counters that a gateway acknowledged as committed, and
+// removes old counters that are fully committed.
+func (co *counters) acknowledge(cs map[counterKey]usage.Figures) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 
 	newest := uint64(0)
 	for k, v := range cs {
-		co.acked[k] = v
+		co.acknowledged[k] = v
 		newest = max(newest, k.window)
 	}
-	for k, v := range co.now {
-		if k.window+keepWindows < newest && co.acked[k] == v {
-			delete(co.now, k)
-			delete(co.acked, k)
+	for k, v := range co.totals {
+		if k.window+retainedWindows < newest && co.acknowledged[k] == v {
+			delete(co.totals, k)
+			delete(co.acknowledged, k)
 		}
 	}
 }
 
-// usageDuty periodically sends the counters that changed.
-func (ag *Agent) usageDuty(ctx context.Context) {
+// usageLoop periodically sends the counters that changed.
+func (ag *Agent) usageLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-time.After(usagePeriod):
@@ -131,7 +132,7 @@
 }
 
 func (ag *Agent) sendUsage(ctx context.Context) {
-	cs := ag.usage.unsent()
+	cs := ag.usage.unacknowledged()
 	if len(cs) == 0 {
 		return
 	}
@@ -145,6 +146,6 @@
 	cctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if err := ag.callAny(cctx, MethodUsage, rq, &wire.Empty{}); err == nil {
-		ag.usage.sent(cs)
+		ag.usage.acknowledge(cs)
 	}
 }
--- a/internal/agent/usage_test.go
+++ b/internal/agent/usage_test.go
@@ -23,13 +23,13 @@
 	one := usage.Figures{Requests: 1, Tokens: 20}
 
 	ginkgo.It("keep the reported window length when a gateway that has just started reports 0", func() {
-		ag.setWindow(length)
+		ag.setWindowLength(length)
 		ag.count("w", 1, 20)
-		ag.setWindow(0)
+		ag.setWindowLength(0)
 		now += length
 		ag.count("w", 1, 20)
 		first := uint64(1_800_000_007 / length)
-		Expect(ag.usage.unsent()).To(Equal(map[counterKey]usage.Figures{{"w", first}: one, {"w", first + 1}: one}))
+		Expect(ag.usage.unacknowledged()).To(Equal(map[counterKey]usage.Figures{{"w", first}: one, {"w", first + 1}: one}))
 	})
 
 	ginkgo.It("are assigned to windows once the window length is known", func() {
@@ -37,11 +37,11 @@
 		ag.count("w", 0, 20)
 		now += length
 		ag.count("v", 1, 20)
-		Expect(ag.usage.unsent()).To(BeEmpty())
-		ag.setWindow(length)
+		Expect(ag.usage.unacknowledged()).To(BeEmpty())
+		ag.setWindowLength(length)
 		first := uint64(1_800_000_007 / length)
-		Expect(ag.usage.unsent()).To(Equal(map[counterKey]usage.Figures{{"w", first}: one, {"v", first + 1}: one}))
-		ag.setWindow(length)
-		Expect(ag.usage.unsent()).To(HaveLen(2))
+		Expect(ag.usage.unacknowledged()).To(Equal(map[counterKey]usage.Figures{{"w", first}: one, {"v", first + 1}: one}))
+		ag.setWindowLength(length)
+		Expect(ag.usage.unacknowledged()).To(HaveLen(2))
 	})
 })
