--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is the adapter of model engines: completions streamed as
+// Package engine implements a client of model engines: completions streamed as
 // server-sent events, orders to load and activate weights, status and cache
-// events. docs/interfaces/engine.md states the protocol.
+// events. docs/interfaces/engine.md specifies the protocol.
 package engine
 
 import (
@@ -18,13 +18,14 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// Client talks to one engine.
+// Client calls one engine.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// New returns a client of the engine at an IP number with a port.
+// New returns a client of the engine at address, an IP number with a port. It dials
+// from the IP number bind.
 func New(address, bind string) *Client {
 	return &Client{base: "http://" + address, http: httpcall.NewClient(bind, true)}
 }
@@ -46,11 +47,12 @@
 type Chunk struct {
 	Text         string
 	Tokens       uint32
-	Version      string // "" where the engine does not say it
+	Version      string // "" if the engine doesn't name it
 	Finish       string // set on the last chunk: stop or length
 	PromptTokens uint32
 }
 
+// chunkBody is the JSON body of a chunk.
 type chunkBody struct {
 	ID            string `json:"id"`
 	WeightVersion string `json:"weight_version"`
@@ -67,11 +69,12 @@
 const (
 	maxLineBytes = 1 << 20
 	dataPrefix   = "data: "
-	endMark      = "[DONE]"
+	endMark      = "[DONE]" // data of the last event of a complete stream
 )
 
-// Complete runs a completion and calls onChunk for each part. It returns nil only
-// after the end mark, and never passes on a part of another request's answer.
+// Complete runs a completion and calls onChunk for each chunk. It returns nil only
+// after the end mark. A chunk with the ID of another request is an error and is not
+// forwarded.
 func (cl *Client) Complete(ctx context.Context, rq Request, onChunk func(Chunk) error) error {
 	rq.Stream = true
 	b, err := json.Marshal(rq)
@@ -96,6 +99,7 @@
 	return readEvents(rs.Body, rq.ID, onChunk)
 }
 
+// readEvents decodes the server-sent events of a completion up to the end mark.
 func readEvents(body io.Reader, id string, onChunk func(Chunk) error) error {
 	sc := bufio.NewScanner(body)
 	sc.Buffer(make([]byte, 0, 4096), maxLineBytes)
@@ -107,7 +111,7 @@
 		}
 		if data == endMark {
 			if !isFinished {
-				return broken("the end mark came before a finish reason")
+				return brokenAnswer("the stream has an end mark but no finish reason")
 			}
 
 			return nil
@@ -131,13 +135,13 @@
 func decodeChunk(data, id string) (Chunk, error) {
 	var cb chunkBody
 	if err := json.Unmarshal([]byte(data), &cb); err != nil {
-		return Chunk{}, broken(err.Error())
+		return Chunk{}, brokenAnswer(err.Error())
 	}
 	if cb.ID != id {
-		return Chunk{}, broken(fmt.Sprintf("the answer belongs to request %q, not %q", cb.ID, id))
+		return Chunk{}, brokenAnswer(fmt.Sprintf("the answer belongs to request %q, not %q", cb.ID, id))
 	}
 	if len(cb.Choices) != 1 {
-		return Chunk{}, broken(fmt.Sprintf("%d choices", len(cb.Choices)))
+		return Chunk{}, brokenAnswer(fmt.Sprintf("a chunk has %d choices, not 1", len(cb.Choices)))
 	}
 
 	return Chunk{
@@ -146,11 +150,11 @@
 	}, nil
 }
 
-func broken(what string) *result.Error {
+func brokenAnswer(what string) *result.Error {
 	return result.New(result.BackendAnswerBroken, "engine: %s", what).With(result.Unknown)
 }
 
-// Status is what an engine says of itself.
+// Status is the status that an engine reports.
 type Status struct {
 	Instance      string `json:"instance"` // changes with each start of the engine
 	State         string `json:"state"`    // ready, loading or failed
@@ -161,10 +165,10 @@
 	CacheSequence uint64 `json:"cache_sequence"`
 }
 
-// StateReady is the state of an engine that serves.
+// StateReady is the state of an engine that accepts requests.
 const StateReady = "ready"
 
-// Status asks the engine for its state.
+// Status returns the engine's current status.
 func (cl *Client) Status(ctx context.Context) (Status, error) {
 	var st Status
 	_, err := httpcall.JSON(ctx, cl.http, http.MethodGet, cl.base+"/v1/status", nil, &st)
@@ -172,8 +176,8 @@
 	return st, err
 }
 
-// Order makes the engine load or activate weights. An engine that checks fencing
-// numbers refuses one below the highest that it has seen.
+// Order is an order to load or activate weights. An engine that checks fencing
+// numbers refuses an order whose number is lower than the highest it has seen.
 type Order struct {
 	ID      string `json:"order_id"`
 	Model   string `json:"model"`
@@ -182,16 +186,18 @@
 	Giver   string `json:"giver"`
 }
 
-// Load makes the engine fetch weights beside those it serves.
+// Load makes the engine fetch weights while it keeps serving the current ones.
 func (cl *Client) Load(ctx context.Context, or Order) error {
 	return cl.order(ctx, "/v1/weights/load", or)
 }
 
-// Activate makes the engine serve the weights it has loaded.
+// Activate makes the engine serve the weights that it has loaded.
 func (cl *Client) Activate(ctx context.Context, or Order) error {
 	return cl.order(ctx, "/v1/weights/activate", or)
 }
 
+// order sends an order. After any failure other than a refused fencing number, the
+// outcome of the order is unknown.
 func (cl *Client) order(ctx context.Context, path string, or Order) error {
 	status, err := httpcall.JSON(ctx, cl.http, http.MethodPost, cl.base+path, or, nil)
 	switch {
@@ -204,14 +210,16 @@
 	return result.New(result.SwapFailed, "engine: order %s: %v", or.ID, err).With(result.Unknown)
 }
 
-// CacheEvent says that the engine's prefix cache gained or lost a prefix.
+// CacheEvent reports that a prefix was added to or evicted from the engine's prefix
+// cache.
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
 	Key      string `json:"cache_key"`
 	Evicted  bool   `json:"evicted"`
 }
 
-// CacheEvents returns the events after a sequence number. After 0 they describe the whole cache.
+// CacheEvents returns the events after a sequence number. The events after 0 describe
+// the complete cache.
 func (cl *Client) CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error) {
 	var out struct {
 		Events []CacheEvent `json:"events"`
@@ -221,7 +229,7 @@
 	return out.Events, err
 }
 
-// Abort ends a request on the engine.
+// Abort cancels a request on the engine.
 func (cl *Client) Abort(ctx context.Context, id string) error {
 	_, err := httpcall.JSON(ctx, cl.http, http.MethodPost, cl.base+"/v1/abort", map[string]string{"request_id": id}, nil)
 
