--- a/internal/plainservice/plainservice.go
+++ b/internal/plainservice/plainservice.go
@@ -1,5 +1,6 @@
-// Package plainservice is the adapter of plain HTTP services: any method, path,
-// headers and body. docs/interfaces/plain-service.md states what is assumed.
+// Package plainservice implements a client that forwards requests with any method,
+// path, headers and body to plain HTTP services. docs/interfaces/plain-service.md
+// specifies what is expected of a service.
 package plainservice
 
 import (
@@ -13,34 +14,35 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// RequestIDHeader carries the request ID. A service that echoes it in its answer
-// lets crossed answers be found.
+// RequestIDHeader carries the request ID. If a service echoes it, an answer that
+// belongs to another request is detected.
 const RequestIDHeader = "X-Request-Id"
 
-// hopByHop headers concern one connection and are never passed on.
+// hopByHop are the headers that concern a single connection and are never forwarded.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te",
 	"Trailer", "Transfer-Encoding", "Upgrade", "Host", "Content-Length",
 }
 
-// IsHopByHop reports whether a header, in canonical form, is never passed on.
+// IsHopByHop reports whether a header, in canonical form, is never forwarded.
 func IsHopByHop(name string) bool { return slices.Contains(hopByHop, name) }
 
-// Client talks to one service.
+// Client calls one service.
 type Client struct {
-	base       string
-	repeatable *http.Client
-	once       *http.Client
+	base          string
+	repeatable    *http.Client
+	nonRepeatable *http.Client // without keep-alive, so that net/http never sends a request twice
 }
 
-// New returns a client of the service at an IP number with a port.
+// New returns a client of the service at address, an IP number with a port. It dials
+// from the IP number bind.
 func New(address, bind string) *Client {
 	return &Client{
-		base: "http://" + address, repeatable: httpcall.NewClient(bind, true), once: httpcall.NewClient(bind, false),
+		base: "http://" + address, repeatable: httpcall.NewClient(bind, true), nonRepeatable: httpcall.NewClient(bind, false),
 	}
 }
 
-// Request is one request to the service.
+// Request is a request to the service.
 type Request struct {
 	ID           string
 	Method       string
@@ -51,10 +53,12 @@
 	IsRepeatable bool
 }
 
-const partBytes = 32 << 10
+// maxPartBytes is the maximum size of a part of an answer's body, in bytes.
+const maxPartBytes = 32 << 10
 
-// Do sends the request. It calls onHead once and onBody for each part; it returns
-// nil only when the whole body has arrived.
+// Do sends the request. It calls onHead once with the status and headers of the
+// answer, then onBody for each part of the body. It returns nil only if the complete
+// body has arrived.
 func (cl *Client) Do(ctx context.Context, rq Request, onHead func(status int, h http.Header) error, onBody func([]byte) error) error {
 	u := cl.base + rq.Path
 	if rq.Query != "" {
@@ -77,7 +81,7 @@
 		hr.Header.Set("User-Agent", "")
 	}
 
-	hc := cl.once
+	hc := cl.nonRepeatable
 	if rq.IsRepeatable {
 		hc = cl.repeatable
 	}
@@ -97,7 +101,7 @@
 }
 
 func copyBody(body io.Reader, onBody func([]byte) error) error {
-	buf := make([]byte, partBytes)
+	buf := make([]byte, maxPartBytes)
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
@@ -114,7 +118,7 @@
 	}
 }
 
-// Healthy reports whether the service accepts connections.
+// Healthy reports whether the service answers a health check with a status below 500.
 func (cl *Client) Healthy(ctx context.Context) bool {
 	hr, err := http.NewRequestWithContext(ctx, http.MethodGet, cl.base+"/healthz", http.NoBody)
 	if err != nil {
