--- a/internal/ordering/ordering.go
+++ b/internal/ordering/ordering.go
@@ -1,5 +1,5 @@
-// Package ordering is the adapter of the platform's interface that starts and
-// stops backend servers by failure domain. docs/interfaces/ordering.md states the
+// Package ordering implements a client of the platform's interface that starts and
+// stops backend servers by failure domain. docs/interfaces/ordering.md specifies the
 // protocol.
 package ordering
 
@@ -10,13 +10,14 @@
 	"github.com/tamarackbay/tamarackbay/internal/httpcall"
 )
 
-// Client talks to the ordering interface.
+// Client calls the ordering interface.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// New returns a client of the interface at an IP number with a port.
+// New returns a client of the interface at address, an IP number with a port. It
+// dials from the IP number bind.
 func New(address, bind string) *Client {
 	return &Client{base: "http://" + address, http: httpcall.NewClient(bind, true)}
 }
@@ -27,14 +28,14 @@
 	ActionStop  = "stop"
 )
 
-// Order asks for a backend server or gives one back. The interface carries out an
-// order ID once, however often it is sent.
+// Order requests the start or stop of a backend server. It is idempotent: the
+// interface executes each order ID once, however often it is sent.
 type Order struct {
 	ID            string `json:"orderId"`
 	Action        string `json:"action"`
 	Class         string `json:"class"`
 	FailureDomain string `json:"failureDomain"`
-	Server        string `json:"server,omitempty"` // to stop
+	Server        string `json:"server,omitempty"` // the backend server to stop
 	Fencing       uint64 `json:"fencing"`
 	Giver         string `json:"giver"`
 }
@@ -42,15 +43,15 @@
 // Answer is the interface's answer to an order.
 type Answer struct {
 	ID     string `json:"orderId"`
-	State  string `json:"state"` // accepted, refused
+	State  string `json:"state"` // accepted or refused
 	Server string `json:"server,omitempty"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// StateAccepted is the state of an order that is carried out.
+// StateAccepted is the state of an order that the platform executes.
 const StateAccepted = "accepted"
 
-// Send gives an order.
+// Send sends an order and returns the answer.
 func (cl *Client) Send(ctx context.Context, or Order) (Answer, error) {
 	var an Answer
 	_, err := httpcall.JSON(ctx, cl.http, http.MethodPost, cl.base+"/v1/orders", or, &an)
@@ -66,7 +67,7 @@
 	FailureDomain string `json:"failureDomain"`
 }
 
-// Servers lists what the platform runs.
+// Servers lists the backend servers that the platform runs.
 func (cl *Client) Servers(ctx context.Context) ([]Server, error) {
 	var out struct {
 		Servers []Server `json:"servers"`
