--- a/internal/usagesink/usagesink.go
+++ b/internal/usagesink/usagesink.go
@@ -1,5 +1,5 @@
-// Package usagesink is the adapter of the platform's interface that takes usage
-// reports. docs/interfaces/usage.md states the protocol.
+// Package usagesink implements a client of the platform's interface that receives
+// usage reports. docs/interfaces/usage.md specifies the protocol.
 package usagesink
 
 import (
@@ -12,25 +12,26 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// Client talks to the usage interface.
+// Client calls the usage interface.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// New returns a client of the interface at an IP number with a port.
+// New returns a client of the interface at address, an IP number with a port. It
+// dials from the IP number bind.
 func New(address, bind string) *Client {
 	return &Client{base: "http://" + address, http: httpcall.NewClient(bind, true)}
 }
 
-// Headers of a report.
+// Headers of a report: the lease holder that sends it and its fencing number.
 const (
 	GiverHeader   = "X-Giver"
 	FencingHeader = "X-Fencing"
 )
 
-// Send reports a window. The same window is always sent with the same bytes, so
-// that a report sent again changes nothing.
+// Send sends the report of a usage window. It is idempotent, since the report of a
+// window always has the same bytes.
 func (cl *Client) Send(ctx context.Context, window uint64, report []byte, giver string, fencing uint64) error {
 	rq, err := http.NewRequestWithContext(ctx, http.MethodPut, fmt.Sprintf("%s/v1/reports/%d", cl.base, window), bytes.NewReader(report))
 	if err != nil {
