--- a/internal/weightstore/weightstore.go
+++ b/internal/weightstore/weightstore.go
@@ -1,6 +1,6 @@
-// Package weightstore is the adapter of the rate-limited weight store, from which
-// engines fetch weights on their own. docs/interfaces/weight-store.md states the
-// protocol.
+// Package weightstore implements a client of the rate-limited weight store. Engines
+// fetch weights from the store directly; the client only reads descriptions of
+// versions. docs/interfaces/weight-store.md specifies the protocol.
 package weightstore
 
 import (
@@ -11,27 +11,28 @@
 	"github.com/tamarackbay/tamarackbay/internal/httpcall"
 )
 
-// Client talks to the weight store.
+// Client calls the weight store.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// New returns a client of the store at an IP number with a port.
+// New returns a client of the store at address, an IP number with a port. It dials
+// from the IP number bind.
 func New(address, bind string) *Client {
 	return &Client{base: "http://" + address, http: httpcall.NewClient(bind, true)}
 }
 
-// Info describes a version in the store.
+// Info describes a weight version in the store.
 type Info struct {
 	Model         string `json:"model"`
 	Version       string `json:"version"`
 	Bytes         int64  `json:"bytes"`
-	MaxConcurrent int    `json:"maxConcurrent"` // fetches that the store serves at once
+	MaxConcurrent int    `json:"maxConcurrent"` // maximum number of concurrent fetches
 }
 
-// Describe returns what the store knows of a version. It is the check that a
-// version exists before a swap starts.
+// Describe returns the store's description of a weight version. It is called before
+// a swap to check that the version exists.
 func (cl *Client) Describe(ctx context.Context, model, version string) (Info, error) {
 	var in Info
 	u := cl.base + "/v1/weights/" + url.PathEscape(model) + "/" + url.PathEscape(version)
