--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -1,5 +1,5 @@
-// Package meter counts what a process does. Each refusal and retry reason has a
-// counter of its own.
+// Package meter holds the metrics of a process: counters, gauges and histograms of
+// durations. Each reason of a refusal or retry has a counter of its own.
 package meter
 
 import (
@@ -14,12 +14,12 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// Meter holds the counters of one process.
+// Meter holds the metrics of one process.
 type Meter struct {
 	reg metrics.Registry
 }
 
-// New returns a meter on which the counter of every refusal reason stands at 0.
+// New returns a meter in which the counter of every refusal reason exists and is 0.
 func New() *Meter {
 	me := &Meter{reg: metrics.NewRegistry()}
 	for _, en := range result.Table() {
@@ -42,10 +42,11 @@
 // Value returns a counter's value.
 func (me *Meter) Value(name string) int64 { return me.counter(name).Count() }
 
-// Refused counts a refusal by its reason.
+// Refused counts a refusal under the name of its result code.
 func (me *Meter) Refused(err error) { me.Count("refused." + result.Lookup(result.From(err).Code).Name) }
 
-// Retried counts a retry, or why there was none.
+// Retried counts a retry by its reason or, if isRetry is false, a failure that was
+// not retried by the reason for that.
 func (me *Meter) Retried(reason string, isRetry bool) {
 	if isRetry {
 		me.Count("retry." + reason)
@@ -54,10 +55,10 @@
 	}
 }
 
-// Gauge sets a value.
+// Gauge sets the value of a gauge.
 func (me *Meter) Gauge(name string, v int64) { metrics.GetOrRegisterGauge(name, me.reg).Update(v) }
 
-// Time notes a duration.
+// Time records a duration in a histogram.
 func (me *Meter) Time(name string, d time.Duration) {
 	me.reg.GetOrRegister(name, newTimer).(metrics.Histogram).Update(d.Microseconds())
 }
@@ -65,7 +66,7 @@
 // WriteJSON writes all metrics as one JSON object.
 func (me *Meter) WriteJSON(w io.Writer) { metrics.WriteJSONOnce(me.reg, w) }
 
-// WriteText writes all metrics in the text form that Prometheus reads.
+// WriteText writes all metrics in the Prometheus text format.
 func (me *Meter) WriteText(w io.Writer) error {
 	var lines []string
 	me.reg.Each(func(name string, v any) {
@@ -74,7 +75,7 @@
 			n += "_seconds"
 		}
 		help := ""
-		if na, ok := describe(name); ok {
+		if na, ok := descriptionOf(name); ok {
 			help = fmt.Sprintf("# HELP %s %s\n", n, na.Help)
 		}
 		switch m := v.(type) {
@@ -92,11 +93,11 @@
 	return err
 }
 
-// timerText writes a histogram in seconds.
+// timerText formats a histogram in the Prometheus text format, in seconds.
 func timerText(name string, ti *timer) string {
 	var sb strings.Builder
 	fmt.Fprintf(&sb, "# TYPE %s histogram\n", name)
-	for i, n := range ti.cumulative() {
+	for i, n := range ti.bucketCounts() {
 		fmt.Fprintf(&sb, "%s_bucket{le=\"%g\"} %d\n", name, buckets[i].Seconds(), n)
 	}
 	fmt.Fprintf(&sb, "%s_bucket{le=\"+Inf\"} %d\n%s_sum %g\n%s_count %d\n", name, ti.Count(), name, float64(ti.Sum())/1e6, name, ti.Count())
--- a/internal/meter/meter_test.go
+++ b/internal/meter/meter_test.go
@@ -19,13 +19,13 @@
 func TestSuite(t *testing.T) { suite.Run(t, "meter") }
 
 var _ = ginkgo.Describe("the table of metrics", func() {
-	ginkgo.It("is the one in the documentation", func() {
+	ginkgo.It("matches the table in docs/operators/counters.md", func() {
 		b, err := os.ReadFile("../../docs/operators/counters.md")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(string(b)).To(ContainSubstring(meter.Document()), "take the output of meter.Document into docs/operators/counters.md")
+		Expect(string(b)).To(ContainSubstring(meter.Document()), "replace the table in docs/operators/counters.md with the output of meter.Document")
 	})
 
-	ginkgo.It("names every metric of the sources", func() {
+	ginkgo.It("contains every metric that the source uses", func() {
 		used := regexp.MustCompile(`\.(?:Count|Add|Time|Gauge)\("([a-zA-Z.]+)"`)
 		known := func(name string) bool {
 			for _, na := range meter.Names() {
@@ -55,7 +55,7 @@
 })
 
 var _ = ginkgo.Describe("the metrics of a process", func() {
-	ginkgo.It("are served with the buckets of durations, which add up over processes", func() {
+	ginkgo.It("are written as counters, gauges and histograms with cumulative buckets", func() {
 		me := meter.New()
 		for _, d := range []time.Duration{500 * time.Microsecond, 20 * time.Millisecond, 20 * time.Millisecond, 3 * time.Second, time.Hour} {
 			me.Time("request", d)
--- a/internal/meter/names.go
+++ b/internal/meter/names.go
@@ -15,69 +15,69 @@
 
 // Name describes a metric, or a family of them whose last part varies.
 type Name struct {
-	Name string // with a "*" for the part that varies
+	Name string // ends in "*" if it names a family
 	Kind string
 	Help string
 }
 
-// Names returns all metrics, in the order of the documentation.
+// Names returns the descriptions of all metrics, in the order of the documentation.
 func Names() []Name { return slices.Clone(names) }
 
 var names = []Name{
-	{"refused.*", KindCounter, "refusals by result code; every code of docs/codes.md has one, from 0"},
+	{"refused.*", KindCounter, "refusals by result code; every code of docs/codes.md has a counter, which starts at 0"},
 	{"request.*", KindCounter, "requests of clients by outcome: served, refused, failed, cut and the like"},
-	{"request", KindTimer, "from the whole request to the end of its answer"},
-	{"retry.*", KindCounter, "attempts made again, by the reason of the failure"},
-	{"noRetry.*", KindCounter, "failures that were not tried again, by what forbade it: final, notRepeatable, attemptsSpent, deadline, budgetSpent"},
-	{"queue.wait", KindTimer, "time in the queue of a gateway"},
+	{"request", KindTimer, "time from the receipt of the complete request to the end of its answer"},
+	{"retry.*", KindCounter, "retried attempts, by the reason of the failure"},
+	{"noRetry.*", KindCounter, "failures that were not retried, by the reason for that: final, notRepeatable, attemptsSpent, deadline, budgetSpent"},
+	{"queue.wait", KindTimer, "time that a request waited in the queue of a gateway"},
 	{"item.run.*", KindCounter, "runs of items of batch jobs, by outcome"},
-	{"item.run", KindTimer, "one run of an item at a backend server"},
-	{"item.listed", KindCounter, "results that were committed"},
+	{"item.run", KindTimer, "duration of one run of an item at a backend server"},
+	{"item.listed", KindCounter, "results of items that were committed"},
 	{"items.waiting", KindGauge, "items that wait for a backend server, where this store leads"},
 	{"items.running", KindGauge, "items that run at backend servers, where this store leads"},
 	{"jobs.open", KindGauge, "batch jobs that are not ended, where this store leads"},
-	{"reward.*", KindCounter, "calls for scores, by outcome"},
-	{"samples.again.*", KindCounter, "attempts of samples that failed for good and were made anew by the step, by result code"},
-	{"samples.stale", KindCounter, "samples sent back at a page since newer weights came"},
-	{"hedges.started", KindCounter, "stragglers raced"},
-	{"hedges.overBudget", KindCounter, "stragglers not raced for want of budget"},
-	{"wins.again", KindCounter, "commits of winners made again"},
-	{"scores.again", KindCounter, "scorings made again"},
-	{"payloads.oneHolder", KindCounter, "payload batches with one holder"},
-	{"payloads.lost", KindCounter, "payloads that all holders lost"},
-	{"steps.takenOver", KindCounter, "steps whose driver was lost"},
-	{"steps.running", KindGauge, "steps driven here"},
-	{"streams.cut", KindCounter, "requests ended since their key was withdrawn, or this process was stale"},
-	{"calls.replayed", KindCounter, "recorded answers given again"},
+	{"reward.*", KindCounter, "calls to the scorer, by outcome"},
+	{"samples.again.*", KindCounter, "attempts of samples that failed after all retries and were repeated by the step, by result code"},
+	{"samples.stale", KindCounter, "samples sent back while a page was formed, because newer weights had made them stale"},
+	{"hedges.started", KindCounter, "stragglers that were hedged"},
+	{"hedges.overBudget", KindCounter, "stragglers that were not hedged because the budget was spent"},
+	{"wins.again", KindCounter, "commits of winning samples that failed and were repeated"},
+	{"scores.again", KindCounter, "scorings of samples that failed; each is repeated a limited number of times"},
+	{"payloads.oneHolder", KindCounter, "batches of payloads that were stored by a single holder only"},
+	{"payloads.lost", KindCounter, "payloads that were lost by all their holders"},
+	{"steps.takenOver", KindCounter, "steps taken over from a lost driver"},
+	{"steps.running", KindGauge, "steps that this process drives"},
+	{"streams.cut", KindCounter, "requests that were ended because their key was withdrawn or this process was stale"},
+	{"calls.replayed", KindCounter, "answers replayed from the record of an earlier call"},
 	{"calls.endLost", KindCounter, "outcomes of calls that could not be committed"},
 	{"calls.abandonLost", KindCounter, "abandoned calls that could not be committed"},
 	{"servers.crashed", KindCounter, "crashes reported by agents"},
-	{"servers.known", KindGauge, "backend servers that are believed to be alive"},
-	{"quarantine.cleared", KindCounter, "suspect requests that ran to their end"},
-	{"swaps.failed", KindCounter, "orders of weights that failed"},
+	{"servers.known", KindGauge, "backend servers that are considered alive"},
+	{"quarantine.cleared", KindCounter, "suspect requests that ran to completion"},
+	{"swaps.failed", KindCounter, "orders to load or activate weights that failed"},
 	{"weightStore.failed", KindCounter, "calls to the weight store that failed"},
-	{"orders.*", KindCounter, "orders of backend servers to the platform, by kind"},
-	{"ordering.failed", KindCounter, "such orders that failed"},
-	{"intents.unsettled", KindCounter, "outcomes of orders not yet committed"},
-	{"reports.sent", KindCounter, "usage reports"},
-	{"reports.failed", KindCounter, "usage reports that failed"},
-	{"cacheEvents.gap", KindCounter, "lost cache events"},
-	{"feed.full", KindCounter, "configurations taken whole"},
-	{"configuration.version", KindGauge, "the configuration in force here"},
-	{"configuration.ageMs", KindGauge, "since it was last known to be the newest one; -1 before the first"},
-	{"group.ageMs", KindGauge, "since the replicated state was last known to be the newest; -1 before that"},
-	{"group.term", KindGauge, "term of the group of replicas"},
-	{"group.applied", KindGauge, "entries applied"},
-	{"group.leads", KindGauge, "1 where this replica leads"},
-	{"group.voters", KindGauge, "voters of the group"},
-	{"group.elections", KindGauge, "changes of the leader that this replica saw"},
-	{"group.moves", KindGauge, "changes of the membership that this replica saw"},
-	{"disk.syncs", KindCounter, "syncs of files"},
-	{"log.dropped", KindGauge, "lines of the log that were dropped for want of room"},
+	{"orders.*", KindCounter, "orders to the platform to start or stop backend servers, by kind"},
+	{"ordering.failed", KindCounter, "calls to the platform's ordering interface that failed"},
+	{"intents.unsettled", KindCounter, "outcomes of orders that could not be committed at once"},
+	{"reports.sent", KindCounter, "usage reports that were sent"},
+	{"reports.failed", KindCounter, "usage reports that could not be sent"},
+	{"cacheEvents.gap", KindCounter, "gaps in the sequence of cache events"},
+	{"feed.full", KindCounter, "complete configurations received instead of single changes"},
+	{"configuration.version", KindGauge, "version of the configuration in force in this process"},
+	{"configuration.ageMs", KindGauge, "milliseconds since the configuration was last known to be current; -1 before the first one"},
+	{"group.ageMs", KindGauge, "milliseconds since the replicated state was last known to be current; -1 before that"},
+	{"group.term", KindGauge, "current term of the replica group"},
+	{"group.applied", KindGauge, "index of the last log entry applied"},
+	{"group.leads", KindGauge, "1 if this replica is the leader, otherwise 0"},
+	{"group.voters", KindGauge, "voters of the replica group"},
+	{"group.elections", KindGauge, "changes of the leader that this replica observed"},
+	{"group.moves", KindGauge, "changes of the membership that this replica observed"},
+	{"disk.syncs", KindCounter, "file syncs"},
+	{"log.dropped", KindGauge, "log lines dropped because the buffer was full"},
 }
 
-// describe returns the entry of a metric.
-func describe(name string) (Name, bool) {
+// descriptionOf returns the description of a metric.
+func descriptionOf(name string) (Name, bool) {
 	for _, na := range names {
 		prefix, isFamily := strings.CutSuffix(na.Name, "*")
 		if na.Name == name || (isFamily && strings.HasPrefix(name, prefix)) {
@@ -91,7 +91,7 @@
 // Document returns the table of all metrics, in Markdown.
 func Document() string {
 	var sb strings.Builder
-	sb.WriteString("| name | kind | tells |\n|---|---|---|\n")
+	sb.WriteString("| name | kind | meaning |\n|---|---|---|\n")
 	for _, na := range names {
 		fmt.Fprintf(&sb, "| `%s` | %s | %s |\n", na.Name, na.Kind, na.Help)
 	}
--- a/internal/meter/read.go
+++ b/internal/meter/read.go
@@ -11,7 +11,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// Fetch reads the counters and gauges of the node whose metrics are served at address.
+// Fetch reads the counters and gauges of the node that serves its metrics at address.
 func Fetch(ctx context.Context, hc *http.Client, address string) (map[string]int64, error) {
 	rq, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/metrics", http.NoBody)
 	if err != nil {
@@ -19,15 +19,16 @@
 	}
 	rs, err := hc.Do(rq)
 	if err != nil {
-		return nil, result.New(result.BackendUnreachable, "meter: metrics of %s: %v", address, err)
+		return nil, result.New(result.BackendUnreachable, "meter: can't fetch the metrics of %s: %v", address, err)
 	}
 	defer rs.Body.Close()
 
 	return ReadText(rs.Body)
 }
 
-// ReadText reads the counters and gauges that WriteText wrote, by their names with
-// underscores and without prefix. Lines with labels, as of histograms, are left out.
+// ReadText parses the counters and gauges in the output of WriteText. The names have
+// underscores and no prefix. Lines with labels, such as those of histograms, are
+// skipped.
 func ReadText(r io.Reader) (map[string]int64, error) {
 	out := map[string]int64{}
 	sc := bufio.NewScanner(r)
@@ -39,7 +40,7 @@
 		name, value, _ := strings.Cut(line, " ")
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil {
-			return nil, result.New(result.MalformedBody, "meter: %s: %v", name, err)
+			return nil, result.New(result.MalformedBody, "meter: invalid value of metric %s: %v", name, err)
 		}
 		out[name] = int64(v)
 	}
--- a/internal/meter/timer.go
+++ b/internal/meter/timer.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// longestMicros is the longest duration that a timer tells apart; longer ones
-	// count as this one.
-	longestMicros = int64(10 * time.Minute / time.Microsecond)
-	// timerDigits are the significant digits of a duration that a timer keeps.
-	timerDigits = 2
+	// maxDurationMicros is the longest duration that a timer records, in microseconds.
+	// Longer ones are recorded as this one.
+	maxDurationMicros = int64(10 * time.Minute / time.Microsecond)
+	// significantDigits is the number of significant digits to which durations are recorded.
+	significantDigits = 2
 )
 
-// buckets are the upper bounds that a timer is served with: from a local answer to
-// the longest deadlines of clients.
+// buckets are the upper bounds of the histogram's buckets in the text format, from
+// the time of a local answer to the longest deadlines of clients.
 var buckets = []time.Duration{
 	time.Millisecond, 2500 * time.Microsecond, 5 * time.Millisecond, 10 * time.Millisecond, 25 * time.Millisecond, 50 * time.Millisecond,
 	100 * time.Millisecond, 250 * time.Millisecond, 500 * time.Millisecond, time.Second, 2500 * time.Millisecond, 5 * time.Second,
 	7500 * time.Millisecond, 10 * time.Second, 15 * time.Second, 30 * time.Second,
 }
 
-// timer is a histogram of durations in microseconds. All durations since the start
-// count, so that the buckets of several processes may be added.
+// timer is a histogram of durations in microseconds. It covers all durations since
+// the start of the process, so that buckets of several processes can be summed.
 type timer struct {
 	mu  sync.Mutex
 	hdr *hdrhistogram.Histogram
@@ -33,21 +33,21 @@
 }
 
 func newTimer() metrics.Histogram {
-	return &timer{hdr: hdrhistogram.New(1, longestMicros, timerDigits)}
+	return &timer{hdr: hdrhistogram.New(1, maxDurationMicros, significantDigits)}
 }
 
-// Update notes a duration.
+// Update records a duration in microseconds.
 func (ti *timer) Update(v int64) {
 	ti.mu.Lock()
 	defer ti.mu.Unlock()
 
 	v = max(v, 0)
 	ti.sum += v
-	_ = ti.hdr.RecordValue(min(v, longestMicros)) // within the bounds, so it can't fail
+	_ = ti.hdr.RecordValue(min(v, maxDurationMicros)) // within the bounds, so it can't fail
 }
 
-// cumulative returns how many durations are at most as long as each bucket's bound.
-func (ti *timer) cumulative() []int64 {
+// bucketCounts returns, for each bucket, how many durations don't exceed its bound.
+func (ti *timer) bucketCounts() []int64 {
 	ti.mu.Lock()
 	defer ti.mu.Unlock()
 
@@ -63,7 +63,8 @@
 	return out
 }
 
-func locked[T any](ti *timer, f func() T) T {
+// withLock calls f while it holds the timer's mutex and returns the result.
+func withLock[T any](ti *timer, f func() T) T {
 	ti.mu.Lock()
 	defer ti.mu.Unlock()
 
@@ -77,12 +78,12 @@
 	ti.sum = 0
 }
 
-func (ti *timer) Count() int64    { return locked(ti, ti.hdr.TotalCount) }
-func (ti *timer) Max() int64      { return locked(ti, ti.hdr.Max) }
-func (ti *timer) Min() int64      { return locked(ti, ti.hdr.Min) }
-func (ti *timer) Mean() float64   { return locked(ti, ti.hdr.Mean) }
-func (ti *timer) StdDev() float64 { return locked(ti, ti.hdr.StdDev) }
-func (ti *timer) Sum() int64      { return locked(ti, func() int64 { return ti.sum }) }
+func (ti *timer) Count() int64    { return withLock(ti, ti.hdr.TotalCount) }
+func (ti *timer) Max() int64      { return withLock(ti, ti.hdr.Max) }
+func (ti *timer) Min() int64      { return withLock(ti, ti.hdr.Min) }
+func (ti *timer) Mean() float64   { return withLock(ti, ti.hdr.Mean) }
+func (ti *timer) StdDev() float64 { return withLock(ti, ti.hdr.StdDev) }
+func (ti *timer) Sum() int64      { return withLock(ti, func() int64 { return ti.sum }) }
 
 func (ti *timer) Variance() float64 {
 	sd := ti.StdDev()
@@ -91,7 +92,7 @@
 }
 
 func (ti *timer) Percentile(p float64) float64 {
-	return locked(ti, func() float64 { return float64(ti.hdr.ValueAtQuantile(100 * p)) })
+	return withLock(ti, func() float64 { return float64(ti.hdr.ValueAtQuantile(100 * p)) })
 }
 
 func (ti *timer) Percentiles(ps []float64) []float64 {
