--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,5 @@
-// Package logging sets up the logs: JSON lines on standard error.
+// Package logging creates loggers that write JSON lines, either directly or through
+// a buffer that never blocks.
 package logging
 
 import (
@@ -9,7 +10,8 @@
 	"github.com/apex/log/handlers/json"
 )
 
-// New returns a logger that writes JSON lines of level and above to w.
+// New returns a logger that writes JSON lines of level and above to w. An unknown
+// level means info.
 func New(w io.Writer, level, program, name string) log.Interface {
 	lo := &log.Logger{Handler: json.New(w), Level: log.InfoLevel}
 	if l, err := log.ParseLevel(level); err == nil {
--- a/internal/logging/ring.go
+++ b/internal/logging/ring.go
@@ -12,39 +12,41 @@
 )
 
 const (
-	// ringLines wait for the writer; further ones are dropped, failures last.
-	ringLines = 4096
-	// successLines of the ring may be taken by lines of routine success.
-	successLines = ringLines * 3 / 4
-	// batchPeriod is how long lines are gathered before they are written together.
+	// maxBufferedLines is the number of lines that the buffer holds. Further lines are
+	// dropped.
+	maxBufferedLines = 4096
+	// maxInfoLines is the number of buffered lines above which lines of level info and
+	// below are dropped, so that warnings and errors still find space.
+	maxInfoLines = maxBufferedLines * 3 / 4
+	// batchPeriod is how long lines are collected before they are written together.
 	batchPeriod = 100 * time.Millisecond
-	// dropPeriod is how often dropped lines are told.
-	dropPeriod = time.Second
+	// dropReportPeriod is the minimum time between two reports of dropped lines.
+	dropReportPeriod = time.Second
 )
 
-// Ring writes log lines behind the back of those that log them: it never blocks
-// them, and drops what there is no room for.
+// Ring is a log handler that buffers lines and writes them in the background. It
+// never blocks its callers; lines that don't fit into the buffer are dropped.
 type Ring struct {
 	w       io.Writer
 	entries chan *log.Entry
 	dropped atomic.Int64
 	done    chan struct{}
 	stop    sync.Once
-	ended   sync.WaitGroup
+	loop    sync.WaitGroup
 }
 
-// NewRing returns a ring that writes JSON lines to w until Close.
+// NewRing returns a Ring that writes JSON lines to w until Close is called.
 func NewRing(w io.Writer) *Ring {
-	ri := &Ring{w: w, entries: make(chan *log.Entry, ringLines), done: make(chan struct{})}
-	ri.ended.Add(1)
-	go ri.run()
+	ri := &Ring{w: w, entries: make(chan *log.Entry, maxBufferedLines), done: make(chan struct{})}
+	ri.loop.Add(1)
+	go ri.writeLoop()
 
 	return ri
 }
 
-// HandleLog takes a line.
+// HandleLog buffers a line or drops it.
 func (ri *Ring) HandleLog(en *log.Entry) error {
-	if en.Level <= log.InfoLevel && len(ri.entries) > successLines {
+	if en.Level <= log.InfoLevel && len(ri.entries) > maxInfoLines {
 		ri.dropped.Add(1)
 
 		return nil
@@ -58,26 +60,28 @@
 	return nil
 }
 
-// Dropped returns how many lines were dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (ri *Ring) Dropped() int64 { return ri.dropped.Load() }
 
-// Close writes what waits and ends the ring.
+// Close writes the buffered lines and stops the background writer.
 func (ri *Ring) Close() {
 	ri.stop.Do(func() { close(ri.done) })
-	ri.ended.Wait()
+	ri.loop.Wait()
 }
 
-func (ri *Ring) run() {
-	defer ri.ended.Done()
+// writeLoop writes the buffered lines in batches, and the number of dropped lines,
+// until the ring is closed.
+func (ri *Ring) writeLoop() {
+	defer ri.loop.Done()
 
 	var buf bytes.Buffer
 	enc := json.New(&buf)
-	told, toldAt := int64(0), time.Now()
+	reported, reportedAt := int64(0), time.Now()
 	for {
 		closing := false
 		select {
 		case en := <-ri.entries:
-			_ = enc.HandleLog(en) // a line that cannot be encoded has no better place
+			_ = enc.HandleLog(en) // an encoding error can't be logged anywhere
 			if en.Level <= log.InfoLevel {
 				select {
 				case <-time.After(batchPeriod):
@@ -87,14 +91,14 @@
 		case <-ri.done:
 			closing = true
 		}
-		ri.drain(enc)
-		if n := ri.dropped.Load(); n > told && time.Since(toldAt) > dropPeriod {
+		ri.encodeBuffered(enc)
+		if n := ri.dropped.Load(); n > reported && time.Since(reportedAt) > dropReportPeriod {
 			_ = enc.HandleLog(&log.Entry{
-				Level: log.WarnLevel, Message: "log lines dropped", Timestamp: time.Now(), Fields: log.Fields{"lines": n - told},
+				Level: log.WarnLevel, Message: "log lines dropped", Timestamp: time.Now(), Fields: log.Fields{"lines": n - reported},
 			})
-			told, toldAt = n, time.Now()
+			reported, reportedAt = n, time.Now()
 		}
-		_, _ = ri.w.Write(buf.Bytes()) // standard output is all there is to write to
+		_, _ = ri.w.Write(buf.Bytes()) // a failed write can't be logged anywhere
 		buf.Reset()
 		if closing {
 			return
@@ -102,7 +106,8 @@
 	}
 }
 
-func (ri *Ring) drain(enc *json.Handler) {
+// encodeBuffered encodes all lines that are buffered.
+func (ri *Ring) encodeBuffered(enc *json.Handler) {
 	for {
 		select {
 		case en := <-ri.entries:
@@ -113,7 +118,8 @@
 	}
 }
 
-// NewWith returns a logger of level and above that hands its lines to handler.
+// NewWith returns a logger that passes lines of level and above to handler. An
+// unknown level means info.
 func NewWith(handler log.Handler, level, program, name string) log.Interface {
 	lo := &log.Logger{Handler: handler, Level: log.InfoLevel}
 	if l, err := log.ParseLevel(level); err == nil {
--- a/internal/logging/ring_test.go
+++ b/internal/logging/ring_test.go
@@ -15,7 +15,7 @@
 
 func TestSuite(t *testing.T) { suite.Run(t, "logging") }
 
-// slowWriter takes nothing until it is opened.
+// slowWriter blocks all writes until open is closed.
 type slowWriter struct {
 	open chan struct{}
 	mu   sync.Mutex
@@ -30,8 +30,8 @@
 	return sw.b.Write(b)
 }
 
-var _ = ginkgo.Describe("a flood of log lines before a writer that stands still", func() {
-	ginkgo.It("holds nobody up, drops routine success first, and is counted", func() {
+var _ = ginkgo.Describe("a ring whose writer is blocked while many lines are logged", func() {
+	ginkgo.It("doesn't block its callers, drops info lines before errors and counts dropped lines", func() {
 		sw := &slowWriter{open: make(chan struct{})}
 		ring := logging.NewRing(sw)
 		lo := logging.NewWith(ring, "info", "p", "n")
@@ -52,7 +52,7 @@
 		Expect(bytes.Count(sw.b.Bytes(), []byte(`"failure"`))).To(Equal(100))
 	})
 
-	ginkgo.It("is told once it is over", func() {
+	ginkgo.It("logs that lines were dropped once the writer is unblocked", func() {
 		sw := &slowWriter{open: make(chan struct{})}
 		ring := logging.NewRing(sw)
 		lo := logging.NewWith(ring, "info", "p", "n")
