--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain tells the course of one request, item or batch job from the logs
-// of several processes.
+// Package explain reconstructs the timeline of a request, item or batch job from the
+// logs of several processes.
 package explain
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// Line is one log line.
+// Line is a parsed log line.
 type Line struct {
 	At      time.Time
 	Level   string
@@ -24,12 +24,12 @@
 	Fields  map[string]any
 }
 
-// maxLineBytes bounds one log line.
+// maxLineBytes is the maximum length of a log line.
 const maxLineBytes = 4 << 20
 
-// Read reads the log lines of one source. What stands before the first brace of a
-// line is left out, as other programs may put a time or a name there; a line that
-// holds no log line is counted.
+// Read parses the log lines of one source. Text before the first brace of a line is
+// ignored, because other programs may add a prefix such as a time or a name. Lines
+// that can't be parsed are counted in skipped.
 func Read(r io.Reader) (lines []Line, skipped int, err error) {
 	sc := bufio.NewScanner(r)
 	sc.Buffer(nil, maxLineBytes)
@@ -47,7 +47,7 @@
 			Fields    map[string]any `json:"fields"`
 		}
 		de := json.NewDecoder(bytes.NewReader(sc.Bytes()[i:]))
-		de.UseNumber() // IDs and times stay as they were written
+		de.UseNumber() // keeps the digits of IDs and times unchanged
 		if err := de.Decode(&in); err != nil || in.Message == "" {
 			skipped++
 
@@ -56,23 +56,26 @@
 		lines = append(lines, Line{At: in.Timestamp, Level: in.Level, Message: in.Message, Fields: in.Fields})
 	}
 	if err := sc.Err(); err != nil {
-		return nil, skipped, result.New(result.MalformedBody, "explain: %v", err)
+		return nil, skipped, result.New(result.MalformedBody, "explain: can't read log lines: %v", err)
 	}
 
 	return lines, skipped, nil
 }
 
-// beliefs are messages that say what a process believes from then on.
-var beliefs = []string{
+// stateMessages are the messages that report a change in a process's own state or in
+// its last known state of others. They match the log messages of other packages
+// literally.
+var stateMessages = []string{
 	"configuration in force", "weight version named", "store leader known", "leadership changed", "items are driven here",
 	"items are not driven here any more", "controller lost", "slow backend servers", "started", "shutdown begins", "weights loaded",
 }
 
-// identifiers are the fields that hold IDs.
-var identifiers = []string{"request", "job", "item", "reward"}
+// idFields are the fields whose values are IDs.
+var idFields = []string{"request", "job", "item", "reward"}
 
-func (li *Line) concerns(id string) bool {
-	for _, name := range identifiers {
+// hasID reports whether one of the line's ID fields is id.
+func (li *Line) hasID(id string) bool {
+	for _, name := range idFields {
 		if li.Fields[name] == id {
 			return true
 		}
@@ -98,16 +101,16 @@
 	return out
 }
 
-// Course returns the lines about an ID in the order of time, and between them what
-// the processes involved came to believe meanwhile: on their node, or of a backend
-// server that the ID met.
+// Course returns the timeline of an ID: all lines about it, ordered by time, and those
+// lines between the first and the last of them that report a change of state on a
+// node involved, or of a backend server involved.
 func Course(lines []Line, id string) []Line {
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].At.Before(lines[j].At) })
 	nodes, servers := map[string]bool{}, map[string]bool{}
 	var first, last time.Time
 	for i := range lines {
 		li := &lines[i]
-		if !li.concerns(id) {
+		if !li.hasID(id) {
 			continue
 		}
 		if first.IsZero() {
@@ -126,10 +129,10 @@
 	var out []Line
 	for _, li := range lines {
 		switch {
-		case li.concerns(id):
+		case li.hasID(id):
 		case li.At.Before(first) || li.At.After(last):
 			continue
-		case nodes[li.node()] && slices.Contains(beliefs, li.Message):
+		case nodes[li.node()] && slices.Contains(stateMessages, li.Message):
 		case len(li.servers()) == 1 && servers[li.servers()[0]] && li.isAboutServer(nodes):
 		default:
 			continue
@@ -140,8 +143,8 @@
 	return out
 }
 
-// isAboutServer reports whether a line says what became of a backend server: to a
-// controller, or in the view of a node that is involved.
+// isAboutServer reports whether a line is about the state of a backend server, as
+// logged by any controller or by a node involved.
 func (li *Line) isAboutServer(nodes map[string]bool) bool {
 	switch {
 	case li.Message == "backend server told", li.Message == "backend server silent", strings.HasPrefix(li.Message, "weights "):
@@ -151,16 +154,18 @@
 	return strings.HasPrefix(li.Message, "backend server") && nodes[li.node()]
 }
 
-// hidden are the fields that a printed line leaves out: the node opens it.
-var hidden = []string{"program", "name", "role", "node"}
+// unprintedFields are the fields that are not printed after the message. The node is
+// printed at the beginning of the line.
+var unprintedFields = []string{"program", "name", "role", "node"}
 
-// Write prints a course, one line each, with the time since its first line.
-func Write(w io.Writer, course []Line) error {
-	for i := range course {
-		li := &course[i]
+// Write prints a timeline, one log line per line, each with the seconds since the
+// first one.
+func Write(w io.Writer, timeline []Line) error {
+	for i := range timeline {
+		li := &timeline[i]
 		names := make([]string, 0, len(li.Fields))
 		for name := range li.Fields {
-			if !slices.Contains(hidden, name) {
+			if !slices.Contains(unprintedFields, name) {
 				names = append(names, name)
 			}
 		}
@@ -169,7 +174,7 @@
 		for _, name := range names {
 			fmt.Fprintf(&b, " %s=%v", name, li.Fields[name])
 		}
-		if _, err := fmt.Fprintf(w, "%9.3f s  %-24s %s%s\n", li.At.Sub(course[0].At).Seconds(), li.node(), li.Message, b.String()); err != nil {
+		if _, err := fmt.Fprintf(w, "%9.3f s  %-24s %s%s\n", li.At.Sub(timeline[0].At).Seconds(), li.node(), li.Message, b.String()); err != nil {
 			return err
 		}
 	}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -25,8 +25,8 @@
 {"fields":{"node":"core-1","version":8},"level":"info","timestamp":"2026-01-01T00:00:02.5Z","message":"leadership changed"}
 `
 
-var _ = ginkgo.Describe("the course of a request", func() {
-	ginkgo.It("holds its lines of all processes in order, and what was believed meanwhile", func() {
+var _ = ginkgo.Describe("the timeline of a request", func() {
+	ginkgo.It("contains its lines from all processes in order, and changes of state between them", func() {
 		var all []explain.Line
 		skipped := 0
 		for _, text := range []string{gatewayLog, controllerLog} {
@@ -36,16 +36,16 @@
 		}
 		Expect(skipped).To(Equal(1))
 
-		course := explain.Course(all, "r1")
+		timeline := explain.Course(all, "r1")
 		var b strings.Builder
-		Expect(explain.Write(&b, course)).To(Succeed())
+		Expect(explain.Write(&b, timeline)).To(Succeed())
 		Expect(b.String()).To(Equal(`    0.000 s  edge-1                   request ended error=x outcome=failed request=r1
     0.500 s  core-1                   backend server silent server=s1
     1.500 s  edge-1                   request ended outcome=served request=r1 servers=[s1 s2]
 `))
 	})
 
-	ginkgo.It("is empty for an ID that no line names", func() {
+	ginkgo.It("is empty for an ID that occurs in no line", func() {
 		lines, _, err := explain.Read(strings.NewReader(gatewayLog))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(explain.Course(lines, "r9")).To(BeEmpty())
