--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -6,66 +6,69 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// Times of the replicated groups of nodes, on a platform that counts a VM as whole
-// again a few seconds after it is back.
+// Timing of the replica groups of nodes, for a platform that considers a VM healthy
+// again a few seconds after its return.
 const (
-	// NodeElection is the election timeout, well above a round trip with two slow
-	// syncs of a disk.
-	NodeElection  = 500 * time.Millisecond
+	// NodeElection is the election timeout. It is well above the time of a round trip
+	// with two slow disk syncs.
+	NodeElection = 500 * time.Millisecond
+	// NodeHeartbeat is the period of a leader's heartbeats.
 	NodeHeartbeat = 100 * time.Millisecond
-	// NodeReplaceAfter is the silence after which a spare takes a voter's place:
-	// three election timeouts, so that a short pause costs no membership change.
+	// NodeReplaceAfter is how long a voter must be unreachable before a spare replaces
+	// it: three election timeouts, so that a short pause causes no membership change.
 	NodeReplaceAfter = 1500 * time.Millisecond
 )
 
-// Node holds the settings of a process that a platform starts: it is told its own
-// place and a few controllers, and learns everything else from these.
+// Node holds the settings of a process that a platform starts. They contain the
+// process's own name, location and addresses and the addresses of some controllers,
+// from which it receives everything else.
 type Node struct {
 	Name             string
 	FailureDomain    string
-	BindIP           string   // that is listened on and dialled from
-	ClientAddress    string   // for clients, "" where the process serves none
-	ReadinessAddress string   // asked by the balancer
-	ControlAddress   string   // for operators and backend servers
-	PeerAddress      string   // for own processes, as they are told
-	PeerListen       string   // listened on for own processes, "" for PeerAddress
-	Controllers      []string // peer addresses of some controllers, one's own among them
-	MayForm          bool     // the whole system starts for the first time, with empty disks
-	DataFolder       string   // "" where there is no disk
-	Losses           int      // VMs that may be lost at the same time, disks included
-	MemoryBytes      int64    // the process is ended above it
-	DutiesAddress    string   // of the platform's interface for usage, "" for none
+	BindIP           string   // IP number to listen on and to dial from
+	ClientAddress    string   // listens for clients; "" if the process serves none
+	ReadinessAddress string   // listens for the balancer's readiness checks
+	ControlAddress   string   // listens for operators and backend servers
+	PeerAddress      string   // announced to the other processes of the deployment
+	PeerListen       string   // listens for the other processes; "" for PeerAddress
+	Controllers      []string // peer addresses of some controllers; for a controller, including its own
+	MayForm          bool     // set if the deployment starts for the first time, with empty disks
+	DataFolder       string   // "" if the node has no disk
+	Losses           int      // number of VMs that may be lost at the same time, with their disks
+	MemoryBytes      int64    // the process is terminated above this limit
+	DutiesAddress    string   // of the platform's interface for usage reports; "" for none
 
-	BeatPeriod     time.Duration // of the heartbeats of backend servers
-	FreshnessBound time.Duration // a process that has heard nothing for longer refuses work, 0 for never
-	StopGrace      time.Duration // between the stop signal and the end by force
+	BeatPeriod     time.Duration // period of the heartbeats of backend servers
+	FreshnessBound time.Duration // maximum age of the replicated state at which requests are accepted; 0 for no limit
+	StopGrace      time.Duration // from the stop signal until the process is killed
 	UsageWindow    time.Duration // length of a usage window
-	TurnPause      time.Duration // in which a holder of a lease may not follow its own successor
+	TurnPause      time.Duration // how long a former lease holder must wait before it takes the lease over from its successor
 }
 
-// Voters returns how many VMs hold a replica, so that Losses of them may be lost.
+// Voters returns the number of voters that a replica group needs to survive the loss
+// of Losses VMs.
 func (no *Node) Voters() int { return 2*no.Losses + 1 }
 
 // Validate checks the settings of a node.
 func (no *Node) Validate() error {
 	switch {
 	case no.Name == "":
-		return result.New(result.InvalidSettings, "settings: the node has no name")
+		return result.New(result.InvalidSettings, "settings: the name of the node is not set")
 	case no.BindIP == "":
-		return result.New(result.InvalidSettings, "settings: node %s has no IP number", no.Name)
+		return result.New(result.InvalidSettings, "settings: node %s: the IP number to bind to is not set", no.Name)
 	case len(no.Controllers) == 0:
-		return result.New(result.InvalidSettings, "settings: node %s is told of no controller", no.Name)
+		return result.New(result.InvalidSettings, "settings: node %s: at least one controller address must be set", no.Name)
 	case no.Losses < 0:
-		return result.New(result.InvalidSettings, "settings: node %s: %d losses", no.Name, no.Losses)
+		return result.New(result.InvalidSettings, "settings: node %s: the number of losses is %d, must not be negative", no.Name, no.Losses)
 	}
 
 	return nil
 }
 
-// RequireDisk returns an error where the node has no data folder.
+// RequireDisk returns an error if the node has no data folder.
 func (no *Node) RequireDisk() error {
 	if no.DataFolder == "" {
-		return result.New(result.InvalidSettings, "settings: node %s has no data folder, its role needs one", no.Name)
+		return result.New(result.InvalidSettings, "settings: node %s: the data folder is not set, but its role needs one", no.Name)
 	}
 
 	return nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings files of the programs: JSON with comments,
-// checked, with the line and the key of a mistake named.
+// Package settings reads and validates the settings files of the programs, which are
+// JSON with comments. Errors name the line and the key.
 package settings
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// TLS names the files of a listener and of the sessions between own processes.
+// TLS names the files for TLS on listeners and between the deployment's processes.
 type TLS struct {
 	Certificate string `json:"certificate" help:"PEM file, read again when it changes"`
 	Key         string `json:"key" help:"PEM file of the private key"`
@@ -30,19 +30,20 @@
 // IsSet reports whether TLS is used.
 func (t TLS) IsSet() bool { return t.Certificate != "" }
 
-// Founder is a gateway that forms the cluster.
+// Founder is one of the gateways that form the cluster.
 type Founder struct {
 	Name    string `json:"name" help:"the founder's name"`
 	Address string `json:"address" help:"its peerAddress"`
 }
 
-// Operator may change the configuration.
+// Operator is a person or program that may change the configuration.
 type Operator struct {
 	Name      string `json:"name" help:"shown in the history"`
 	TokenHash string `json:"tokenHash" help:"SHA-256 of the operator's token in hex, as tamarackbay ctl hash prints it"`
 }
 
-// Outside names the platform's interfaces; an empty address switches the duty off.
+// Outside holds the addresses of the platform's interfaces. An empty address disables
+// the functions that use the interface.
 type Outside struct {
 	WeightStore string `json:"weightStore" help:"address of the weight store"`
 	Ordering    string `json:"ordering" help:"address of the interface that orders backend servers"`
@@ -50,7 +51,7 @@
 	Scorer      string `json:"scorer" help:"address of the service that scores samples"`
 }
 
-// Policy switches between the product's decisions and plain baselines.
+// Policy replaces the default policies by simple baselines, for comparison.
 type Policy struct {
 	Scheduler  string `json:"scheduler" help:"score, roundRobin or leastInFlight"`
 	NoFairness bool   `json:"noFairness" help:"first come, first served, whatever the workspace"`
@@ -59,7 +60,7 @@
 	NoBudget   bool   `json:"noRetryBudget" help:"every failed attempt is tried again"`
 }
 
-// Times are the periods and bounds of a gateway, in milliseconds.
+// Times holds the periods and limits of a gateway, in milliseconds.
 type Times struct {
 	ElectionMs     int `json:"electionMs" default:"500" help:"silence of a leader after which an election starts"`
 	HeartbeatMs    int `json:"heartbeatMs" default:"100" help:"period of a leader's heartbeats"`
@@ -109,10 +110,10 @@
 	LogLevel      string   `json:"logLevel" default:"info" help:"debug, info, warn or error"`
 }
 
-// Duration returns milliseconds as a duration.
+// Duration converts milliseconds to a duration.
 func Duration(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// Load reads the file at path into v, a pointer to Gateway or Agent, and checks it.
+// Load reads the file at path into v, a pointer to Gateway or Agent, and validates it.
 func Load(path string, v interface{ Validate() error }) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -122,7 +123,8 @@
 	return Parse(path, b, v)
 }
 
-// Parse reads the bytes of a settings file.
+// Parse reads the contents of a settings file into v and validates it. Errors contain
+// name as the file's name.
 func Parse(name string, b []byte, v interface{ Validate() error }) error {
 	std, err := hujson.Standardize(bytes.Clone(b))
 	if err != nil {
@@ -133,10 +135,10 @@
 	de := json.NewDecoder(bytes.NewReader(std))
 	de.DisallowUnknownFields()
 	if err := de.Decode(v); err != nil {
-		return result.New(result.InvalidSettings, "settings: %s:%d: %v", name, lineOf(std, de, err), err)
+		return result.New(result.InvalidSettings, "settings: %s:%d: %v", name, lineOfDecodeError(std, de, err), err)
 	}
 	if _, err := de.Token(); !errors.Is(err, io.EOF) {
-		return result.New(result.InvalidSettings, "settings: %s:%d: text after the end of the object", name, lineAt(std, de.InputOffset()))
+		return result.New(result.InvalidSettings, "settings: %s:%d: unexpected text after the end of the object", name, lineAt(std, de.InputOffset()))
 	}
 	if err := v.Validate(); err != nil {
 		return result.New(result.InvalidSettings, "settings: %s:%d: %s", name, lineOfKey(std, err), result.From(err).Message)
@@ -145,14 +147,15 @@
 	return nil
 }
 
+// lineAt returns the line number at an offset.
 func lineAt(b []byte, offset int64) int {
 	return 1 + bytes.Count(b[:min(int(offset), len(b))], []byte("\n"))
 }
 
 var unknownField = regexp.MustCompile(`unknown field "([^"]+)"`)
 
-// lineOf returns the line of a decoding error.
-func lineOf(b []byte, de *json.Decoder, err error) int {
+// lineOfDecodeError returns the line number of a decoding error.
+func lineOfDecodeError(b []byte, de *json.Decoder, err error) int {
 	var se *json.SyntaxError
 	var te *json.UnmarshalTypeError
 	switch {
@@ -168,18 +171,20 @@
 	return lineAt(b, de.InputOffset())
 }
 
-// keyError is a mistake in the value of one key.
+// keyError reports an invalid value of a key.
 type keyError struct {
-	key string
+	key string // with the keys of enclosing objects, separated by dots
 	msg string
 }
 
 func (ke *keyError) Error() string { return ke.key + ": " + ke.msg }
 
-func badKey(key, format string, args ...any) error {
+func invalidKey(key, format string, args ...any) error {
 	return &keyError{key: key, msg: fmt.Sprintf(format, args...)}
 }
 
+// lineOfKey returns the number of the first line that contains the key of a keyError,
+// or 1 if there is none.
 func lineOfKey(b []byte, err error) int {
 	var ke *keyError
 	if !errors.As(err, &ke) {
@@ -193,9 +198,9 @@
 	return 1
 }
 
-// Defaults fills the fields of a settings struct from their default tags.
+// Defaults sets the fields of a settings struct to the values of their default tags.
 func Defaults(v any) {
-	walk(reflect.ValueOf(v).Elem(), "", func(_ string, f reflect.Value, sf reflect.StructField) {
+	walkFields(reflect.ValueOf(v).Elem(), "", func(_ string, f reflect.Value, sf reflect.StructField) {
 		d := sf.Tag.Get("default")
 		if d == "" {
 			return
@@ -212,20 +217,21 @@
 	})
 }
 
-func walk(v reflect.Value, prefix string, visit func(path string, f reflect.Value, sf reflect.StructField)) {
+// walkFields calls visit for every field of a struct and of the structs in it.
+func walkFields(v reflect.Value, prefix string, visit func(path string, f reflect.Value, sf reflect.StructField)) {
 	for i := range v.NumField() {
 		sf := v.Type().Field(i)
 		path := prefix + sf.Tag.Get("json")
 		visit(path, v.Field(i), sf)
 		if sf.Type.Kind() == reflect.Struct {
-			walk(v.Field(i), path+".", visit)
+			walkFields(v.Field(i), path+".", visit)
 		}
 	}
 }
 
-// Explain writes every key of a settings struct with its type, default and meaning.
+// Explain writes every key of a settings struct with its type, meaning and default.
 func Explain(w io.Writer, v any) {
-	walk(reflect.ValueOf(v).Elem(), "", func(path string, _ reflect.Value, sf reflect.StructField) {
+	walkFields(reflect.ValueOf(v).Elem(), "", func(path string, _ reflect.Value, sf reflect.StructField) {
 		d := sf.Tag.Get("default")
 		if d != "" {
 			d = " (default " + d + ")"
@@ -234,10 +240,10 @@
 	})
 }
 
-// checkAddress accepts an IP number with a port and nothing else.
+// checkAddress returns an error unless a is an IP number with a port.
 func checkAddress(key, a string) error {
 	if _, err := netip.ParseAddrPort(a); err != nil {
-		return badKey(key, "%q is not an IP number with a port; host names are not used", a)
+		return invalidKey(key, "%q is not an IP number with a port; host names are not allowed", a)
 	}
 
 	return nil
@@ -246,7 +252,7 @@
 // Validate checks the settings of a gateway.
 func (ga *Gateway) Validate() error {
 	if ga.Name == "" {
-		return badKey("name", "must be set")
+		return invalidKey("name", "must be set")
 	}
 	seen := map[string]string{}
 	for _, a := range []struct{ key, address string }{
@@ -256,7 +262,7 @@
 			return err
 		}
 		if other, ok := seen[a.address]; ok {
-			return badKey(a.key, "%s is the %s too", a.address, other)
+			return invalidKey(a.key, "%s is also the %s", a.address, other)
 		}
 		seen[a.address] = a.key
 	}
@@ -280,7 +286,7 @@
 		}
 	}
 
-	return ga.validateRest()
+	return ga.validateOptions()
 }
 
 func (ga *Gateway) validateFounders() error {
@@ -290,44 +296,45 @@
 			return err
 		}
 		if names[fo.Name] || addresses[fo.Address] || fo.Name == "" {
-			return badKey("founders", "%q at %s stands twice or has no name", fo.Name, fo.Address)
+			return invalidKey("founders", "founder %q at %s is listed twice or has no name", fo.Name, fo.Address)
 		}
 		if fo.Name == ga.Name && fo.Address != ga.PeerAddress {
-			return badKey("founders", "%q is at %s here, but peerAddress is %s", fo.Name, fo.Address, ga.PeerAddress)
+			return invalidKey("founders", "founder %q is at %s, but the peerAddress of this gateway is %s", fo.Name, fo.Address, ga.PeerAddress)
 		}
 		if fo.Address == ga.PeerAddress && fo.Name != ga.Name {
-			return badKey("founders", "%s is the address of %q and of this gateway %q", fo.Address, fo.Name, ga.Name)
+			return invalidKey("founders", "%s is the address of founder %q and of this gateway, %q", fo.Address, fo.Name, ga.Name)
 		}
 		names[fo.Name], addresses[fo.Address] = true, true
 	}
 	if len(ga.Founders) == 0 && (ga.DataFolder != "" || len(ga.Upstreams) == 0) {
-		return badKey("founders", "must name at least one gateway")
+		return invalidKey("founders", "must name at least one gateway")
 	}
 
 	return nil
 }
 
-func (ga *Gateway) validateRest() error {
+// validateOptions validates times, policy, operators, TLS and the log level.
+func (ga *Gateway) validateOptions() error {
 	switch ti := ga.Times; {
 	case ti.ElectionMs < 3*ti.HeartbeatMs || ti.HeartbeatMs < 10:
-		return badKey("times.electionMs", "must be at least 3 times heartbeatMs, which must be at least 10")
+		return invalidKey("times.electionMs", "must be at least 3 times heartbeatMs, which must be at least 10")
 	case ti.FreshnessMs < 2*ti.ElectionMs:
-		return badKey("times.freshnessMs", "must be at least twice electionMs")
+		return invalidKey("times.freshnessMs", "must be at least twice electionMs")
 	case ti.LeaseMs < 2*ti.MaxCallMs || ti.MaxCallMs < 50:
-		return badKey("times.leaseMs", "must be at least twice maxCallMs, which must be at least 50")
+		return invalidKey("times.leaseMs", "must be at least twice maxCallMs, which must be at least 50")
 	}
 	switch ga.Policy.Scheduler {
 	case "", "score", "roundRobin", "leastInFlight":
 	default:
-		return badKey("policy.scheduler", "%q is not one of score, roundRobin, leastInFlight", ga.Policy.Scheduler)
+		return invalidKey("policy.scheduler", "%q is not one of score, roundRobin, leastInFlight", ga.Policy.Scheduler)
 	}
 	for _, op := range ga.Operators {
 		if op.Name == "" || len(op.TokenHash) != 64 {
-			return badKey("operators", "each needs a name and a tokenHash of 64 hex digits")
+			return invalidKey("operators", "each operator needs a name and a tokenHash of 64 hex digits")
 		}
 	}
 	if ga.TLS.IsSet() && (ga.TLS.Key == "" || ga.TLS.CA == "") {
-		return badKey("tls", "certificate, key and ca go together")
+		return invalidKey("tls", "certificate, key and ca must be set together")
 	}
 
 	return checkLevel(ga.LogLevel)
@@ -339,22 +346,22 @@
 		return nil
 	}
 
-	return badKey("logLevel", "%q is not one of debug, info, warn, error", l)
+	return invalidKey("logLevel", "%q is not one of debug, info, warn, error", l)
 }
 
 // Validate checks the settings of an agent.
 func (ag *Agent) Validate() error {
 	switch {
 	case ag.Server == "":
-		return badKey("server", "must be set")
+		return invalidKey("server", "must be set")
 	case (ag.Model == "") == (ag.Service == ""):
-		return badKey("model", "exactly one of model and service must be set")
+		return invalidKey("model", "exactly one of model and service must be set")
 	case ag.Slots < 1:
-		return badKey("slots", "must be at least 1")
+		return invalidKey("slots", "must be at least 1")
 	case len(ag.Gateways) == 0:
-		return badKey("gateways", "must name at least one gateway")
+		return invalidKey("gateways", "must name at least one gateway")
 	case ag.TLS.IsSet() && (ag.TLS.Key == "" || ag.TLS.CA == ""):
-		return badKey("tls", "certificate, key and ca go together")
+		return invalidKey("tls", "certificate, key and ca must be set together")
 	}
 	if err := checkAddress("address", ag.Address); err != nil {
 		return err
@@ -366,7 +373,7 @@
 	}
 	if ag.Bind != "" {
 		if _, err := netip.ParseAddr(ag.Bind); err != nil {
-			return badKey("bind", "%q is not an IP number", ag.Bind)
+			return invalidKey("bind", "%q is not an IP number", ag.Bind)
 		}
 	}
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,8 +11,8 @@
 	"github.com/tamarackbay/tamarackbay/internal/settings"
 )
 
-const good = `{
-  // A gateway of one.
+const validGateway = `{
+  // A cluster of one gateway.
   "name": "g1",
   "failureDomain": "a",
   "callerAddress": "127.0.0.1:8080",
@@ -22,10 +22,10 @@
   %s
 }`
 
-var _ = Describe("settings of a gateway", func() {
-	It("take their defaults", func() {
+var _ = Describe("the settings of a gateway", func() {
+	It("have the default values", func() {
 		var se settings.Gateway
-		Expect(settings.Parse("x", []byte(fmt.Sprintf(good, `"dataFolder": "/tmp/x",`)), &se)).To(Succeed())
+		Expect(settings.Parse("x", []byte(fmt.Sprintf(validGateway, `"dataFolder": "/tmp/x",`)), &se)).To(Succeed())
 		Expect(se.Times.FreshnessMs).To(Equal(5000))
 		Expect(se.LogLevel).To(Equal("info"))
 	})
@@ -34,26 +34,26 @@
 		{"an unknown key", `"colour": 1`, `x:9: json: unknown field "colour"`},
 		{"a wrong type", `"dataFolder": 7`, "x:9:"},
 		{"a host name", `"upstreams": ["gateway.example:1"]`, `x:9: upstreams: "gateway.example:1" is not an IP number`},
-		{"an address used twice", `"callerAddress": "127.0.0.1:8081"`, "operatorAddress: 127.0.0.1:8081 is the callerAddress too"},
-		{"a founder at another address", `"founders": [{"name": "g1", "address": "127.0.0.1:9"}]`, `"g1" is at 127.0.0.1:9 here`},
-		{"two founders at one address", `"founders": [{"name": "g1", "address": "127.0.0.1:8082"}, {"name": "g2", "address": "127.0.0.1:8082"}]`, `x:8: founders: "g2" at 127.0.0.1:8082 stands twice`},
-		{"times that contradict", `"times": {"electionMs": 100}`, "times.electionMs"},
-		{"a policy that does not exist", `"policy": {"scheduler": "best"}`, "policy.scheduler"},
-		{"half of TLS", `"tls": {"certificate": "x"}`, "go together"},
-		{"a log level that does not exist", `"logLevel": "loud"`, "x:9: logLevel"},
-		{"text behind the object", `"logLevel": "info"} {`, "x: hujson: line 9"},
-		{"no JSON", `"a": `, "x:"},
+		{"an address used twice", `"callerAddress": "127.0.0.1:8081"`, "operatorAddress: 127.0.0.1:8081 is also the callerAddress"},
+		{"a founder at another address", `"founders": [{"name": "g1", "address": "127.0.0.1:9"}]`, `founder "g1" is at 127.0.0.1:9, but`},
+		{"two founders at one address", `"founders": [{"name": "g1", "address": "127.0.0.1:8082"}, {"name": "g2", "address": "127.0.0.1:8082"}]`, `x:8: founders: founder "g2" at 127.0.0.1:8082 is listed twice`},
+		{"contradictory times", `"times": {"electionMs": 100}`, "times.electionMs"},
+		{"an unknown scheduler", `"policy": {"scheduler": "best"}`, "policy.scheduler"},
+		{"incomplete TLS settings", `"tls": {"certificate": "x"}`, "must be set together"},
+		{"an unknown log level", `"logLevel": "loud"`, "x:9: logLevel"},
+		{"text after the object", `"logLevel": "info"} {`, "x: hujson: line 9"},
+		{"invalid JSON", `"a": `, "x:"},
 	}
 	for _, tc := range cases {
-		It("are refused with the line and the key for "+tc.name, func() {
+		It("are refused with line and key because of "+tc.name, func() {
 			var se settings.Gateway
-			err := settings.Parse("x", []byte(fmt.Sprintf(good, tc.line)), &se)
+			err := settings.Parse("x", []byte(fmt.Sprintf(validGateway, tc.line)), &se)
 			Expect(result.Is(err, result.InvalidSettings)).To(BeTrue(), "%v", err)
 			Expect(err.Error()).To(ContainSubstring(tc.want))
 		})
 	}
 
-	It("explain every key", func() {
+	It("can be listed with every key and default", func() {
 		var b bytes.Buffer
 		settings.Explain(&b, &settings.Gateway{})
 		Expect(b.String()).To(ContainSubstring("times.freshnessMs"))
@@ -61,16 +61,16 @@
 	})
 })
 
-var _ = Describe("settings of an agent", func() {
+var _ = Describe("the settings of an agent", func() {
 	cases := []struct{ name, text, want string }{
-		{"no server", `{"gateways":["127.0.0.1:1"]}`, "server: must be set"},
-		{"a model and a service", `{"server":"s","model":"m","service":"s","gateways":["127.0.0.1:1"],"address":"127.0.0.1:2"}`, "exactly one"},
-		{"no gateway", `{"server":"s","model":"m","address":"127.0.0.1:2"}`, "gateways"},
+		{"a missing server", `{"gateways":["127.0.0.1:1"]}`, "server: must be set"},
+		{"both a model and a service", `{"server":"s","model":"m","service":"s","gateways":["127.0.0.1:1"],"address":"127.0.0.1:2"}`, "exactly one"},
+		{"missing gateways", `{"server":"s","model":"m","address":"127.0.0.1:2"}`, "gateways"},
 		{"a host name", `{"server":"s","model":"m","address":"localhost:2","gateways":["127.0.0.1:1"]}`, "address"},
 		{"a bind address with a port", `{"server":"s","model":"m","address":"127.0.0.1:2","gateways":["127.0.0.1:1"],"bind":"127.0.0.1:3"}`, "bind"},
 	}
 	for _, tc := range cases {
-		It("are refused for "+tc.name, func() {
+		It("are refused because of "+tc.name, func() {
 			var se settings.Agent
 			Expect(settings.Parse("x", []byte(tc.text), &se)).To(MatchError(ContainSubstring(tc.want)))
 		})
