--- a/internal/declaration/declaration_test.go
+++ b/internal/declaration/declaration_test.go
@@ -30,31 +30,31 @@
 }
 
 var _ = Describe("a patch", func() {
-	refused := []struct {
+	refusedPatches := []struct {
 		name string
 		ops  []declaration.Op
 		code result.Code
 		text string
 	}{
-		{"of an unknown kind", []declaration.Op{op("colours/red", `{}`)}, result.InvalidDeclaration, "colours/red"},
-		{"with a bad name", []declaration.Op{op("routes/a b", `{}`)}, result.InvalidDeclaration, "a b"},
-		{"with an unknown field", []declaration.Op{op("workspaces/w", `{"wieght":1}`)}, result.InvalidDeclaration, "wieght"},
-		{"with a weight out of range", []declaration.Op{op("workspaces/w", `{"weight":-1}`)}, result.InvalidDeclaration, "weight"},
-		{"of a route without a model", []declaration.Op{op("routes/r", `{}`)}, result.InvalidDeclaration, "exactly one of model and service"},
-		{"of a route to an unknown model", []declaration.Op{op("routes/x", `{"model":"nope"}`)}, result.InvalidDeclaration, `model "nope" does not exist`},
-		{"of a version with a used sequence", []declaration.Op{op("versions/m@v2", `{"model":"m","name":"v2","sequence":1}`)}, result.InvalidDeclaration, "belongs to m@v1"},
-		{"of a version under another name", []declaration.Op{op("versions/m@x", `{"model":"m","name":"v2","sequence":2}`)}, result.InvalidDeclaration, "versions/m@v2"},
-		{"that deletes what others need", []declaration.Op{{Path: "models/m"}}, result.InvalidDeclaration, "does not exist"},
-		{"that deletes nothing", []declaration.Op{{Path: "models/none"}}, result.UnknownObject, "models/none"},
-		{"of a trainer over the model's bound", []declaration.Op{op("trainers/t", `{"workspace":"w","model":"m","stalenessBound":3}`)}, result.InvalidDeclaration, "over the model's 2"},
-		{"of a fleet without failure domains", []declaration.Op{op("fleet/c", `{"maxPerDomain":1}`)}, result.InvalidDeclaration, "failureDomains"},
-		{"of a key without a hash", []declaration.Op{op("keys/k", `{"workspace":"w","hash":"x"}`)}, result.InvalidDeclaration, "SHA-256"},
-		{"of a class of an unknown model", []declaration.Op{op("classes/d", `{"model":"none"}`)}, result.InvalidDeclaration, "none"},
-		{"whose second part is bad", []declaration.Op{op("workspaces/new", `{}`), op("workspaces/bad", `{"weight":0.00001}`)}, result.InvalidDeclaration, "bad"},
-		{"without an operation", nil, result.InvalidDeclaration, "ops"},
+		{"a patch of an unknown kind", []declaration.Op{op("colours/red", `{}`)}, result.InvalidDeclaration, "colours/red"},
+		{"a patch with an invalid name", []declaration.Op{op("routes/a b", `{}`)}, result.InvalidDeclaration, "a b"},
+		{"a patch with an unknown field", []declaration.Op{op("workspaces/w", `{"wieght":1}`)}, result.InvalidDeclaration, "wieght"},
+		{"a patch with a weight out of range", []declaration.Op{op("workspaces/w", `{"weight":-1}`)}, result.InvalidDeclaration, "weight"},
+		{"a patch of a route without a model", []declaration.Op{op("routes/r", `{}`)}, result.InvalidDeclaration, "exactly one of model and service"},
+		{"a patch of a route to an unknown model", []declaration.Op{op("routes/x", `{"model":"nope"}`)}, result.InvalidDeclaration, `model "nope" does not exist`},
+		{"a patch of a version whose sequence number is in use", []declaration.Op{op("versions/m@v2", `{"model":"m","name":"v2","sequence":1}`)}, result.InvalidDeclaration, "belongs to m@v1"},
+		{"a patch of a version under another name", []declaration.Op{op("versions/m@x", `{"model":"m","name":"v2","sequence":2}`)}, result.InvalidDeclaration, "versions/m@v2"},
+		{"a patch that deletes an object to which others refer", []declaration.Op{{Path: "models/m"}}, result.InvalidDeclaration, "does not exist"},
+		{"a patch that deletes an unknown object", []declaration.Op{{Path: "models/none"}}, result.UnknownObject, "models/none"},
+		{"a patch of a trainer whose staleness bound exceeds the model's", []declaration.Op{op("trainers/t", `{"workspace":"w","model":"m","stalenessBound":3}`)}, result.InvalidDeclaration, "over the model's 2"},
+		{"a patch of a fleet without failure domains", []declaration.Op{op("fleet/c", `{"maxPerDomain":1}`)}, result.InvalidDeclaration, "failureDomains"},
+		{"a patch of a key without a hash", []declaration.Op{op("keys/k", `{"workspace":"w","hash":"x"}`)}, result.InvalidDeclaration, "SHA-256"},
+		{"a patch of a class of an unknown model", []declaration.Op{op("classes/d", `{"model":"none"}`)}, result.InvalidDeclaration, "none"},
+		{"a patch whose second operation is invalid", []declaration.Op{op("workspaces/new", `{}`), op("workspaces/bad", `{"weight":0.00001}`)}, result.InvalidDeclaration, "bad"},
+		{"a patch without operations", nil, result.InvalidDeclaration, "ops"},
 	}
-	for _, tc := range refused {
-		It("is refused as a whole "+tc.name, func() {
+	for _, tc := range refusedPatches {
+		It("is refused without any change if it is "+tc.name, func() {
 			bo := newBook()
 			before, err := json.Marshal(bo.Set())
 			Expect(err).NotTo(HaveOccurred())
@@ -66,7 +66,7 @@
 		})
 	}
 
-	It("names the current version and the conflicting path", func() {
+	It("is refused with the current version and the conflicting path if its base version is old", func() {
 		bo := newBook()
 		Expect(bo.Apply(declaration.Patch{ID: "a", Base: 1, Ops: []declaration.Op{op("workspaces/w", `{"weight":2}`)}}, 2).Err()).NotTo(HaveOccurred())
 		an := bo.Apply(declaration.Patch{ID: "b", Base: 1, Ops: []declaration.Op{op("workspaces/w", `{"weight":3}`)}}, 3)
@@ -75,7 +75,7 @@
 		Expect(bo.Apply(declaration.Patch{ID: "b", Base: 2, Ops: base}, 4)).To(Equal(an), "the same ID gets the same answer")
 	})
 
-	It("leaves a book that a snapshot keeps", func() {
+	It("is preserved, with its answer, by a snapshot of the book", func() {
 		bo := newBook()
 		bo.Apply(declaration.Patch{ID: "a", Base: 1, Ops: []declaration.Op{op("workspaces/x", `{"weight":2}`)}}, 2)
 		im, err := bo.Image()
@@ -92,7 +92,7 @@
 
 var _ = Describe("a folder of declarations", func() {
 	for _, name := range []string{"consortium", "cedarwick"} {
-		It("holds the valid example of "+name, func() {
+		It("contains a valid configuration in the example "+name, func() {
 			set, err := declaration.ReadFolder(examples.Files, name)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(set.Validate()).To(Succeed())
@@ -103,19 +103,19 @@
 		})
 	}
 
-	bad := []struct{ name, text, want string }{
-		{"that is no JSON", `{"routes": `, "x.jsonc"},
+	invalidFiles := []struct{ name, text, want string }{
+		{"that is not JSON", `{"routes": `, "x.jsonc"},
 		{"with keys", `{"keys": {"k": {"workspace": "w"}}}`, "keys are issued"},
 		{"with an unknown kind", `{"colours": {"k": {}}}`, "colours"},
 	}
-	for _, tc := range bad {
-		It("is refused "+tc.name, func() {
+	for _, tc := range invalidFiles {
+		It("is refused if it has a file "+tc.name, func() {
 			_, err := declaration.ReadFolder(fstest.MapFS{"x.jsonc": {Data: []byte(tc.text)}}, ".")
 			Expect(err).To(MatchError(ContainSubstring(tc.want)))
 		})
 	}
 
-	It("is refused when a name stands in two files", func() {
+	It("is refused if two files declare the same object", func() {
 		_, err := declaration.ReadFolder(fstest.MapFS{
 			"a.json": {Data: []byte(`{"workspaces":{"w":{}}}`)}, "b.json": {Data: []byte(`{"workspaces":{"w":{}}}`)},
 		}, ".")
@@ -124,7 +124,7 @@
 })
 
 var _ = Describe("a key", func() {
-	It("matches its own secret alone", func() {
+	It("matches only its own secret", func() {
 		id, secret, token, err := declaration.NewKey()
 		Expect(err).NotTo(HaveOccurred())
 		gotID, gotSecret, ok := declaration.ParseToken(token)
--- a/internal/declaration/files.go
+++ b/internal/declaration/files.go
@@ -12,8 +12,9 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// ReadFolder reads the declarations of a folder: every file that ends in .json or
-// .jsonc, JSON with comments, each an object of kinds. A name may stand in one file alone.
+// ReadFolder reads the declarations in all files of a folder whose names end in .json
+// or .jsonc. Each file is JSON with comments: an object that maps kinds to objects by
+// name. An object must not be declared in more than one file.
 func ReadFolder(fsys fs.FS, dir string) (*Set, error) {
 	des, err := fs.ReadDir(fsys, dir)
 	if err != nil {
@@ -34,19 +35,20 @@
 		}
 		for _, op := range list {
 			if other, ok := from[op.Path]; ok {
-				return nil, result.New(result.InvalidDeclaration, "declarations: %s stands in %s and in %s", op.Path, other, de.Name())
+				return nil, result.New(result.InvalidDeclaration, "declarations: %s is declared in %s and in %s", op.Path, other, de.Name())
 			}
 			from[op.Path] = de.Name()
 		}
 		ops = append(ops, list...)
 	}
 	if len(ops) == 0 {
-		return nil, result.New(result.InvalidDeclaration, "declarations: %s holds none", dir)
+		return nil, result.New(result.InvalidDeclaration, "declarations: folder %s contains no declarations", dir)
 	}
 
 	return se, se.Apply(ops)
 }
 
+// readFile returns the operations that create the objects of a file, ordered by path.
 func readFile(fsys fs.FS, name string) ([]Op, error) {
 	b, err := fs.ReadFile(fsys, name)
 	if err != nil {
@@ -64,7 +66,7 @@
 	var ops []Op
 	for k, objects := range parts {
 		if k == KindKey {
-			return nil, result.New(result.InvalidDeclaration, "declarations: %s: keys are issued, they do not stand in files", name)
+			return nil, result.New(result.InvalidDeclaration, "declarations: %s: keys are issued and can't be declared in files", name)
 		}
 		for n, raw := range objects {
 			var buf bytes.Buffer
--- a/internal/declaration/fleet.go
+++ b/internal/declaration/fleet.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// Class describes backend servers that can be ordered: what they serve and what they cost.
+// Class describes a type of backend server that can be ordered from the platform: what
+// it serves and what it costs.
 type Class struct {
 	Model         string  `json:"model,omitempty"`
 	Service       string  `json:"service,omitempty"`
 	PricePerHour  float64 `json:"pricePerHour"`
 	StartupMs     int     `json:"startupMs"`
-	Slots         int     `json:"slots"`           // requests that run at once
-	TokensPerSec  float64 `json:"tokensPerSecond"` // of one backend server, all slots busy
+	Slots         int     `json:"slots"`           // maximum number of concurrent requests
+	TokensPerSec  float64 `json:"tokensPerSecond"` // of one backend server with all slots busy
 	ChecksFencing bool    `json:"checksFencing"`
 }
 
-// Defaults fills the fields left zero.
+// Defaults sets fields that are zero to their defaults.
 func (cl *Class) Defaults() {
 	if cl.Slots == 0 {
 		cl.Slots = 8
@@ -39,7 +40,7 @@
 	return nil
 }
 
-// Serves returns what the class serves, a model or a service.
+// Serves returns the name of the model or service that the class serves.
 func (cl Class) Serves() string {
 	if cl.Model != "" {
 		return cl.Model
@@ -48,17 +49,18 @@
 	return cl.Service
 }
 
-// Fleet bounds the number of backend servers of a class in each failure domain. Its name is the class's.
+// Fleet limits the number of backend servers of a class in each failure domain. It has
+// the same name as the class.
 type Fleet struct {
 	MinPerDomain   int      `json:"minPerDomain"`
 	MaxPerDomain   int      `json:"maxPerDomain"`
 	FailureDomains []string `json:"failureDomains"`
-	SpareDomains   int      `json:"spareDomains"` // failure domains that may be lost without loss of service
-	IdleMs         int      `json:"idleMs"`       // how long a backend server is not needed before it is given up
-	TargetLoad     float64  `json:"targetLoad"`   // share of the slots that should be busy
+	SpareDomains   int      `json:"spareDomains"` // number of failure domains that may be lost without loss of service
+	IdleMs         int      `json:"idleMs"`       // how long a backend server stays unneeded before it is stopped
+	TargetLoad     float64  `json:"targetLoad"`   // target share of busy slots, over 0 and up to 1
 }
 
-// Defaults fills the fields left zero.
+// Defaults sets fields that are zero to their defaults.
 func (fl *Fleet) Defaults() {
 	if fl.IdleMs == 0 {
 		fl.IdleMs = 60_000
@@ -71,7 +73,7 @@
 	}
 }
 
-// Validate checks the bounds of the class called name.
+// Validate checks the fleet of the class called name.
 func (fl Fleet) Validate(name string, se *Set) error {
 	path := KindFleet + "/" + name
 	if _, ok := se.Classes[name]; !ok {
@@ -91,5 +93,5 @@
 	return nil
 }
 
-// Idle returns how long a backend server is not needed before it is given up.
+// Idle returns how long a backend server stays unneeded before it is stopped.
 func (fl Fleet) Idle() time.Duration { return time.Duration(fl.IdleMs) * time.Millisecond }
--- a/internal/declaration/key.go
+++ b/internal/declaration/key.go
@@ -8,11 +8,12 @@
 	"strings"
 )
 
-// Key lets its holder act for a workspace. Only the hash of its secret is kept.
+// Key authorizes its holder to act for a workspace. Only the hash of its secret is
+// stored.
 type Key struct {
 	Workspace string `json:"workspace"`
-	Hash      string `json:"hash"`                // SHA-256 of the secret, hex
-	ExpiresMs int64  `json:"expiresMs,omitempty"` // Unix time, 0 for never
+	Hash      string `json:"hash"`                // SHA-256 of the secret in hex
+	ExpiresMs int64  `json:"expiresMs,omitempty"` // Unix time in milliseconds; 0 for never
 	Withdrawn bool   `json:"withdrawn,omitempty"`
 	Note      string `json:"note,omitempty"`
 }
@@ -23,10 +24,10 @@
 	secretBytes = 24
 )
 
-// Defaults does nothing: a key has no optional field with a default.
+// Defaults does nothing, as no field of a key has a default.
 func (ke *Key) Defaults() {}
 
-// Validate checks the key with the ID name.
+// Validate checks the key whose ID is name.
 func (ke Key) Validate(name string, se *Set) error {
 	path := KindKey + "/" + name
 	if _, ok := se.Workspaces[ke.Workspace]; !ok {
@@ -39,19 +40,20 @@
 	return nil
 }
 
-// Matches compares a secret with the key in constant time.
+// Matches reports whether secret is the key's secret. It compares in constant time.
 func (ke Key) Matches(secret string) bool {
 	return subtle.ConstantTimeCompare([]byte(HashSecret(secret)), []byte(ke.Hash)) == 1
 }
 
-// HashSecret returns the hash that is kept of a secret.
+// HashSecret returns the hash of a secret as stored in Key.Hash.
 func HashSecret(secret string) string {
 	s := sha256.Sum256([]byte(secret))
 
 	return hex.EncodeToString(s[:])
 }
 
-// NewKey draws a key and returns its ID, its secret and the token that callers show.
+// NewKey generates a random key and returns its ID, its secret and the token that
+// callers send.
 func NewKey() (id, secret, token string, err error) {
 	b := make([]byte, keyIDBytes+secretBytes)
 	if _, err := rand.Read(b); err != nil {
@@ -62,7 +64,7 @@
 	return id, secret, keyPrefix + "_" + id + "_" + secret, nil
 }
 
-// ParseToken splits a token into the ID and the secret of a key.
+// ParseToken returns the ID and the secret of the key in a token.
 func ParseToken(token string) (id, secret string, ok bool) {
 	parts := strings.Split(token, "_")
 	if len(parts) != 3 || parts[0] != keyPrefix || parts[1] == "" || parts[2] == "" {
--- a/internal/declaration/model.go
+++ b/internal/declaration/model.go
@@ -2,18 +2,18 @@
 
 // Model is a model that engines serve.
 type Model struct {
-	StalenessBound uint64 `json:"stalenessBound"` // versions that a sample may lag behind the latest
-	SwapWave       int    `json:"swapWave"`       // engines that load new weights at once
+	StalenessBound uint64 `json:"stalenessBound"` // maximum number of versions that a sample may lag behind the latest
+	SwapWave       int    `json:"swapWave"`       // number of engines that load new weights at the same time
 	SwapMode       string `json:"swapMode"`       // continue or drain
 }
 
 // Swap modes of a model.
 const (
-	SwapContinue = "continue" // running requests go on under the new weights
-	SwapDrain    = "drain"    // running requests finish first
+	SwapContinue = "continue" // running requests continue with the new weights
+	SwapDrain    = "drain"    // running requests finish before the swap
 )
 
-// Defaults fills the fields left zero.
+// Defaults sets fields that are zero to their defaults.
 func (mo *Model) Defaults() {
 	if mo.SwapWave == 0 {
 		mo.SwapWave = 3
@@ -40,14 +40,14 @@
 type Version struct {
 	Model    string `json:"model"`
 	Name     string `json:"name"`
-	Sequence uint64 `json:"sequence"` // rises by one with each version of the model
-	Source   string `json:"source"`   // where the weight store keeps it
+	Sequence uint64 `json:"sequence"` // increases by one with each version of the model
+	Source   string `json:"source"`   // location in the weight store
 }
 
-// VersionPath returns the name under which a version is declared.
+// VersionPath returns the name under which a version is declared, such as "m@v1".
 func VersionPath(model, name string) string { return model + "@" + name }
 
-// Defaults does nothing: a version has no optional field with a default.
+// Defaults does nothing, as no field of a version has a default.
 func (ve *Version) Defaults() {}
 
 // Validate checks the version declared under name.
--- a/internal/declaration/patch.go
+++ b/internal/declaration/patch.go
@@ -7,11 +7,12 @@
 )
 
 const (
-	maxHistory = 20_000 // patches whose answers are remembered
-	maxDeltas  = 4_096  // changes that subscribers can catch up with one by one
+	maxHistory = 20_000 // patches whose changes and answers are retained
+	maxDeltas  = 4_096  // latest changes whose operations are retained, for subscribers that catch up
 )
 
-// Patch changes the configuration. It is accepted against the version it names or refused.
+// Patch is a change of the configuration. It is refused unless the version that it is
+// based on is the current one.
 type Patch struct {
 	ID     string `json:"id" cbor:"1,keyasint"`
 	Base   uint64 `json:"base" cbor:"2,keyasint"`
@@ -19,7 +20,7 @@
 	Ops    []Op   `json:"ops" cbor:"4,keyasint"`
 }
 
-// Change is one accepted patch.
+// Change is an accepted patch.
 type Change struct {
 	Version uint64 `json:"version" cbor:"1,keyasint"`
 	PatchID string `json:"patchId" cbor:"2,keyasint"`
@@ -28,7 +29,8 @@
 	Ops     []Op   `json:"ops" cbor:"5,keyasint"`
 }
 
-// Answer is what a patch was answered.
+// Answer is the answer to a patch. It is part of the replicated state, including its
+// message.
 type Answer struct {
 	Version uint64      `json:"version" cbor:"1,keyasint"`
 	Code    result.Code `json:"code,omitempty" cbor:"2,keyasint,omitempty"`
@@ -44,13 +46,13 @@
 	return result.New(an.Code, "%s", an.Message)
 }
 
-// Book is the replicated configuration with its history.
+// Book holds the replicated configuration, its history and the answers to patches.
 type Book struct {
-	version uint64
-	set     *Set
-	history []Change          // oldest first; the last maxDeltas with their ops
-	answers map[string]Answer // by patch ID
-	order   []string          // patch IDs, oldest first
+	version     uint64
+	set         *Set
+	history     []Change          // oldest first; only the last maxDeltas have their operations
+	answers     map[string]Answer // by patch ID
+	answerOrder []string          // patch IDs in answers, oldest first
 }
 
 // NewBook returns an empty configuration at version 0.
@@ -58,33 +60,35 @@
 	return &Book{set: NewSet(), answers: map[string]Answer{}}
 }
 
-// Version returns the number of the current version.
+// Version returns the current version number.
 func (bo *Book) Version() uint64 { return bo.version }
 
-// Set returns the current configuration; it must not be changed.
+// Set returns the current configuration, which callers must not change.
 func (bo *Book) Set() *Set { return bo.set }
 
-// Apply takes a patch. The same patch ID always gets the first answer.
+// Apply applies a patch or refuses it. A patch whose ID was already answered gets the
+// same answer again.
 func (bo *Book) Apply(pa Patch, atMs int64) Answer {
 	if an, ok := bo.answers[pa.ID]; ok {
 		return an
 	}
 
-	an := bo.judge(pa, atMs)
+	an := bo.applyNew(pa, atMs)
 	if pa.ID != "" {
-		bo.remember(pa.ID, an)
+		bo.recordAnswer(pa.ID, an)
 	}
 
 	return an
 }
 
-func (bo *Book) judge(pa Patch, atMs int64) Answer {
+// applyNew applies a patch whose ID is new, or refuses it.
+func (bo *Book) applyNew(pa Patch, atMs int64) Answer {
 	if pa.ID == "" || len(pa.Ops) == 0 {
 		return Answer{Version: bo.version, Code: result.InvalidDeclaration, Message: "patch: id and ops must be set"}
 	}
 	if pa.Base != bo.version {
 		er := result.New(result.PatchVersionOld, "patch %s: made against version %d, the current one is %d%s",
-			pa.ID, pa.Base, bo.version, bo.conflict(pa))
+			pa.ID, pa.Base, bo.version, bo.describeConflict(pa))
 
 		return Answer{Version: bo.version, Code: er.Code, Message: er.Message}
 	}
@@ -106,8 +110,9 @@
 	return Answer{Version: bo.version}
 }
 
-// conflict names the first path of pa that changed since its base.
-func (bo *Book) conflict(pa Patch) string {
+// describeConflict names the first path of a patch that has changed since its base
+// version.
+func (bo *Book) describeConflict(pa Patch) string {
 	changed := map[string]uint64{}
 	for _, ch := range bo.history {
 		if ch.Version > pa.Base {
@@ -118,25 +123,27 @@
 	}
 	for _, op := range pa.Ops {
 		if v, ok := changed[op.Path]; ok {
-			return "; " + op.Path + " changed in version " + jsonNumber(v)
+			return "; " + op.Path + " changed in version " + formatNumber(v)
 		}
 	}
 
 	return "; none of its paths changed since"
 }
 
-func jsonNumber(v uint64) string {
+// formatNumber formats a number in decimal.
+func formatNumber(v uint64) string {
 	b, _ := json.Marshal(v)
 
 	return string(b)
 }
 
-func (bo *Book) remember(id string, an Answer) {
+// recordAnswer records the answer to a patch and removes the oldest one above maxHistory.
+func (bo *Book) recordAnswer(id string, an Answer) {
 	bo.answers[id] = an
-	bo.order = append(bo.order, id)
-	if len(bo.order) > maxHistory {
-		delete(bo.answers, bo.order[0])
-		bo.order = bo.order[1:]
+	bo.answerOrder = append(bo.answerOrder, id)
+	if len(bo.answerOrder) > maxHistory {
+		delete(bo.answers, bo.answerOrder[0])
+		bo.answerOrder = bo.answerOrder[1:]
 	}
 }
 
@@ -150,7 +157,8 @@
 	return out
 }
 
-// Since returns the changes after version, and false if they are not all held any more.
+// Since returns the changes after version. It returns false if some of them are no
+// longer retained.
 func (bo *Book) Since(version uint64) ([]Change, bool) {
 	if version > bo.version {
 		return nil, false
@@ -164,7 +172,7 @@
 	return bo.history[len(bo.history)-missing:], true
 }
 
-// Image is a Book in a snapshot.
+// Image is the snapshot of a Book.
 type Image struct {
 	Version uint64            `cbor:"1,keyasint"`
 	Ops     []Op              `cbor:"2,keyasint"`
@@ -173,16 +181,16 @@
 	Order   []string          `cbor:"5,keyasint"`
 }
 
-// Image returns the book's content for a snapshot.
+// Image returns a snapshot of the book.
 func (bo *Book) Image() (Image, error) {
 	ops, err := bo.set.Ops()
 
-	return Image{Version: bo.version, Ops: ops, History: bo.history, Answers: bo.answers, Order: bo.order}, err
+	return Image{Version: bo.version, Ops: ops, History: bo.history, Answers: bo.answers, Order: bo.answerOrder}, err
 }
 
-// NewBookFrom returns the book of an image.
+// NewBookFrom restores a book from a snapshot.
 func NewBookFrom(im Image) (*Book, error) {
-	bo := &Book{version: im.Version, set: NewSet(), history: im.History, answers: im.Answers, order: im.Order}
+	bo := &Book{version: im.Version, set: NewSet(), history: im.History, answers: im.Answers, answerOrder: im.Order}
 	if bo.answers == nil {
 		bo.answers = map[string]Answer{}
 	}
--- a/internal/declaration/route.go
+++ b/internal/declaration/route.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Classes of routes, the first served before the last.
+// Classes of routes, in order of priority.
 const (
 	ClassLookup  = "lookup"
 	ClassPreview = "preview"
@@ -12,28 +12,28 @@
 
 var classRanks = map[string]int{ClassLookup: 0, ClassPreview: 1, ClassRollout: 2, ClassBatch: 3}
 
-// ClassCount is the number of classes.
+// ClassCount is the number of classes of routes.
 const ClassCount = 4
 
-// ClassRank returns the position of a class, 0 for the one served first.
+// ClassRank returns the rank of a class. Rank 0 has the highest priority.
 func ClassRank(class string) int { return classRanks[class] }
 
-// Route connects a path of callers with a model or a plain service.
+// Route maps a path that callers use to a model or a plain service.
 type Route struct {
 	Model          string   `json:"model,omitempty"`
 	Service        string   `json:"service,omitempty"`
-	Open           bool     `json:"open,omitempty"` // served without a key, under the workspace named here
+	Open           bool     `json:"open,omitempty"` // served without a key, as requests of OpenWorkspace
 	OpenWorkspace  string   `json:"openWorkspace,omitempty"`
 	Class          string   `json:"class"`
 	Repeatable     bool     `json:"repeatable"`
 	TimeoutMs      int      `json:"timeoutMs"`
-	Retries        int      `json:"retries"`              // further attempts for one request
-	Workspaces     []string `json:"workspaces,omitempty"` // who may use it, none for all
+	Retries        int      `json:"retries"`              // maximum number of further attempts of a request
+	Workspaces     []string `json:"workspaces,omitempty"` // workspaces that may use the route; empty for all
 	MaxBodyBytes   int      `json:"maxBodyBytes"`
-	SpareForDomain bool     `json:"spareForDomain,omitempty"` // keep capacity for the loss of a failure domain
+	SpareForDomain bool     `json:"spareForDomain,omitempty"` // reserve capacity for the loss of a failure domain
 }
 
-// Defaults fills the fields left zero.
+// Defaults sets fields that are zero to their defaults.
 func (ro *Route) Defaults() {
 	if ro.Class == "" {
 		ro.Class = ClassPreview
@@ -81,5 +81,5 @@
 	return nil
 }
 
-// Timeout returns the longest time a request of the route may take.
+// Timeout returns the maximum duration of a request to the route.
 func (ro Route) Timeout() time.Duration { return time.Duration(ro.TimeoutMs) * time.Millisecond }
--- a/internal/declaration/set.go
+++ b/internal/declaration/set.go
@@ -1,6 +1,6 @@
-// Package declaration holds what operators declare: workspaces, keys, routes,
-// models, versions, classes of backend servers, fleet bounds, trainers and usage
-// windows, each in a file of its own, and the numbered patches that change them.
+// Package declaration defines the configuration that operators declare: workspaces,
+// keys, routes, models, versions, classes and fleets of backend servers, trainers and
+// usage windows, and the patches that change it from one numbered version to the next.
 package declaration
 
 import (
@@ -15,7 +15,8 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// Kinds of objects, which are the first part of a path such as "routes/preview".
+// Kinds of objects. The path of an object is its kind and its name, such as
+// "routes/preview".
 const (
 	KindWorkspace = "workspaces"
 	KindKey       = "keys"
@@ -28,7 +29,7 @@
 	KindWindow    = "windows"
 )
 
-// Set is a whole configuration. Its maps are keyed by the object's name.
+// Set is a complete configuration. Its maps are keyed by the objects' names.
 type Set struct {
 	Workspaces map[string]Workspace `json:"workspaces,omitempty"`
 	Keys       map[string]Key       `json:"keys,omitempty"`
@@ -50,19 +51,20 @@
 	}
 }
 
-// Op sets the object at Path to Value, or deletes it where Value is empty.
+// Op is an operation that sets the object at Path to Value, or deletes it if Value is
+// empty.
 type Op struct {
 	Path  string          `json:"path" cbor:"1,keyasint"`
 	Value json.RawMessage `json:"value,omitempty" cbor:"2,keyasint,omitempty"`
 }
 
-// object is what each kind of declaration can do.
+// object is implemented by pointers to the types of all kinds.
 type object interface {
 	Defaults()
 	Validate(name string, se *Set) error
 }
 
-// kind connects a map of the Set with the general code below.
+// kind gives access to the objects of one kind in a Set, independent of their type.
 type kind struct {
 	get    func(se *Set, name string) (any, bool)
 	set    func(se *Set, name string, raw []byte) (object, error)
@@ -70,6 +72,7 @@
 	names  func(se *Set) []string
 }
 
+// newKind returns the kind whose objects are in the map that field returns.
 func newKind[T any, P interface {
 	*T
 	object
@@ -117,11 +120,12 @@
 	KindWindow:    newKind(func(se *Set) map[string]Window { return se.Windows }),
 }
 
-// kindOrder lists kinds so that an object follows what it refers to.
+// kindOrder lists the kinds so that each kind follows those that its objects refer to.
 var kindOrder = []string{
 	KindWorkspace, KindModel, KindVersion, KindClass, KindFleet, KindRoute, KindTrainer, KindWindow, KindKey,
 }
 
+// decodeStrict decodes JSON and refuses unknown fields.
 func decodeStrict(raw []byte, v any) error {
 	de := json.NewDecoder(bytes.NewReader(raw))
 	de.DisallowUnknownFields()
@@ -164,7 +168,7 @@
 	return v, nil
 }
 
-// apply carries out op without validation and returns the op that undoes it.
+// apply applies op without validating the object, and returns the op that undoes it.
 func (se *Set) apply(op Op) (Op, error) {
 	ki, name, err := splitPath(op.Path)
 	if err != nil {
@@ -191,7 +195,8 @@
 	return undo, nil
 }
 
-// Apply carries out all ops or, when one of them or what results is not valid, none.
+// Apply applies all ops, or none if one of them or the resulting configuration is
+// invalid.
 func (se *Set) Apply(ops []Op) error {
 	undo := make([]Op, 0, len(ops))
 	err := func() error {
@@ -218,7 +223,8 @@
 	return err
 }
 
-// validateChanged checks the changed objects, and all objects when something was deleted.
+// validateChanged validates the changed objects, or all objects if one was deleted,
+// because others may refer to it.
 func (se *Set) validateChanged(ops []Op) error {
 	for _, op := range ops {
 		if len(op.Value) == 0 {
@@ -226,7 +232,7 @@
 		}
 	}
 	for _, op := range ops {
-		if err := se.validateAt(op.Path); err != nil {
+		if err := se.validatePath(op.Path); err != nil {
 			return err
 		}
 	}
@@ -234,7 +240,8 @@
 	return nil
 }
 
-func (se *Set) validateAt(path string) error {
+// validatePath validates the object at path, if it exists.
+func (se *Set) validatePath(path string) error {
 	ki, name, err := splitPath(path)
 	if err != nil {
 		return err
@@ -273,11 +280,11 @@
 	return nil
 }
 
-// Validate checks every object.
+// Validate validates every object.
 func (se *Set) Validate() error {
 	for _, k := range kindOrder {
 		for _, name := range kinds[k].names(se) {
-			if err := se.validateAt(k + "/" + name); err != nil {
+			if err := se.validatePath(k + "/" + name); err != nil {
 				return err
 			}
 		}
@@ -286,13 +293,13 @@
 	return nil
 }
 
-// Ops returns the operations that build the set from nothing, in a valid order.
+// Ops returns the operations that create the set from an empty one, in a valid order.
 func (se *Set) Ops() ([]Op, error) {
 	return Diff(NewSet(), se, true)
 }
 
-// Diff returns the operations that lead from one set to another. Keys are left
-// out unless withKeys is set, since they do not stand in files.
+// Diff returns the operations that change one set into another. Keys are skipped
+// unless withKeys is set, since files can't declare them.
 func Diff(from, to *Set, withKeys bool) ([]Op, error) {
 	var sets, deletes []Op
 	for _, k := range kindOrder {
@@ -345,7 +352,7 @@
 	return c
 }
 
-// LatestVersion returns the version of model with the highest sequence.
+// LatestVersion returns the version of model with the highest sequence number.
 func (se *Set) LatestVersion(model string) (Version, bool) {
 	var best Version
 	for _, v := range se.Versions {
--- a/internal/declaration/trainer.go
+++ b/internal/declaration/trainer.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// Trainer says which model versions a trainer of a workspace draws from.
+// Trainer defines the model from which a trainer of a workspace draws samples and how
+// stale their weight versions may be.
 type Trainer struct {
 	Workspace      string `json:"workspace"`
 	Model          string `json:"model"`
-	StalenessBound uint64 `json:"stalenessBound"` // versions, at most the model's own bound
+	StalenessBound uint64 `json:"stalenessBound"` // in versions; at most the bound of the model
 	StepTimeoutMs  int    `json:"stepTimeoutMs"`
 }
 
-// Defaults fills the fields left zero.
+// Defaults sets fields that are zero to their defaults.
 func (tr *Trainer) Defaults() {
 	if tr.StepTimeoutMs == 0 {
 		tr.StepTimeoutMs = 360_000
@@ -37,21 +38,22 @@
 	return nil
 }
 
-// StepTimeout returns how long a step may take.
+// StepTimeout returns the maximum duration of a step.
 func (tr Trainer) StepTimeout() time.Duration {
 	return time.Duration(tr.StepTimeoutMs) * time.Millisecond
 }
 
-// Window says how usage is cut into windows. The one called "usage" is in force.
+// Window defines the windows of time in which usage is counted. Only the declaration
+// called WindowName is used.
 type Window struct {
 	LengthSeconds int `json:"lengthSeconds"`
-	GraceSeconds  int `json:"graceSeconds"` // how long late counters may come before a window is closed
+	GraceSeconds  int `json:"graceSeconds"` // how long late counters are accepted before a window is closed
 }
 
-// WindowName is the name of the window that is in force.
+// WindowName is the name of the declaration of windows that is used.
 const WindowName = "usage"
 
-// Defaults fills the fields left zero.
+// Defaults sets fields that are zero to their defaults.
 func (wi *Window) Defaults() {
 	if wi.LengthSeconds == 0 {
 		wi.LengthSeconds = 3600
--- a/internal/declaration/workspace.go
+++ b/internal/declaration/workspace.go
@@ -1,16 +1,17 @@
 package declaration
 
-// Workspace is one member or tenant: whoever shows one of its keys is served under its limits.
+// Workspace is a member or tenant. Requests with one of its keys are subject to its
+// limits.
 type Workspace struct {
-	Weight        float64 `json:"weight"`        // share of the backend servers against other workspaces
-	RatePerSecond float64 `json:"ratePerSecond"` // requests a second, 0 for no limit
-	Burst         int     `json:"burst"`         // requests
-	MaxInFlight   int     `json:"maxInFlight"`   // requests on all gateways, 0 for no limit
-	MaxQueued     int     `json:"maxQueued"`     // requests waiting on one gateway
-	Home          string  `json:"home"`          // group that holds the workspace's state
+	Weight        float64 `json:"weight"`        // share of the backend servers relative to other workspaces
+	RatePerSecond float64 `json:"ratePerSecond"` // requests per second; 0 for no limit
+	Burst         int     `json:"burst"`         // requests that may arrive at once; the size of the token bucket
+	MaxInFlight   int     `json:"maxInFlight"`   // requests in flight on all gateways; 0 for no limit
+	MaxQueued     int     `json:"maxQueued"`     // requests queued on one gateway
+	Home          string  `json:"home"`          // replica group that holds the workspace's state
 }
 
-// Defaults fills the fields left zero.
+// Defaults sets fields that are zero to their defaults.
 func (wo *Workspace) Defaults() {
 	if wo.Weight == 0 {
 		wo.Weight = 1
