--- a/internal/declaration/declaration_test.go
+++ b/internal/declaration/declaration_test.go
@@ -75,7 +75,7 @@
 		Expect(bo.Apply(declaration.Patch{ID: "b", Base: 2, Ops: base}, 4)).To(Equal(an), "the same ID gets the same answer")
 	})
 
-	It("is preserved, with its answer, by a snapshot of the book", func() {
+	It("is preserved, with the history, by a snapshot of the book", func() {
 		bo := newBook()
 		bo.Apply(declaration.Patch{ID: "a", Base: 1, Ops: []declaration.Op{op("workspaces/x", `{"weight":2}`)}}, 2)
 		im, err := bo.Image()
