--- a/internal/agent/order.go
+++ b/internal/agent/order.go
@@ -36,8 +36,8 @@
 	return &fencingNumbers{highest: map[string]uint64{}, isRead: map[string]bool{}}
 }
 
-// recordRead records the fencing number of a lease as read from the replica group.
-func (fe *fencingNumbers) recordRead(lease string, n uint64) {
+// recordGroupNumber records the fencing number of a lease as read from the replica group.
+func (fe *fencingNumbers) recordGroupNumber(lease string, n uint64) {
 	fe.mu.Lock()
 	defer fe.mu.Unlock()
 
@@ -60,9 +60,9 @@
 	return out
 }
 
-// checkOrder returns an error if the lease's fencing number has not been read yet or
-// if n is lower than the highest one seen. Otherwise it records n.
-func (fe *fencingNumbers) checkOrder(lease string, n uint64) error {
+// acceptOrder returns an error if the lease's fencing number has not been read yet or
+// if n is lower than the highest one seen. Otherwise it records n as the highest.
+func (fe *fencingNumbers) acceptOrder(lease string, n uint64) error {
 	fe.mu.Lock()
 	defer fe.mu.Unlock()
 
@@ -89,7 +89,7 @@
 			cctx, cancel := context.WithTimeout(ctx, callTimeout)
 			var rep wire.FencingReply
 			if err := ag.callAny(cctx, MethodFencing, &wire.FencingRequest{Lease: l}, &rep); err == nil {
-				ag.fencing.recordRead(l, rep.GetFencing())
+				ag.fencing.recordGroupNumber(l, rep.GetFencing())
 			}
 			cancel()
 		}
@@ -130,7 +130,7 @@
 	if err := st.Request(&or); err != nil {
 		return err
 	}
-	if err := ag.fencing.checkOrder(leaseOf(or.GetKind()), or.GetFencing()); err != nil {
+	if err := ag.fencing.acceptOrder(leaseOf(or.GetKind()), or.GetFencing()); err != nil {
 		ag.cfg.Meter.Refused(err)
 
 		return err
@@ -199,8 +199,8 @@
 	return nil
 }
 
-// setPaused sets whether new requests are refused, as they are while an engine finishes
-// its requests before a swap.
+// setPaused sets whether new requests are refused, as they are while an engine
+// finishes its requests before a swap.
 func (ag *Agent) setPaused(isPaused bool) {
 	ag.mu.Lock()
 	ag.paused = isPaused
--- a/internal/agent/usage.go
+++ b/internal/agent/usage.go
@@ -45,9 +45,9 @@
 	ag.usage.count(workspace, ag.cfg.WallSeconds(), usage.Figures{Requests: requests, Tokens: tokens})
 }
 
-// setWindowLength sets the length of windows that a gateway reported. A gateway that has
-// just started reports 0, which is ignored: counters of windows with a wrong length
-// would never be part of a usage report.
+// setWindowLength sets the length of windows that a gateway reported. A gateway that
+// has just started reports 0, which is ignored: counters of windows with a wrong
+// length would never be part of a usage report.
 func (ag *Agent) setWindowLength(seconds uint32) { ag.usage.setWindowSeconds(int64(seconds)) }
 
 func (co *counters) count(workspace string, second int64, f usage.Figures) {
@@ -62,8 +62,8 @@
 	addFigures(co.totals, counterKey{workspace, uint64(second / co.windowSeconds)}, f)
 }
 
-// setWindowSeconds sets the length of windows and assigns the unassigned counters
-// to them.
+// setWindowSeconds sets the length of windows and assigns the counters in unassigned
+// to windows.
 func (co *counters) setWindowSeconds(seconds int64) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
