--- a/internal/meter/meter_test.go
+++ b/internal/meter/meter_test.go
@@ -70,7 +70,7 @@
 			`tamarackbay_request_seconds_bucket{le="30"} 4`, `tamarackbay_request_seconds_bucket{le="+Inf"} 5`,
 			`tamarackbay_request_seconds_count 5`, `tamarackbay_request_seconds_sum 3603.0405`, `tamarackbay_request_served 1`,
 			`tamarackbay_jobs_open 3`, `# TYPE tamarackbay_request_seconds histogram`,
-			`# HELP tamarackbay_jobs_open batch jobs that are not ended, where this store leads`,
+			`# HELP tamarackbay_jobs_open batch jobs that have not ended; only on the store that leads`,
 		} {
 			Expect(strings.Split(sb.String(), "\n")).To(ContainElement(line))
 		}
