--- a/internal/agent/order.go
+++ b/internal/agent/order.go
@@ -14,42 +14,45 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// Leases under which orders to backend servers are given.
+// Leases whose holders send orders to agents.
 const (
 	LeaseFleet   = "fleet"
 	LeaseWeights = "weights"
 )
 
-// KindDrain is the order to take no new work.
+// KindDrain is the kind of an order to refuse new requests.
 const KindDrain = "drain"
 
-// fences holds the highest fencing number seen for each lease. After a start no
-// order passes before the number was learned from the group.
-type fences struct {
+// fencingNumbers holds the highest fencing number seen for each lease. After a
+// start, orders are refused until the lease's current number has been read from the
+// replica group.
+type fencingNumbers struct {
 	mu      sync.Mutex
-	floor   map[string]uint64
-	learned map[string]bool
+	highest map[string]uint64
+	isRead  map[string]bool
 }
 
-func newFences() *fences {
-	return &fences{floor: map[string]uint64{}, learned: map[string]bool{}}
+func newFencingNumbers() *fencingNumbers {
+	return &fencingNumbers{highest: map[string]uint64{}, isRead: map[string]bool{}}
 }
 
-func (fe *fences) learn(lease string, n uint64) {
+// recordGroupNumber records the fencing number of a lease as read from the replica group.
+func (fe *fencingNumbers) recordGroupNumber(lease string, n uint64) {
 	fe.mu.Lock()
 	defer fe.mu.Unlock()
 
-	fe.floor[lease] = max(fe.floor[lease], n)
-	fe.learned[lease] = true
+	fe.highest[lease] = max(fe.highest[lease], n)
+	fe.isRead[lease] = true
 }
 
-func (fe *fences) missing() []string {
+// unread returns the leases whose fencing number has not been read yet.
+func (fe *fencingNumbers) unread() []string {
 	fe.mu.Lock()
 	defer fe.mu.Unlock()
 
 	var out []string
 	for _, l := range []string{LeaseFleet, LeaseWeights} {
-		if !fe.learned[l] {
+		if !fe.isRead[l] {
 			out = append(out, l)
 		}
 	}
@@ -57,26 +60,28 @@
 	return out
 }
 
-// pass lets an order with fencing number n through, or refuses it.
-func (fe *fences) pass(lease string, n uint64) error {
+// acceptOrder returns an error if the lease's fencing number has not been read yet or
+// if n is lower than the highest one seen. Otherwise it records n as the highest.
+func (fe *fencingNumbers) acceptOrder(lease string, n uint64) error {
 	fe.mu.Lock()
 	defer fe.mu.Unlock()
 
 	switch {
-	case !fe.learned[lease]:
-		return result.New(result.FencingTooLow, "agent: the fencing number of lease %s is not learned yet", lease).After(time.Second)
-	case n < fe.floor[lease]:
-		return result.New(result.FencingTooLow, "agent: fencing number %d of lease %s, the highest seen is %d", n, lease, fe.floor[lease])
+	case !fe.isRead[lease]:
+		return result.New(result.FencingTooLow, "agent: the fencing number of lease %s has not been read from the replica group yet", lease).After(time.Second)
+	case n < fe.highest[lease]:
+		return result.New(result.FencingTooLow, "agent: fencing number %d of lease %s is lower than the highest seen, %d", n, lease, fe.highest[lease])
 	}
-	fe.floor[lease] = n
+	fe.highest[lease] = n
 
 	return nil
 }
 
-// fencingDuty learns the fencing numbers after a start.
-func (ag *Agent) fencingDuty(ctx context.Context) {
+// fencingLoop reads the fencing numbers from the replica group after a start and
+// returns when it has all of them.
+func (ag *Agent) fencingLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		missing := ag.fences.missing()
+		missing := ag.fencing.unread()
 		if len(missing) == 0 {
 			return
 		}
@@ -84,7 +89,7 @@
 			cctx, cancel := context.WithTimeout(ctx, callTimeout)
 			var rep wire.FencingReply
 			if err := ag.callAny(cctx, MethodFencing, &wire.FencingRequest{Lease: l}, &rep); err == nil {
-				ag.fences.learn(l, rep.GetFencing())
+				ag.fencing.recordGroupNumber(l, rep.GetFencing())
 			}
 			cancel()
 		}
@@ -95,7 +100,7 @@
 	}
 }
 
-// callAny makes a call on the first gateway that answers it.
+// callAny calls the connected gateways one after another until a call succeeds.
 func (ag *Agent) callAny(ctx context.Context, method string, rq, rep proto.Message) error {
 	err := error(result.New(result.NoLeader, "agent %s: no gateway is connected", ag.cfg.Server))
 	for _, li := range ag.links {
@@ -111,6 +116,7 @@
 	return err
 }
 
+// leaseOf returns the lease whose holder sends orders of a kind.
 func leaseOf(kind string) string {
 	if kind == KindDrain {
 		return LeaseFleet
@@ -124,7 +130,7 @@
 	if err := st.Request(&or); err != nil {
 		return err
 	}
-	if err := ag.fences.pass(leaseOf(or.GetKind()), or.GetFencing()); err != nil {
+	if err := ag.fencing.acceptOrder(leaseOf(or.GetKind()), or.GetFencing()); err != nil {
 		ag.cfg.Meter.Refused(err)
 
 		return err
@@ -135,7 +141,7 @@
 		ag.mu.Lock()
 		ag.draining = true
 		ag.mu.Unlock()
-		ag.wakeAll()
+		ag.reportToAll()
 
 		return st.Reply(&wire.OrderReply{Fencing: or.GetFencing()})
 	case order.KindLoad, order.KindActivate:
@@ -147,11 +153,11 @@
 		return st.Reply(&wire.OrderReply{Version: v, Fencing: or.GetFencing()})
 	}
 
-	return result.New(result.InvalidField, "agent %s: order of unknown kind %q", ag.cfg.Server, or.GetKind())
+	return result.New(result.InvalidField, "agent %s: unknown kind of order %q", ag.cfg.Server, or.GetKind())
 }
 
-// swap loads or activates weights. While an activation runs, and after one that
-// failed until the engine's word is read again, the version is unknown.
+// swap loads or activates weights. The version counts as unknown from the start of
+// an activation until the engine's status has been read again.
 func (ag *Agent) swap(ctx context.Context, or *wire.Order) error {
 	if ag.engine == nil {
 		return result.New(result.InvalidField, "agent %s: a plain service has no weights", ag.cfg.Server)
@@ -162,27 +168,27 @@
 		if err := ag.engine.Load(ctx, eo); err != nil {
 			return err
 		}
-		ag.poll(ctx)
+		ag.pollStatus(ctx)
 
 		return nil
 	}
 
 	if or.GetDrain() {
-		ag.pause(true)
-		defer ag.pause(false)
+		ag.setPaused(true)
+		defer ag.setPaused(false)
 		if err := ag.waitIdle(ctx); err != nil {
 			return err
 		}
 	}
 	ag.mu.Lock()
 	ag.swapping, ag.versionKnown = true, false
-	ag.noteVersion(or.GetVersion())
+	ag.recordVersion(or.GetVersion())
 	ag.mu.Unlock()
 	err := ag.engine.Activate(ctx, eo)
 	ag.mu.Lock()
 	ag.swapping = false
 	ag.mu.Unlock()
-	ag.poll(ctx)
+	ag.pollStatus(ctx)
 	if err != nil {
 		return err
 	}
@@ -193,15 +199,16 @@
 	return nil
 }
 
-// pause refuses new work while an engine finishes what it runs before a swap.
-func (ag *Agent) pause(isPaused bool) {
+// setPaused sets whether new requests are refused, as they are while an engine
+// finishes its requests before a swap.
+func (ag *Agent) setPaused(isPaused bool) {
 	ag.mu.Lock()
 	ag.paused = isPaused
 	ag.mu.Unlock()
-	ag.wakeAll()
+	ag.reportToAll()
 }
 
-// waitIdle waits until nothing is in flight.
+// waitIdle waits until no request is in flight.
 func (ag *Agent) waitIdle(ctx context.Context) error {
 	for {
 		ag.mu.Lock()
@@ -213,7 +220,7 @@
 		select {
 		case <-idle:
 		case <-ctx.Done():
-			return result.New(result.SwapFailed, "agent %s: %d requests still run", ag.cfg.Server, n)
+			return result.New(result.SwapFailed, "agent %s: %d requests were still running at the deadline", ag.cfg.Server, n)
 		}
 	}
 }
--- a/internal/agent/usage_test.go
+++ b/internal/agent/usage_test.go
@@ -12,7 +12,7 @@
 
 func TestSuite(t *testing.T) { suite.Run(t, "agent") }
 
-var _ = ginkgo.Describe("the counters of an agent", func() {
+var _ = ginkgo.Describe("the usage counters of an agent", func() {
 	var ag *Agent
 	var now int64
 	ginkgo.BeforeEach(func() {
@@ -22,26 +22,26 @@
 	const length = 3
 	one := usage.Figures{Requests: 1, Tokens: 20}
 
-	ginkgo.It("stay in windows of the length that was told, when a gateway that has just started knows none", func() {
-		ag.setWindow(length)
+	ginkgo.It("keep the reported window length when a gateway that has just started reports 0", func() {
+		ag.setWindowLength(length)
 		ag.count("w", 1, 20)
-		ag.setWindow(0)
+		ag.setWindowLength(0)
 		now += length
 		ag.count("w", 1, 20)
 		first := uint64(1_800_000_007 / length)
-		Expect(ag.usage.unsent()).To(Equal(map[counterKey]usage.Figures{{"w", first}: one, {"w", first + 1}: one}))
+		Expect(ag.usage.unacknowledged()).To(Equal(map[counterKey]usage.Figures{{"w", first}: one, {"w", first + 1}: one}))
 	})
 
-	ginkgo.It("wait for the length of the windows where it is not known yet", func() {
+	ginkgo.It("are assigned to windows once the window length is known", func() {
 		ag.count("w", 1, 0)
 		ag.count("w", 0, 20)
 		now += length
 		ag.count("v", 1, 20)
-		Expect(ag.usage.unsent()).To(BeEmpty())
-		ag.setWindow(length)
+		Expect(ag.usage.unacknowledged()).To(BeEmpty())
+		ag.setWindowLength(length)
 		first := uint64(1_800_000_007 / length)
-		Expect(ag.usage.unsent()).To(Equal(map[counterKey]usage.Figures{{"w", first}: one, {"v", first + 1}: one}))
-		ag.setWindow(length)
-		Expect(ag.usage.unsent()).To(HaveLen(2))
+		Expect(ag.usage.unacknowledged()).To(Equal(map[counterKey]usage.Figures{{"w", first}: one, {"v", first + 1}: one}))
+		ag.setWindowLength(length)
+		Expect(ag.usage.unacknowledged()).To(HaveLen(2))
 	})
 })
