--- a/internal/handlers/caller.go
+++ b/internal/handlers/caller.go
@@ -14,12 +14,12 @@
 
 // Callers serves callers and trainers.
 type Callers struct {
-	ga *gateway.Gateway
+	gateway *gateway.Gateway
 }
 
 // NewCallers returns the router of the callers' listener.
 func NewCallers(ga *gateway.Gateway) http.Handler {
-	ca := &Callers{ga: ga}
+	ca := &Callers{gateway: ga}
 	r := chi.NewRouter()
 	r.Use(limitHeader(ga.Settings().MaxHeaderBytes, ca.refuse))
 	r.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
@@ -44,12 +44,12 @@
 
 // refuse counts and answers an error.
 func (ca *Callers) refuse(w http.ResponseWriter, err error) {
-	ca.ga.Meter().Refused(err)
+	ca.gateway.Meter().Refused(err)
 	writeError(w, err)
 }
 
 func (ca *Callers) ready(w http.ResponseWriter, _ *http.Request) {
-	if err := ca.ga.Ready(); err != nil {
+	if err := ca.gateway.Ready(); err != nil {
 		writeError(w, err)
 
 		return
@@ -60,29 +60,29 @@
 // withCaller authenticates a request and ends it with its key.
 func (ca *Callers) withCaller(next func(w http.ResponseWriter, r *http.Request, cl gateway.Caller)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		cl, err := ca.ga.Authenticate(bearer(r))
+		cl, err := ca.gateway.Authenticate(bearer(r))
 		if err != nil {
 			ca.refuse(w, err)
 
 			return
 		}
-		ctx, done := ca.ga.Watch(r.Context(), cl)
+		ctx, done := ca.gateway.Watch(r.Context(), cl)
 		defer done()
 		next(w, r.WithContext(ctx), cl)
 	}
 }
 
 func (ca *Callers) bodyTimeout() time.Duration {
-	return settings.Duration(ca.ga.Settings().Times.BodyMs)
+	return settings.Duration(ca.gateway.Settings().Times.BodyMs)
 }
 
 // forward serves plain services under /r/{route}.
 func (ca *Callers) forward(w http.ResponseWriter, r *http.Request) {
 	name := chi.URLParam(r, "route")
-	ro, err := ca.ga.Route(name)
+	ro, err := ca.gateway.Route(name)
 	if err != nil {
 		// Without a key nobody learns which routes exist.
-		if _, aerr := ca.ga.Authenticate(bearer(r)); aerr != nil {
+		if _, aerr := ca.gateway.Authenticate(bearer(r)); aerr != nil {
 			err = aerr
 		}
 		ca.refuse(w, err)
@@ -92,9 +92,9 @@
 
 	cl := gateway.Caller{Workspace: ro.OpenWorkspace}
 	if ro.Open {
-		err = ca.ga.Group().Fresh()
+		err = ca.gateway.Group().Fresh()
 	} else {
-		cl, err = ca.ga.Authenticate(bearer(r))
+		cl, err = ca.gateway.Authenticate(bearer(r))
 	}
 	if err == nil {
 		err = gateway.MayUse(ro, name, cl.Workspace)
@@ -120,18 +120,18 @@
 		return
 	}
 
-	ctx, done := ca.ga.Watch(r.Context(), cl)
+	ctx, done := ca.gateway.Watch(r.Context(), cl)
 	defer done()
 	rw := &replyWriter{w: w}
-	err = ca.ga.Forward(ctx, gateway.Forward{
+	err = ca.gateway.Forward(ctx, gateway.Forward{
 		Caller: cl, RouteName: name, Route: ro, Method: r.Method, Path: pathAfterRoute(r, name), Query: r.URL.RawQuery,
 		Header: r.Header, Body: body, IdempotencyKey: r.Header.Get("Idempotency-Key"), Timeout: timeout,
 	}, gateway.Reply{Head: rw.head, Body: rw.body})
 	if err == nil {
 		return
 	}
-	ca.ga.Meter().Refused(err)
-	if rw.sent {
+	ca.gateway.Meter().Refused(err)
+	if rw.headSent {
 		// The caller has a part: only a broken connection tells that it is not whole.
 		panic(http.ErrAbortHandler)
 	}
@@ -150,12 +150,12 @@
 
 // replyWriter passes an answer on part by part.
 type replyWriter struct {
-	w    http.ResponseWriter
-	sent bool
+	w        http.ResponseWriter
+	headSent bool
 }
 
 func (rw *replyWriter) head(requestID string, status int, h http.Header) {
-	rw.sent = true
+	rw.headSent = true
 	for name, values := range h {
 		rw.w.Header()[name] = values
 	}
--- a/internal/handlers/completion.go
+++ b/internal/handlers/completion.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	maxCompletionBody = 4 << 20
-	maxTokensLimit    = 131_072
-	defaultMaxTokens  = 256
+	maxCompletionBodyBytes = 4 << 20
+	maxTokensLimit         = 131_072
+	defaultMaxTokens       = 256
 )
 
 // completionRequest is the usual completion call. Fields of the usual interface
@@ -83,20 +83,20 @@
 		return
 	}
 
-	wr, err := ca.ga.Complete(r.Context(), co, nil)
+	wr, err := ca.gateway.Complete(r.Context(), co, nil)
 	if err != nil {
 		ca.refuse(w, err)
 
 		return
 	}
 	w.Header().Set("X-Request-Id", wr.RequestID)
-	writeJSON(w, http.StatusOK, wholeReply(wr, co.Model, isChat))
+	writeJSON(w, http.StatusOK, completeReply(wr, co.Model, isChat))
 }
 
 func (ca *Callers) parseCompletion(w http.ResponseWriter, r *http.Request, cl gateway.Caller, isChat bool) (completionRequest, gateway.Completion, error) {
 	var rq completionRequest
 	var co gateway.Completion
-	b, err := readBody(w, r, maxCompletionBody, ca.bodyTimeout())
+	b, err := readBody(w, r, maxCompletionBodyBytes, ca.bodyTimeout())
 	if err != nil {
 		return rq, co, err
 	}
@@ -123,7 +123,7 @@
 		return rq, co, result.New(result.InvalidField, "temperature %g is not between 0 and 10", rq.Temperature)
 	}
 
-	name, ro, err := ca.ga.RouteOfModel(rq.Model, cl.Workspace)
+	name, ro, err := ca.gateway.RouteOfModel(rq.Model, cl.Workspace)
 	if err != nil {
 		return rq, co, err
 	}
@@ -159,7 +159,7 @@
 	return "text_completion"
 }
 
-func wholeReply(wr *gateway.Written, model string, isChat bool) completionReply {
+func completeReply(wr *gateway.Written, model string, isChat bool) completionReply {
 	ch := completionChoice{FinishReason: &wr.Finish}
 	if isChat {
 		ch.Message = &chatMessage{Role: "assistant", Content: wr.Text}
@@ -194,7 +194,7 @@
 
 		return http.NewResponseController(w).Flush()
 	}
-	wr, err := ca.ga.Complete(r.Context(), co, func(id string, part *wire.RunChunk) error {
+	wr, err := ca.gateway.Complete(r.Context(), co, func(id string, part *wire.RunChunk) error {
 		if !started {
 			started = true
 			w.Header().Set("Content-Type", "text/event-stream")
@@ -202,13 +202,13 @@
 			w.WriteHeader(http.StatusOK)
 		}
 
-		return send(partReply(id, co.Model, part, isChat))
+		return send(chunkReply(id, co.Model, part, isChat))
 	})
 	switch {
 	case err != nil && !started:
 		ca.refuse(w, err)
 	case err != nil:
-		ca.ga.Meter().Refused(err)
+		ca.gateway.Meter().Refused(err)
 		_ = send(newErrorBody(result.From(err))) // the connection may be the cause
 	default:
 		last := completionReply{
@@ -222,7 +222,7 @@
 	}
 }
 
-func partReply(id, model string, part *wire.RunChunk, isChat bool) completionReply {
+func chunkReply(id, model string, part *wire.RunChunk, isChat bool) completionReply {
 	text := part.GetText()
 	ch := completionChoice{}
 	if isChat {
--- a/internal/handlers/operator.go
+++ b/internal/handlers/operator.go
@@ -26,12 +26,12 @@
 
 // Operators serves operators and the collection of metrics.
 type Operators struct {
-	ga *gateway.Gateway
+	gateway *gateway.Gateway
 }
 
 // NewOperators returns the router of the operators' listener.
 func NewOperators(ga *gateway.Gateway) http.Handler {
-	op := &Operators{ga: ga}
+	op := &Operators{gateway: ga}
 	r := chi.NewRouter()
 	r.Use(limitHeader(ga.Settings().MaxHeaderBytes, op.refuse))
 	r.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
@@ -55,7 +55,7 @@
 }
 
 func (op *Operators) refuse(w http.ResponseWriter, err error) {
-	op.ga.Meter().Refused(err)
+	op.gateway.Meter().Refused(err)
 	writeError(w, err)
 }
 
@@ -65,7 +65,7 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		h := declaration.HashSecret(bearer(r))
 		name := ""
-		for _, o := range op.ga.Settings().Operators {
+		for _, o := range op.gateway.Settings().Operators {
 			if subtle.ConstantTimeCompare([]byte(h), []byte(o.TokenHash)) == 1 {
 				name = o.Name
 			}
@@ -82,12 +82,12 @@
 func (op *Operators) metrics(w http.ResponseWriter, r *http.Request) {
 	if strings.Contains(r.Header.Get("Accept"), "application/json") || r.URL.Query().Get("format") == "json" {
 		w.Header().Set("Content-Type", "application/json")
-		op.ga.Meter().WriteJSON(w)
+		op.gateway.Meter().WriteJSON(w)
 
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
-	_ = op.ga.Meter().WriteText(w) // the collector has gone if this fails
+	_ = op.gateway.Meter().WriteText(w) // the collector has gone if this fails
 }
 
 type configurationReply struct {
@@ -97,12 +97,12 @@
 
 func (op *Operators) configuration(w http.ResponseWriter, r *http.Request, _ string) {
 	// An operator reads what it wrote through any gateway.
-	if err := op.current(r.Context()); err != nil {
+	if err := op.awaitCurrent(r.Context()); err != nil {
 		op.refuse(w, err)
 
 		return
 	}
-	vi := op.ga.Group().View()
+	vi := op.gateway.Group().View()
 	if path := r.URL.Query().Get("path"); path != "" {
 		v, err := vi.Set.Get(path)
 		if err != nil {
@@ -117,20 +117,20 @@
 	writeJSON(w, http.StatusOK, configurationReply{Version: vi.Version, Set: vi.Set})
 }
 
-// current returns once this gateway knows all that was accepted before the call.
+// awaitCurrent returns once this gateway knows all that was accepted before the call.
 // A gateway without a disk answers with what it knows within the freshness bound.
-func (op *Operators) current(ctx context.Context) error {
-	if !op.ga.Group().HasDisk() {
-		return op.ga.Group().Fresh()
+func (op *Operators) awaitCurrent(ctx context.Context) error {
+	if !op.gateway.Group().HasDisk() {
+		return op.gateway.Group().Fresh()
 	}
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 
-	return op.ga.Group().Barrier(ctx)
+	return op.gateway.Group().Barrier(ctx)
 }
 
 func (op *Operators) patch(w http.ResponseWriter, r *http.Request, operator string) {
-	b, err := readBody(w, r, maxCompletionBody, defaultPageWait)
+	b, err := readBody(w, r, maxCompletionBodyBytes, defaultPageWait)
 	if err != nil {
 		op.refuse(w, err)
 
@@ -143,7 +143,7 @@
 		return
 	}
 	pa.Author = operator
-	an, err := op.ga.Patch(r.Context(), pa)
+	an, err := op.gateway.Patch(r.Context(), pa)
 	if err != nil {
 		op.refuse(w, err)
 
@@ -158,7 +158,7 @@
 		n = 20
 	}
 	var out []declaration.Change
-	if !op.ga.Group().Read(func(ma *machine.Machine) { out = ma.Book().History(n) }) {
+	if !op.gateway.Group().Read(func(ma *machine.Machine) { out = ma.Book().History(n) }) {
 		op.refuse(w, result.New(result.NotLeader, "this gateway has no disk: ask one that has"))
 
 		return
@@ -173,7 +173,7 @@
 }
 
 func (op *Operators) issueKey(w http.ResponseWriter, r *http.Request, operator string) {
-	b, err := readBody(w, r, maxSmallBody, defaultPageWait)
+	b, err := readBody(w, r, maxSmallBodyBytes, defaultPageWait)
 	if err != nil {
 		op.refuse(w, err)
 
@@ -185,7 +185,7 @@
 
 		return
 	}
-	id, token, err := op.ga.IssueKey(r.Context(), operator, rq.Workspace, rq.Note, rq.ExpiresMs)
+	id, token, err := op.gateway.IssueKey(r.Context(), operator, rq.Workspace, rq.Note, rq.ExpiresMs)
 	if err != nil {
 		op.refuse(w, err)
 
@@ -195,7 +195,7 @@
 }
 
 func (op *Operators) withdrawKey(w http.ResponseWriter, r *http.Request, operator string) {
-	an, err := op.ga.WithdrawKey(r.Context(), operator, chi.URLParam(r, "key"))
+	an, err := op.gateway.WithdrawKey(r.Context(), operator, chi.URLParam(r, "key"))
 	if err != nil {
 		op.refuse(w, err)
 
@@ -218,14 +218,14 @@
 }
 
 func (op *Operators) status(w http.ResponseWriter, _ *http.Request, _ string) {
-	gr := op.ga.Group()
+	gr := op.gateway.Group()
 	age, _ := gr.Age()
 	rep := statusReply{
-		Gateway: op.ga.Settings().Name, Cluster: gr.Cluster(), Version: gr.View().Version, AgeMs: age.Milliseconds(),
-		Ready: op.ga.Ready() == nil, Replica: gr.Status(), Servers: []pool.Info{}, Leases: map[string]lease.Lease{},
-		Steps: op.ga.Rollouts().Running(),
+		Gateway: op.gateway.Settings().Name, Cluster: gr.Cluster(), Version: gr.View().Version, AgeMs: age.Milliseconds(),
+		Ready: op.gateway.Ready() == nil, Replica: gr.Status(), Servers: []pool.Info{}, Leases: map[string]lease.Lease{},
+		Steps: op.gateway.Rollouts().Running(),
 	}
-	for _, po := range op.ga.Pools() {
+	for _, po := range op.gateway.Pools() {
 		rep.Servers = append(rep.Servers, po.Infos()...)
 	}
 	gr.Read(func(ma *machine.Machine) {
@@ -238,7 +238,7 @@
 }
 
 func (op *Operators) explain(w http.ResponseWriter, _ *http.Request, _ string) {
-	writeJSON(w, http.StatusOK, map[string]any{"fleet": op.ga.ExplainFleet()})
+	writeJSON(w, http.StatusOK, map[string]any{"fleet": op.gateway.ExplainFleet()})
 }
 
 type memberReply struct {
@@ -247,9 +247,9 @@
 }
 
 func (op *Operators) members(w http.ResponseWriter, _ *http.Request, _ string) {
-	st := op.ga.Group().Status()
+	st := op.gateway.Group().Status()
 	out := []memberReply{}
-	op.ga.Group().Read(func(ma *machine.Machine) {
+	op.gateway.Group().Read(func(ma *machine.Machine) {
 		for _, id := range st.Membership.All() {
 			re := ma.Replicas()[id]
 			re.Replica = id
@@ -266,7 +266,7 @@
 
 		return
 	}
-	if err := op.ga.Group().ChangeMember(r.Context(), action, consensus.ReplicaID(chi.URLParam(r, "replica"))); err != nil {
+	if err := op.gateway.Group().ChangeMember(r.Context(), action, consensus.ReplicaID(chi.URLParam(r, "replica"))); err != nil {
 		op.refuse(w, err)
 
 		return
@@ -275,11 +275,11 @@
 }
 
 func (op *Operators) quarantine(w http.ResponseWriter, _ *http.Request, _ string) {
-	writeJSON(w, http.StatusOK, map[string]any{"fingerprints": op.ga.Group().View().Quarantine})
+	writeJSON(w, http.StatusOK, map[string]any{"fingerprints": op.gateway.Group().View().Quarantine})
 }
 
 func (op *Operators) release(w http.ResponseWriter, r *http.Request, _ string) {
-	if err := op.ga.ReleaseFingerprint(r.Context(), chi.URLParam(r, "fingerprint")); err != nil {
+	if err := op.gateway.ReleaseFingerprint(r.Context(), chi.URLParam(r, "fingerprint")); err != nil {
 		op.refuse(w, err)
 
 		return
--- a/internal/handlers/trainer.go
+++ b/internal/handlers/trainer.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	maxStepBody     = 64 << 20
-	maxSmallBody    = 64 << 10
-	defaultPageWait = 10 * time.Second
-	maxPageWait     = 30 * time.Second
-	maxGroups       = 65_536
-	maxSamples      = 65_536
+	maxStepBodyBytes   = 64 << 20
+	maxSmallBodyBytes  = 64 << 10
+	defaultPageWait    = 10 * time.Second
+	maxPageWait        = 30 * time.Second
+	maxGroupsPerStep   = 65_536
+	maxSamplesPerGroup = 65_536
 )
 
 // stepRequest opens a step of a trainer.
@@ -48,7 +48,7 @@
 }
 
 func (ca *Callers) openStep(w http.ResponseWriter, r *http.Request, cl gateway.Caller) {
-	b, err := readBody(w, r, maxStepBody, ca.bodyTimeout())
+	b, err := readBody(w, r, maxStepBodyBytes, ca.bodyTimeout())
 	if err != nil {
 		ca.refuse(w, err)
 
@@ -69,7 +69,7 @@
 	s := sha256.Sum256(b)
 	st.Digest = hex.EncodeToString(s[:])
 
-	opened, err := ca.ga.Rollouts().Open(r.Context(), st)
+	opened, err := ca.gateway.Rollouts().Open(r.Context(), st)
 	if err != nil {
 		ca.refuse(w, err)
 
@@ -79,7 +79,7 @@
 }
 
 func (ca *Callers) newStep(rq *stepRequest, workspace string) (step.Step, error) {
-	set := ca.ga.Group().View().Set
+	set := ca.gateway.Group().View().Set
 	tr, ok := set.Trainers[rq.Trainer]
 	if !ok || tr.Workspace != workspace {
 		return step.Step{}, result.New(result.UnknownObject, "trainer %q is not one of workspace %s", rq.Trainer, workspace)
@@ -112,8 +112,8 @@
 	if !isName(st.ID) {
 		return result.New(result.InvalidField, "id %q must be 1 to 128 letters, digits, dots, dashes or underscores", st.ID)
 	}
-	if len(groups) == 0 || len(groups) > maxGroups {
-		return result.New(result.InvalidField, "%d groups, 1 to %d are taken", len(groups), maxGroups)
+	if len(groups) == 0 || len(groups) > maxGroupsPerStep {
+		return result.New(result.InvalidField, "%d groups, 1 to %d are taken", len(groups), maxGroupsPerStep)
 	}
 
 	seen := map[string]bool{}
@@ -123,8 +123,8 @@
 			return result.New(result.InvalidField, "group %q: the ID is not a name or stands twice", g.ID)
 		case g.Prompt == "":
 			return result.New(result.InvalidField, "group %s: prompt must be set", g.ID)
-		case g.Samples < 1 || g.Samples > maxSamples:
-			return result.New(result.InvalidField, "group %s: %d samples, 1 to %d are taken", g.ID, g.Samples, maxSamples)
+		case g.Samples < 1 || g.Samples > maxSamplesPerGroup:
+			return result.New(result.InvalidField, "group %s: %d samples, 1 to %d are taken", g.ID, g.Samples, maxSamplesPerGroup)
 		case g.MaxTokens < 1 || g.MaxTokens > maxTokensLimit:
 			return result.New(result.InvalidField, "group %s: maxTokens %d is not between 1 and %d", g.ID, g.MaxTokens, maxTokensLimit)
 		case g.Temperature < 0 || g.Temperature > 10:
@@ -172,7 +172,7 @@
 	}
 	limit, _ := strconv.Atoi(r.URL.Query().Get("max")) // 0 takes the default
 
-	b, err := ca.ga.Rollouts().Page(r.Context(), cl.Workspace, chi.URLParam(r, "step"), n, limit, wait)
+	b, err := ca.gateway.Rollouts().Page(r.Context(), cl.Workspace, chi.URLParam(r, "step"), n, limit, wait)
 	if err != nil {
 		ca.refuse(w, err)
 
@@ -190,7 +190,7 @@
 
 		return
 	}
-	left, err := ca.ga.Rollouts().Ack(r.Context(), cl.Workspace, chi.URLParam(r, "step"), n)
+	left, err := ca.gateway.Rollouts().Ack(r.Context(), cl.Workspace, chi.URLParam(r, "step"), n)
 	if err != nil {
 		ca.refuse(w, err)
 
@@ -205,7 +205,7 @@
 }
 
 func (ca *Callers) pushVersion(w http.ResponseWriter, r *http.Request, cl gateway.Caller) {
-	b, err := readBody(w, r, maxSmallBody, ca.bodyTimeout())
+	b, err := readBody(w, r, maxSmallBodyBytes, ca.bodyTimeout())
 	if err != nil {
 		ca.refuse(w, err)
 
@@ -217,7 +217,7 @@
 
 		return
 	}
-	ve, err := ca.ga.PushVersion(r.Context(), cl.Workspace, chi.URLParam(r, "model"), rq.Name, rq.Source)
+	ve, err := ca.gateway.PushVersion(r.Context(), cl.Workspace, chi.URLParam(r, "model"), rq.Name, rq.Source)
 	if err != nil {
 		ca.refuse(w, err)
 
