--- a/internal/handlers/caller.go
+++ b/internal/handlers/caller.go
@@ -36,13 +36,13 @@
 		ca.refuse(w, result.New(result.UnknownRoute, "path %s is not served", r.URL.Path))
 	})
 	r.MethodNotAllowed(func(w http.ResponseWriter, r *http.Request) {
-		ca.refuse(w, result.New(result.MethodNotAllowed, "%s does not take %s", r.URL.Path, r.Method))
+		ca.refuse(w, result.New(result.MethodNotAllowed, "path %s does not accept method %s", r.URL.Path, r.Method))
 	})
 
 	return r
 }
 
-// refuse counts and answers an error.
+// refuse counts an error and answers with it.
 func (ca *Callers) refuse(w http.ResponseWriter, err error) {
 	ca.gateway.Meter().Refused(err)
 	writeError(w, err)
@@ -57,7 +57,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// withCaller authenticates a request and ends it with its key.
+// withCaller authenticates a request. The request's context ends once its key is no
+// longer valid.
 func (ca *Callers) withCaller(next func(w http.ResponseWriter, r *http.Request, cl gateway.Caller)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		cl, err := ca.gateway.Authenticate(bearer(r))
@@ -81,7 +82,7 @@
 	name := chi.URLParam(r, "route")
 	ro, err := ca.gateway.Route(name)
 	if err != nil {
-		// Without a key nobody learns which routes exist.
+		// A request without a valid key must not reveal which routes exist.
 		if _, aerr := ca.gateway.Authenticate(bearer(r)); aerr != nil {
 			err = aerr
 		}
@@ -132,13 +133,14 @@
 	}
 	ca.gateway.Meter().Refused(err)
 	if rw.headSent {
-		// The caller has a part: only a broken connection tells that it is not whole.
+		// The caller has received a part. Only a broken connection shows that the
+		// answer is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 	writeError(w, err)
 }
 
-// pathAfterRoute returns the escaped path behind /r/{route}.
+// pathAfterRoute returns the escaped path after /r/{route}.
 func pathAfterRoute(r *http.Request, name string) string {
 	p := strings.TrimPrefix(r.URL.EscapedPath(), "/r/"+name)
 	if !strings.HasPrefix(p, "/") {
@@ -148,7 +150,7 @@
 	return p
 }
 
-// replyWriter passes an answer on part by part.
+// replyWriter forwards an answer part by part.
 type replyWriter struct {
 	w        http.ResponseWriter
 	headSent bool
--- a/internal/handlers/completion.go
+++ b/internal/handlers/completion.go
@@ -14,13 +14,14 @@
 )
 
 const (
+	// maxCompletionBodyBytes bounds completion requests and operators' patches.
 	maxCompletionBodyBytes = 4 << 20
 	maxTokensLimit         = 131_072
 	defaultMaxTokens       = 256
 )
 
-// completionRequest is the usual completion call. Fields of the usual interface
-// that change nothing here are accepted and ignored.
+// completionRequest is the body of the usual completion calls. Fields of the usual
+// interface that have no effect here, such as User, are accepted and ignored.
 type completionRequest struct {
 	Model       string        `json:"model"`
 	Prompt      string        `json:"prompt"`
@@ -101,7 +102,7 @@
 		return rq, co, err
 	}
 	if cl.Secret != "" && strings.Contains(string(b), cl.Secret) {
-		return rq, co, result.New(result.KeyInRequest, "the caller's key stands in the body")
+		return rq, co, result.New(result.KeyInRequest, "the body contains the caller's key")
 	}
 	if err := decodeJSON(b, &rq); err != nil {
 		return rq, co, err
@@ -116,9 +117,9 @@
 	case rq.Prompt == "":
 		return rq, co, result.New(result.InvalidField, "prompt or messages must be set")
 	case rq.MaxTokens > maxTokensLimit:
-		return rq, co, result.New(result.InvalidField, "max_tokens %d is over %d", rq.MaxTokens, maxTokensLimit)
+		return rq, co, result.New(result.InvalidField, "max_tokens %d is over the limit of %d", rq.MaxTokens, maxTokensLimit)
 	case rq.N > 1:
-		return rq, co, result.New(result.InvalidField, "n %d: one answer a request", rq.N)
+		return rq, co, result.New(result.InvalidField, "n %d is not 1: a request gets one answer", rq.N)
 	case rq.Temperature < 0 || rq.Temperature > 10:
 		return rq, co, result.New(result.InvalidField, "temperature %g is not between 0 and 10", rq.Temperature)
 	}
@@ -135,7 +136,7 @@
 	}, err
 }
 
-// chatPrompt writes messages as one prompt, a line for each.
+// chatPrompt joins messages into one prompt with one line per message.
 func chatPrompt(ms []chatMessage) string {
 	var sb strings.Builder
 	for _, m := range ms {
@@ -179,8 +180,8 @@
 	}
 }
 
-// streamCompletion sends each part as it comes. An error after the first part is
-// sent as an event, and the end mark does not follow.
+// streamCompletion forwards each part as it arrives. An error after the first part is
+// sent as an event, without the end mark [DONE].
 func (ca *Callers) streamCompletion(w http.ResponseWriter, r *http.Request, co gateway.Completion, isChat bool) {
 	started := false
 	send := func(v any) error {
@@ -209,7 +210,7 @@
 		ca.refuse(w, err)
 	case err != nil:
 		ca.gateway.Meter().Refused(err)
-		_ = send(newErrorBody(result.From(err))) // the connection may be the cause
+		_ = send(newErrorBody(result.From(err))) // fails if the connection is the cause
 	default:
 		last := completionReply{
 			ID: wr.RequestID, Object: objectName(isChat, true), Created: time.Now().Unix(), Model: co.Model,
--- a/internal/handlers/http.go
+++ b/internal/handlers/http.go
@@ -1,5 +1,5 @@
-// Package handlers serves the HTTP interfaces of callers, trainers and operators.
-// The handlers are thin: the gateway does the work.
+// Package handlers serves the HTTP interfaces of callers, trainers and operators. It
+// checks and decodes requests, calls the gateway and encodes the answers.
 package handlers
 
 import (
@@ -46,17 +46,18 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // the client has gone if this fails
+	_ = json.NewEncoder(w).Encode(v) // fails if the client has disconnected
 }
 
-// readBody reads a whole request body within a size and a time.
+// readBody reads a complete request body, bounded in size and time.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64, timeout time.Duration) ([]byte, error) {
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(timeout))
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if err == nil {
 		_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	} else {
-		// The deadline stays: the library would wait for the rest of the body before it answers.
+		// The read deadline stays set: net/http would otherwise wait for the rest of the
+		// body before it answers.
 		w.Header().Set("Connection", "close")
 	}
 
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// bearer returns the token of a request.
+// bearer returns the bearer token of a request, empty if there is none.
 func bearer(r *http.Request) string {
 	t, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
@@ -125,7 +126,7 @@
 				}
 			}
 			if n > limit {
-				refuse(w, result.New(result.HeaderTooLarge, "headers of %d bytes, %d are taken", n, limit))
+				refuse(w, result.New(result.HeaderTooLarge, "headers of %d bytes are over the limit of %d", n, limit))
 
 				return
 			}
--- a/internal/handlers/operator.go
+++ b/internal/handlers/operator.go
@@ -21,10 +21,10 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// readTimeout bounds the wait of a read for the group's word.
+// readTimeout bounds how long a read waits for this gateway to be up to date.
 const readTimeout = 3 * time.Second
 
-// Operators serves operators and the collection of metrics.
+// Operators serves operators and collectors of metrics.
 type Operators struct {
 	gateway *gateway.Gateway
 }
@@ -59,8 +59,9 @@
 	writeError(w, err)
 }
 
-// withOperator checks the operator's token against every operator's hash, so that
-// the time taken does not tell whose prefix matched.
+// withOperator authenticates an operator. It compares the hash of the token with every
+// operator's hash in constant time, so that the time of the answer reveals nothing
+// about them.
 func (op *Operators) withOperator(next func(w http.ResponseWriter, r *http.Request, operator string)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		h := declaration.HashSecret(bearer(r))
@@ -87,7 +88,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
-	_ = op.gateway.Meter().WriteText(w) // the collector has gone if this fails
+	_ = op.gateway.Meter().WriteText(w) // fails if the collector has disconnected
 }
 
 type configurationReply struct {
@@ -96,7 +97,7 @@
 }
 
 func (op *Operators) configuration(w http.ResponseWriter, r *http.Request, _ string) {
-	// An operator reads what it wrote through any gateway.
+	// An operator must read its own writes, whichever gateway it asks.
 	if err := op.awaitCurrent(r.Context()); err != nil {
 		op.refuse(w, err)
 
@@ -117,8 +118,9 @@
 	writeJSON(w, http.StatusOK, configurationReply{Version: vi.Version, Set: vi.Set})
 }
 
-// awaitCurrent returns once this gateway knows all that was accepted before the call.
-// A gateway without a disk answers with what it knows within the freshness bound.
+// awaitCurrent returns once this gateway has applied all changes that the group accepted
+// before the call. A gateway without a disk checks only that its state is within the
+// freshness bound.
 func (op *Operators) awaitCurrent(ctx context.Context) error {
 	if !op.gateway.Group().HasDisk() {
 		return op.gateway.Group().Fresh()
@@ -159,7 +161,7 @@
 	}
 	var out []declaration.Change
 	if !op.gateway.Group().Read(func(ma *machine.Machine) { out = ma.Book().History(n) }) {
-		op.refuse(w, result.New(result.NotLeader, "this gateway has no disk: ask one that has"))
+		op.refuse(w, result.New(result.NotLeader, "this gateway has no disk and no history: ask a gateway with a disk"))
 
 		return
 	}
--- a/internal/handlers/trainer.go
+++ b/internal/handlers/trainer.go
@@ -15,20 +15,21 @@
 )
 
 const (
-	maxStepBodyBytes   = 64 << 20
-	maxSmallBodyBytes  = 64 << 10
+	maxStepBodyBytes  = 64 << 20
+	maxSmallBodyBytes = 64 << 10
+	// defaultPageWait also bounds how long the body of an operator's call is read.
 	defaultPageWait    = 10 * time.Second
 	maxPageWait        = 30 * time.Second
 	maxGroupsPerStep   = 65_536
 	maxSamplesPerGroup = 65_536
 )
 
-// stepRequest opens a step of a trainer.
+// stepRequest is the body of a call that opens a step.
 type stepRequest struct {
 	ID         string         `json:"id"`
 	Trainer    string         `json:"trainer"`
 	Staleness  *uint64        `json:"staleness"`  // versions, at most the trainer's bound
-	MinVersion string         `json:"minVersion"` // oldest version that may write a sample
+	MinVersion string         `json:"minVersion"` // name of the oldest version that may generate a sample
 	TimeoutMs  int            `json:"timeoutMs"`
 	Groups     []groupRequest `json:"groups"`
 }
@@ -82,7 +83,7 @@
 	set := ca.gateway.Group().View().Set
 	tr, ok := set.Trainers[rq.Trainer]
 	if !ok || tr.Workspace != workspace {
-		return step.Step{}, result.New(result.UnknownObject, "trainer %q is not one of workspace %s", rq.Trainer, workspace)
+		return step.Step{}, result.New(result.UnknownObject, "trainer %q does not exist in workspace %s", rq.Trainer, workspace)
 	}
 
 	st := step.Step{ID: rq.ID, Workspace: workspace, Trainer: rq.Trainer, Model: tr.Model, Staleness: tr.StalenessBound}
@@ -108,23 +109,24 @@
 	return st, addGroups(&st, rq.Groups)
 }
 
+// addGroups validates the ID of st and the groups of a request, and adds the groups to st.
 func addGroups(st *step.Step, groups []groupRequest) error {
 	if !isName(st.ID) {
 		return result.New(result.InvalidField, "id %q must be 1 to 128 letters, digits, dots, dashes or underscores", st.ID)
 	}
 	if len(groups) == 0 || len(groups) > maxGroupsPerStep {
-		return result.New(result.InvalidField, "%d groups, 1 to %d are taken", len(groups), maxGroupsPerStep)
+		return result.New(result.InvalidField, "%d groups are not between 1 and %d", len(groups), maxGroupsPerStep)
 	}
 
 	seen := map[string]bool{}
 	for _, g := range groups {
 		switch {
 		case !isName(g.ID) || seen[g.ID]:
-			return result.New(result.InvalidField, "group %q: the ID is not a name or stands twice", g.ID)
+			return result.New(result.InvalidField, "group %q: the ID is invalid or repeated", g.ID)
 		case g.Prompt == "":
 			return result.New(result.InvalidField, "group %s: prompt must be set", g.ID)
 		case g.Samples < 1 || g.Samples > maxSamplesPerGroup:
-			return result.New(result.InvalidField, "group %s: %d samples, 1 to %d are taken", g.ID, g.Samples, maxSamplesPerGroup)
+			return result.New(result.InvalidField, "group %s: %d samples are not between 1 and %d", g.ID, g.Samples, maxSamplesPerGroup)
 		case g.MaxTokens < 1 || g.MaxTokens > maxTokensLimit:
 			return result.New(result.InvalidField, "group %s: maxTokens %d is not between 1 and %d", g.ID, g.MaxTokens, maxTokensLimit)
 		case g.Temperature < 0 || g.Temperature > 10:
@@ -137,6 +139,8 @@
 	return nil
 }
 
+// isName reports whether s is a valid ID: 1 to 128 letters, digits, dots, dashes or
+// underscores.
 func isName(s string) bool {
 	if s == "" || len(s) > 128 {
 		return false
@@ -170,7 +174,7 @@
 	if ms, err := strconv.Atoi(r.URL.Query().Get("waitMs")); err == nil && ms >= 0 {
 		wait = min(time.Duration(ms)*time.Millisecond, maxPageWait)
 	}
-	limit, _ := strconv.Atoi(r.URL.Query().Get("max")) // 0 takes the default
+	limit, _ := strconv.Atoi(r.URL.Query().Get("max")) // 0 selects the default
 
 	b, err := ca.gateway.Rollouts().Page(r.Context(), cl.Workspace, chi.URLParam(r, "step"), n, limit, wait)
 	if err != nil {
@@ -180,7 +184,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
-	_, _ = w.Write(b) // a trainer that did not get it whole asks again
+	_, _ = w.Write(b) // a trainer that did not receive all of it requests the page again
 }
 
 func (ca *Callers) ack(w http.ResponseWriter, r *http.Request, cl gateway.Caller) {
