--- a/internal/handlers/caller.go
+++ b/internal/handlers/caller.go
@@ -14,12 +14,12 @@
 
 // Callers serves callers and trainers.
 type Callers struct {
-	ga *gateway.Gateway
+	gateway *gateway.Gateway
 }
 
 // NewCallers returns the router of the callers' listener.
 func NewCallers(ga *gateway.Gateway) http.Handler {
-	ca := &Callers{ga: ga}
+	ca := &Callers{gateway: ga}
 	r := chi.NewRouter()
 	r.Use(limitHeader(ga.Settings().MaxHeaderBytes, ca.refuse))
 	r.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
@@ -36,20 +36,20 @@
 		ca.refuse(w, result.New(result.UnknownRoute, "path %s is not served", r.URL.Path))
 	})
 	r.MethodNotAllowed(func(w http.ResponseWriter, r *http.Request) {
-		ca.refuse(w, result.New(result.MethodNotAllowed, "%s does not take %s", r.URL.Path, r.Method))
+		ca.refuse(w, result.New(result.MethodNotAllowed, "path %s does not accept method %s", r.URL.Path, r.Method))
 	})
 
 	return r
 }
 
-// refuse counts and answers an error.
+// refuse counts an error and answers with it.
 func (ca *Callers) refuse(w http.ResponseWriter, err error) {
-	ca.ga.Meter().Refused(err)
+	ca.gateway.Meter().Refused(err)
 	writeError(w, err)
 }
 
 func (ca *Callers) ready(w http.ResponseWriter, _ *http.Request) {
-	if err := ca.ga.Ready(); err != nil {
+	if err := ca.gateway.Ready(); err != nil {
 		writeError(w, err)
 
 		return
@@ -57,32 +57,33 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// withCaller authenticates a request and ends it with its key.
+// withCaller authenticates a request. The request's context ends once its key is no
+// longer valid.
 func (ca *Callers) withCaller(next func(w http.ResponseWriter, r *http.Request, cl gateway.Caller)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		cl, err := ca.ga.Authenticate(bearer(r))
+		cl, err := ca.gateway.Authenticate(bearer(r))
 		if err != nil {
 			ca.refuse(w, err)
 
 			return
 		}
-		ctx, done := ca.ga.Watch(r.Context(), cl)
+		ctx, done := ca.gateway.Watch(r.Context(), cl)
 		defer done()
 		next(w, r.WithContext(ctx), cl)
 	}
 }
 
 func (ca *Callers) bodyTimeout() time.Duration {
-	return settings.Duration(ca.ga.Settings().Times.BodyMs)
+	return settings.Duration(ca.gateway.Settings().Times.BodyMs)
 }
 
 // forward serves plain services under /r/{route}.
 func (ca *Callers) forward(w http.ResponseWriter, r *http.Request) {
 	name := chi.URLParam(r, "route")
-	ro, err := ca.ga.Route(name)
+	ro, err := ca.gateway.Route(name)
 	if err != nil {
-		// Without a key nobody learns which routes exist.
-		if _, aerr := ca.ga.Authenticate(bearer(r)); aerr != nil {
+		// A request without a valid key must not reveal which routes exist.
+		if _, aerr := ca.gateway.Authenticate(bearer(r)); aerr != nil {
 			err = aerr
 		}
 		ca.refuse(w, err)
@@ -92,9 +93,9 @@
 
 	cl := gateway.Caller{Workspace: ro.OpenWorkspace}
 	if ro.Open {
-		err = ca.ga.Group().Fresh()
+		err = ca.gateway.Group().Fresh()
 	} else {
-		cl, err = ca.ga.Authenticate(bearer(r))
+		cl, err = ca.gateway.Authenticate(bearer(r))
 	}
 	if err == nil {
 		err = gateway.MayUse(ro, name, cl.Workspace)
@@ -120,25 +121,26 @@
 		return
 	}
 
-	ctx, done := ca.ga.Watch(r.Context(), cl)
+	ctx, done := ca.gateway.Watch(r.Context(), cl)
 	defer done()
 	rw := &replyWriter{w: w}
-	err = ca.ga.Forward(ctx, gateway.Forward{
+	err = ca.gateway.Forward(ctx, gateway.Forward{
 		Caller: cl, RouteName: name, Route: ro, Method: r.Method, Path: pathAfterRoute(r, name), Query: r.URL.RawQuery,
 		Header: r.Header, Body: body, IdempotencyKey: r.Header.Get("Idempotency-Key"), Timeout: timeout,
 	}, gateway.Reply{Head: rw.head, Body: rw.body})
 	if err == nil {
 		return
 	}
-	ca.ga.Meter().Refused(err)
-	if rw.sent {
-		// The caller has a part: only a broken connection tells that it is not whole.
+	ca.gateway.Meter().Refused(err)
+	if rw.headSent {
+		// The caller has received a part. Only a broken connection shows that the
+		// answer is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 	writeError(w, err)
 }
 
-// pathAfterRoute returns the escaped path behind /r/{route}.
+// pathAfterRoute returns the escaped path after /r/{route}.
 func pathAfterRoute(r *http.Request, name string) string {
 	p := strings.TrimPrefix(r.URL.EscapedPath(), "/r/"+name)
 	if !strings.HasPrefix(p, "/") {
@@ -148,14 +150,14 @@
 	return p
 }
 
-// replyWriter passes an answer on part by part.
+// replyWriter forwards an answer part by part.
 type replyWriter struct {
-	w    http.ResponseWriter
-	sent bool
+	w        http.ResponseWriter
+	headSent bool
 }
 
 func (rw *replyWriter) head(requestID string, status int, h http.Header) {
-	rw.sent = true
+	rw.headSent = true
 	for name, values := range h {
 		rw.w.Header()[name] = values
 	}
--- a/internal/handlers/completion.go
+++ b/internal/handlers/completion.go
@@ -14,13 +14,14 @@
 )
 
 const (
-	maxCompletionBody = 4 << 20
-	maxTokensLimit    = 131_072
-	defaultMaxTokens  = 256
+	// maxCompletionBodyBytes bounds completion requests and operators' patches.
+	maxCompletionBodyBytes = 4 << 20
+	maxTokensLimit         = 131_072
+	defaultMaxTokens       = 256
 )
 
-// completionRequest is the usual completion call. Fields of the usual interface
-// that change nothing here are accepted and ignored.
+// completionRequest is the body of the usual completion calls. Fields of the usual
+// interface that have no effect here, such as User, are accepted and ignored.
 type completionRequest struct {
 	Model       string        `json:"model"`
 	Prompt      string        `json:"prompt"`
@@ -83,25 +84,25 @@
 		return
 	}
 
-	wr, err := ca.ga.Complete(r.Context(), co, nil)
+	wr, err := ca.gateway.Complete(r.Context(), co, nil)
 	if err != nil {
 		ca.refuse(w, err)
 
 		return
 	}
 	w.Header().Set("X-Request-Id", wr.RequestID)
-	writeJSON(w, http.StatusOK, wholeReply(wr, co.Model, isChat))
+	writeJSON(w, http.StatusOK, completeReply(wr, co.Model, isChat))
 }
 
 func (ca *Callers) parseCompletion(w http.ResponseWriter, r *http.Request, cl gateway.Caller, isChat bool) (completionRequest, gateway.Completion, error) {
 	var rq completionRequest
 	var co gateway.Completion
-	b, err := readBody(w, r, maxCompletionBody, ca.bodyTimeout())
+	b, err := readBody(w, r, maxCompletionBodyBytes, ca.bodyTimeout())
 	if err != nil {
 		return rq, co, err
 	}
 	if cl.Secret != "" && strings.Contains(string(b), cl.Secret) {
-		return rq, co, result.New(result.KeyInRequest, "the caller's key stands in the body")
+		return rq, co, result.New(result.KeyInRequest, "the body contains the caller's key")
 	}
 	if err := decodeJSON(b, &rq); err != nil {
 		return rq, co, err
@@ -116,14 +117,14 @@
 	case rq.Prompt == "":
 		return rq, co, result.New(result.InvalidField, "prompt or messages must be set")
 	case rq.MaxTokens > maxTokensLimit:
-		return rq, co, result.New(result.InvalidField, "max_tokens %d is over %d", rq.MaxTokens, maxTokensLimit)
+		return rq, co, result.New(result.InvalidField, "max_tokens %d is over the limit of %d", rq.MaxTokens, maxTokensLimit)
 	case rq.N > 1:
-		return rq, co, result.New(result.InvalidField, "n %d: one answer a request", rq.N)
+		return rq, co, result.New(result.InvalidField, "n %d is not 1: a request gets one answer", rq.N)
 	case rq.Temperature < 0 || rq.Temperature > 10:
 		return rq, co, result.New(result.InvalidField, "temperature %g is not between 0 and 10", rq.Temperature)
 	}
 
-	name, ro, err := ca.ga.RouteOfModel(rq.Model, cl.Workspace)
+	name, ro, err := ca.gateway.RouteOfModel(rq.Model, cl.Workspace)
 	if err != nil {
 		return rq, co, err
 	}
@@ -135,7 +136,7 @@
 	}, err
 }
 
-// chatPrompt writes messages as one prompt, a line for each.
+// chatPrompt joins messages into one prompt with one line per message.
 func chatPrompt(ms []chatMessage) string {
 	var sb strings.Builder
 	for _, m := range ms {
@@ -159,7 +160,7 @@
 	return "text_completion"
 }
 
-func wholeReply(wr *gateway.Written, model string, isChat bool) completionReply {
+func completeReply(wr *gateway.Written, model string, isChat bool) completionReply {
 	ch := completionChoice{FinishReason: &wr.Finish}
 	if isChat {
 		ch.Message = &chatMessage{Role: "assistant", Content: wr.Text}
@@ -179,8 +180,8 @@
 	}
 }
 
-// streamCompletion sends each part as it comes. An error after the first part is
-// sent as an event, and the end mark does not follow.
+// streamCompletion forwards each part as it arrives. An error after the first part is
+// sent as an event, without the end mark [DONE].
 func (ca *Callers) streamCompletion(w http.ResponseWriter, r *http.Request, co gateway.Completion, isChat bool) {
 	started := false
 	send := func(v any) error {
@@ -194,7 +195,7 @@
 
 		return http.NewResponseController(w).Flush()
 	}
-	wr, err := ca.ga.Complete(r.Context(), co, func(id string, part *wire.RunChunk) error {
+	wr, err := ca.gateway.Complete(r.Context(), co, func(id string, part *wire.RunChunk) error {
 		if !started {
 			started = true
 			w.Header().Set("Content-Type", "text/event-stream")
@@ -202,14 +203,14 @@
 			w.WriteHeader(http.StatusOK)
 		}
 
-		return send(partReply(id, co.Model, part, isChat))
+		return send(chunkReply(id, co.Model, part, isChat))
 	})
 	switch {
 	case err != nil && !started:
 		ca.refuse(w, err)
 	case err != nil:
-		ca.ga.Meter().Refused(err)
-		_ = send(newErrorBody(result.From(err))) // the connection may be the cause
+		ca.gateway.Meter().Refused(err)
+		_ = send(newErrorBody(result.From(err))) // fails if the connection is the cause
 	default:
 		last := completionReply{
 			ID: wr.RequestID, Object: objectName(isChat, true), Created: time.Now().Unix(), Model: co.Model,
@@ -222,7 +223,7 @@
 	}
 }
 
-func partReply(id, model string, part *wire.RunChunk, isChat bool) completionReply {
+func chunkReply(id, model string, part *wire.RunChunk, isChat bool) completionReply {
 	text := part.GetText()
 	ch := completionChoice{}
 	if isChat {
