--- a/internal/program/node.go
+++ b/internal/program/node.go
@@ -39,33 +39,36 @@
 )
 
 const (
-	// silenceLimit cuts connections whose peer acknowledges nothing: long enough for
-	// a lost packet or two, short against the seconds after which a VM counts as lost.
+	// silenceLimit is how long a peer may leave sent data unacknowledged before its
+	// connection is closed. It tolerates one or two lost packets and is well below the
+	// seconds after which a VM counts as lost.
 	silenceLimit = 1500 * time.Millisecond
-	// sessionLimit bounds the opening of a session between own processes, which takes
+	// sessionLimit bounds the opening of a session between own processes. It takes
 	// milliseconds unless a packet is lost.
 	sessionLimit = 500 * time.Millisecond
-	// backendIdle is how long an unused connection to a backend server is kept before
-	// the first one tells how long it keeps them.
+	// backendIdle is how long an idle connection to a backend server is kept until the
+	// server has announced its own keep-alive timeout.
 	backendIdle = 4 * time.Second
-	// backendDial bounds the opening of a connection to a backend server, which takes
-	// milliseconds: a silent one is left for another soon.
+	// backendDial bounds the opening of a connection to a backend server. It normally
+	// takes milliseconds; after the timeout another server is tried.
 	backendDial = 300 * time.Millisecond
-	// memoryShare of the limit is where the garbage collector works harder.
+	// memoryShare is the share of the process's memory limit that is set as the soft limit
+	// of the Go runtime, near which the garbage collector runs more often.
 	memoryShare = 0.6
-	// reloadPeriod is how often the settings file is looked at without a signal.
+	// reloadPeriod is how often the settings file is read again without a signal.
 	reloadPeriod = 2 * time.Second
-	// notReadyFor is how long a stopping gateway still takes requests: the balancer
-	// asks once a second and moves on after two misses.
+	// notReadyFor is how long a gateway that shuts down still accepts requests: the
+	// balancer checks readiness once a second and removes a gateway after two failures.
 	notReadyFor = 3 * time.Second
-	// stopMargin is left of the time between the stop signal and the end by force.
+	// stopMargin is the part of the grace period after the stop signal that is left unused
+	// by the drain, so that the process ends before it is killed.
 	stopMargin = time.Second
-	// handOverLimit bounds the giving up of leases and of the lead.
+	// handOverLimit bounds the transfer of leases and leadership when a node shuts down.
 	handOverLimit = 700 * time.Millisecond
-	// metricsPort is where counters and histograms are served, as the deploy file says.
+	// metricsPort is the port of counters and histograms. deploy/system.toml names it too.
 	metricsPort = "9464"
-	// clientIdle is above the longest time that clients of the users keep an unused
-	// connection, so that the server never closes one that is about to be used.
+	// clientIdle is longer than any client of the users keeps an idle connection, so that
+	// the server never closes a connection that a client is about to reuse.
 	clientIdle = time.Minute
 )
 
@@ -84,15 +87,15 @@
 	edge        *edge.Edge
 	handOver    func(ctx context.Context)
 	leads       func() bool
-	gauges      func() // sets what is measured only when it is asked for
+	gauges      func() // updates the gauges that are computed only when metrics are read
 	dropped     func() int64
 }
 
-// bootNow returns the time since the machine started, in which it may have been suspended.
+// bootNow returns the time since the machine booted, including time spent suspended.
 func bootNow() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		panic(err) // the clock is part of every supported kernel
+		panic(err) // every supported kernel has this clock
 	}
 
 	return time.Duration(ts.Nano())
@@ -100,7 +103,7 @@
 
 func wallMs() int64 { return time.Now().UnixMilli() }
 
-// countedFiles returns the files of the system, whose syncs are counted.
+// countedFiles returns the operating system's files and counts their syncs.
 func (nd *Node) countedFiles() storage.Files {
 	fi := storage.OSFiles()
 	counted := func(open func(path string) (storage.File, error)) func(path string) (storage.File, error) {
@@ -121,8 +124,8 @@
 	return fi
 }
 
-// StartNode starts the process of a role; boot reads its settings, dropped returns
-// how many lines of the log were dropped, nil for none.
+// StartNode starts the process of a role. Boot reads its settings; it is called again to
+// reload them. Dropped returns the number of dropped log lines; nil means none.
 func StartNode(role string, boot func() (*settings.Node, error), lo log.Interface, dropped func() int64) (*Node, error) {
 	if dropped == nil {
 		dropped = func() int64 { return 0 }
@@ -147,7 +150,7 @@
 		RoleGateway: nd.startGateway, RoleController: nd.startController, RoleStore: nd.startStore,
 	}[role]
 	if start == nil {
-		err = result.New(result.InvalidSettings, "program: no role %q", role)
+		err = result.New(result.InvalidSettings, "program: role %q does not exist", role)
 	} else {
 		err = start(ctx)
 	}
@@ -167,10 +170,10 @@
 	return nd, nil
 }
 
-// seeds returns the controllers of the settings as they are now.
+// seeds returns the controllers' addresses of the settings that were loaded last.
 func (nd *Node) seeds() []string { return slices.Clone(*nd.controllers.Load()) }
 
-// peerConfig describes sessions with other own processes.
+// peerConfig returns the configuration of sessions with other own processes.
 func (nd *Node) peerConfig() peer.Config {
 	return peer.Config{
 		Bind: nd.settings.BindIP, Silence: silenceLimit, DialTimeout: sessionLimit, Log: nd.log,
@@ -181,7 +184,7 @@
 	}
 }
 
-// serve serves HTTP at address.
+// serve starts an HTTP server at address as a component called name.
 func (nd *Node) serve(name, address string, h http.Handler) error {
 	ln, err := dialer.Listen(address, silenceLimit)
 	if err != nil {
@@ -189,7 +192,7 @@
 	}
 	sv := &http.Server{
 		Handler: h, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: clientIdle,
-		ErrorLog: stdlog.New(io.Discard, "", 0), // broken connections are counted by their requests
+		ErrorLog: stdlog.New(io.Discard, "", 0), // failed connections are counted with their requests
 	}
 	nd.servers = append(nd.servers, sv)
 	nd.run(name, func() error { return sv.Serve(ln) })
@@ -197,7 +200,7 @@
 	return nil
 }
 
-// httpClient returns the client through which backend servers are reached.
+// httpClient returns the HTTP client for backend servers.
 func (nd *Node) httpClient() *http.Client {
 	return httpcall.NewLearning(httpcall.Config{
 		Bind: nd.settings.BindIP, KeepAlive: true, Silence: silenceLimit, Idle: backendIdle, DialTimeout: backendDial,
@@ -216,18 +219,18 @@
 	return nil
 }
 
-// serveMetrics serves counters and histograms. Without them a process still does
-// its work.
+// serveMetrics serves counters, gauges and histograms. A process that cannot serve them
+// runs without them.
 func (nd *Node) serveMetrics() {
 	h := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		nd.gauges()
 		nd.meter.Gauge("log.dropped", nd.dropped())
 		if err := nd.meter.WriteText(w); err != nil {
-			nd.log.WithError(err).Info("metrics not written") // the reader has gone
+			nd.log.WithError(err).Info("metrics could not be written to their reader") // it has disconnected
 		}
 	})
 	if err := nd.serve("metrics", net.JoinHostPort(nd.settings.BindIP, metricsPort), h); err != nil {
-		nd.log.WithError(err).Warn("no metrics")
+		nd.log.WithError(err).Warn("metrics are not served")
 	}
 }
 
@@ -291,7 +294,8 @@
 	return nil
 }
 
-// limited ends what a control call does before its caller turns to another controller.
+// limited bounds each control call, so that it ends before its caller retries at another
+// controller.
 func limited(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), platform.ControlTimeout)
@@ -329,7 +333,7 @@
 	return nil
 }
 
-// reloadDuty looks at the settings file now and then: it may change without a signal.
+// reloadDuty reloads the settings file periodically, because it may change without a signal.
 func (nd *Node) reloadDuty(ctx context.Context) error {
 	for {
 		select {
@@ -341,25 +345,26 @@
 	}
 }
 
-// Reload reads the settings anew. Only the controllers can change in a running process.
+// Reload reads the settings again and applies a changed list of controllers. Changes of
+// other settings need a restart.
 func (nd *Node) Reload() {
 	no, err := nd.boot()
 	if err != nil {
-		nd.log.WithError(err).Warn("settings not reloaded")
+		nd.log.WithError(err).Warn("settings could not be reloaded, keeping the current ones")
 
 		return
 	}
 	if slices.Equal(no.Controllers, *nd.controllers.Load()) {
 		return
 	}
-	nd.log.WithFields(log.Fields{"old": *nd.controllers.Load(), "new": no.Controllers}).Info("settings reloaded")
+	nd.log.WithFields(log.Fields{"old": *nd.controllers.Load(), "new": no.Controllers}).Info("settings reloaded, the list of controllers changed")
 	nd.controllers.Store(&no.Controllers)
 }
 
-// Leads reports whether the process's replica leads its group.
+// Leads reports whether the process's replica is the leader of its group.
 func (nd *Node) Leads() bool { return nd.leads() }
 
-// Kill ends everything at once.
+// Kill terminates the process's components immediately, as a crash would.
 func (nd *Node) Kill() {
 	nd.cancel()
 	for _, sv := range nd.servers {
@@ -370,8 +375,8 @@
 	}
 }
 
-// Shutdown ends gracefully: the lead and the leases are given away, the balancer
-// moves on, and what runs finishes.
+// Shutdown terminates gracefully: it transfers leases and leadership, waits until the
+// balancer has removed a gateway, and lets running requests finish.
 func (nd *Node) Shutdown() {
 	began := time.Now()
 	nd.log.Info("shutdown begins")
@@ -388,7 +393,7 @@
 		for _, sv := range nd.servers {
 			wg.Go(func() {
 				if err := sv.Shutdown(dctx); err != nil {
-					nd.log.WithError(err).Warn("requests were still running at the end of the drain")
+					nd.log.WithError(err).Warn("drain time expired while requests were still running")
 				}
 			})
 		}
--- a/internal/program/parts.go
+++ b/internal/program/parts.go
@@ -9,11 +9,12 @@
 	"github.com/gravitational/trace"
 )
 
-// parts run together: the first that breaks ends them all.
+// parts is a run group of the components of a process. When one component fails,
+// all of them are terminated.
 type parts struct {
-	what string // of them, in the log
+	what string // kind of process, used in log messages
 	log  log.Interface
-	kill func() // ends all parts
+	kill func() // terminates all components
 
 	wg   sync.WaitGroup
 	done chan struct{}
@@ -21,7 +22,7 @@
 	err  error
 }
 
-// run starts a part. It must not be called after seal.
+// run starts a component. It must not be called after seal.
 func (pa *parts) run(name string, f func() error) {
 	pa.wg.Go(func() {
 		if err := f(); err != nil && !errors.Is(err, http.ErrServerClosed) {
@@ -30,23 +31,24 @@
 	})
 }
 
-// fail ends all parts after one of them broke.
+// fail records the first error and terminates all components.
 func (pa *parts) fail(name string, err error) {
 	pa.mu.Lock()
 	if pa.err == nil {
 		pa.err = trace.Wrap(err, name)
 	}
 	pa.mu.Unlock()
-	pa.log.WithError(err).WithField("part", name).Error("the " + pa.what + " stops")
+	pa.log.WithError(err).WithField("part", name).Error("terminating the " + pa.what + " because a component failed")
 	pa.kill()
 }
 
-// newParts returns no parts yet. The owner sets kill before it runs the first.
+// newParts returns an empty run group. The owner sets kill before the first call of run.
 func newParts(what string, lo log.Interface) *parts {
 	return &parts{what: what, log: lo, done: make(chan struct{})}
 }
 
-// seal says that all parts are started.
+// seal closes the done channel once all components have returned. It is called after
+// the last component has been started.
 func (pa *parts) seal() {
 	go func() {
 		pa.wg.Wait()
@@ -54,10 +56,10 @@
 	}()
 }
 
-// Done is closed when all parts have ended.
+// Done returns a channel that is closed once all components have returned.
 func (pa *parts) Done() <-chan struct{} { return pa.done }
 
-// Err returns why the process ended by itself, or nil.
+// Err returns the first error of a component, or nil if none failed.
 func (pa *parts) Err() error {
 	pa.mu.Lock()
 	defer pa.mu.Unlock()
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,5 +1,6 @@
-// Package program runs the whole of a gateway or an agent: the process's parts in
-// run groups that stop together, in the order of a graceful shutdown.
+// Package program assembles and runs complete processes: gateways, agents and the nodes
+// that a platform starts. The components of a gateway or a node form a run group: if one
+// fails, all stop. A graceful shutdown stops them in order.
 package program
 
 import (
@@ -28,9 +29,12 @@
 
 const (
 	readHeaderTimeout = 5 * time.Second
-	idleTimeout       = 2 * time.Minute
-	handOverTimeout   = 3 * time.Second
-	headerFlood       = 8
+	idleTimeout       = 2 * time.Minute // of connections of callers and operators
+	// handOverTimeout bounds the transfer of leases and leadership when a gateway shuts down.
+	handOverTimeout = 3 * time.Second
+	// headerFlood is how many times the configured limit of a header net/http accepts, so
+	// that the handlers can answer a header over the limit with a numbered error.
+	headerFlood = 8
 )
 
 // Gateway is a running gateway process with its listeners.
@@ -105,9 +109,8 @@
 func newServer(h http.Handler, maxHeader int) *http.Server {
 	return &http.Server{
 		Handler: h, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout,
-		// Up to this size the handlers answer with a numbered error, beyond it the library does.
 		MaxHeaderBytes: headerFlood * maxHeader,
-		ErrorLog:       stdlog.New(io.Discard, "", 0), // broken connections are counted by their requests
+		ErrorLog:       stdlog.New(io.Discard, "", 0), // failed connections are counted with their requests
 	}
 }
 
@@ -120,21 +123,22 @@
 	pg.seal()
 	pg.log.WithFields(log.Fields{
 		"callers": pg.callerLn.Addr().String(), "operators": pg.opLn.Addr().String(), "peers": pg.gateway.PeerAddress(),
-	}).Info("gateway serves")
+	}).Info("gateway is serving")
 }
 
-// Gateway returns the gateway itself.
+// Gateway returns the gateway that the process runs.
 func (pg *Gateway) Gateway() *gateway.Gateway { return pg.gateway }
 
-// Kill ends everything at once, as a crash would.
+// Kill terminates the process's components immediately, as a crash would.
 func (pg *Gateway) Kill() {
 	pg.cancel()
 	_ = pg.callers.Close()
 	_ = pg.ops.Close()
 }
 
-// Shutdown ends gracefully: the health check fails first, work is taken until the
-// balancer has moved on, leases and the lead are handed over, what runs finishes.
+// Shutdown terminates gracefully. The health check fails first, and new requests are
+// accepted until the balancer has removed the gateway. Then leases and leadership are
+// transferred, and running requests finish within the drain time.
 func (pg *Gateway) Shutdown() {
 	pg.log.Info("shutdown begins")
 	pg.gateway.BeginShutdown()
@@ -147,11 +151,11 @@
 	dctx, cancel := context.WithTimeout(context.Background(), settings.Duration(pg.se.Times.DrainMs))
 	defer cancel()
 	if err := pg.callers.Shutdown(dctx); err != nil {
-		pg.log.WithError(err).Warn("requests were still running at the end of the drain")
+		pg.log.WithError(err).Warn("drain time expired while requests were still running")
 	}
 	pg.Kill()
 	<-pg.done
-	pg.log.Info("shutdown done")
+	pg.log.Info("shutdown complete")
 }
 
 // Agent is a running agent process.
@@ -163,7 +167,7 @@
 	done   chan struct{}
 }
 
-// StartAgent starts an agent.
+// StartAgent starts the agent of a backend server.
 func StartAgent(se settings.Agent, lo log.Interface) (*Agent, error) {
 	_, _, peerClient, err := se.TLS.Configs()
 	if err != nil {
@@ -184,23 +188,23 @@
 		defer close(pa.done)
 		ag.Run(ctx)
 	}()
-	lo.WithFields(log.Fields{"server": se.Server, "gateways": strings.Join(se.Gateways, " ")}).Info("agent serves")
+	lo.WithFields(log.Fields{"server": se.Server, "gateways": strings.Join(se.Gateways, " ")}).Info("agent is running")
 
 	return pa, nil
 }
 
-// Kill ends the agent at once, as a crash would.
+// Kill terminates the agent immediately, as a crash would.
 func (pa *Agent) Kill() {
 	pa.cancel()
 	<-pa.done
 }
 
-// Shutdown drains the backend server, then ends.
+// Shutdown drains the backend server, then terminates the agent.
 func (pa *Agent) Shutdown() {
-	pa.log.Info("drain begins")
+	pa.log.Info("draining the backend server")
 	ctx, cancel := context.WithTimeout(context.Background(), settings.Duration(pa.se.DrainMs))
 	defer cancel()
 	pa.agent.Drain(ctx)
 	pa.Kill()
-	pa.log.Info("drain done")
+	pa.log.Info("drain of the backend server complete")
 }
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -75,7 +75,7 @@
 }
 
 var _ = Describe("a deployment with TLS", func() {
-	It("serves callers over TLS, knows its own processes alone, and takes new certificates without a restart", func() {
+	It("serves callers over TLS, admits only agents with certificates of its own authority, and reloads certificates without a restart", func() {
 		dir, err := os.MkdirTemp("", "tls-")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(os.RemoveAll, dir)
@@ -116,14 +116,14 @@
 			return out
 		}
 		Eventually(servers, 10*time.Second).Should(Equal([]string{"known"}))
-		Consistently(servers, time.Second).Should(Equal([]string{"known"}), "others are not let in")
+		Consistently(servers, time.Second).Should(Equal([]string{"known"}), "agents without a certificate of this authority are rejected")
 
 		serial := func() int64 {
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 			defer cancel()
 			got := int64(0)
 			hc := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, TLSClientConfig: &tls.Config{
-				InsecureSkipVerify: true, //nolint:gosec // the serial number tells which certificate was shown
+				InsecureSkipVerify: true, //nolint:gosec // only the serial number of the served certificate is compared
 				VerifyConnection: func(cs tls.ConnectionState) error {
 					got = cs.PeerCertificates[0].SerialNumber.Int64()
 
@@ -143,7 +143,7 @@
 		Eventually(serial, 10*time.Second, 200*time.Millisecond).Should(Equal(int64(9)))
 	})
 
-	It("is refused with a numbered error for files that are missing", func() {
+	It("fails to start with a numbered error when certificate files are missing", func() {
 		var se settings.Gateway
 		settings.Defaults(&se)
 		se.TLS = settings.TLS{Certificate: "/none", Key: "/none", CA: "/none"}
--- a/internal/program/rules_test.go
+++ b/internal/program/rules_test.go
@@ -11,16 +11,16 @@
 	. "github.com/onsi/gomega"
 )
 
-// banned lists imports that a process of the product must not have, with the rule.
+// banned maps each package that no process of the product may import to the reason.
 var banned = map[string]string{
-	"os/exec":           "a process starts no other process",
-	"plugin":            "a process starts no other process",
-	"net/http/httputil": "proxying is the project's own work",
-	"unsafe":            "no shared memory, no io_uring",
+	"os/exec":           "processes must not start other processes",
+	"plugin":            "processes must not start other processes",
+	"net/http/httputil": "proxying is implemented by the project itself",
+	"unsafe":            "shared memory and io_uring are not allowed",
 }
 
-var _ = Describe("the programs' sources", func() {
-	It("import nothing that the places they run in rule out", func() {
+var _ = Describe("the source files of the programs", func() {
+	It("import no package that the environments they run in forbid", func() {
 		files := 0
 		Expect(filepath.WalkDir("../..", func(path string, de fs.DirEntry, err error) error {
 			if err != nil || de.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || strings.HasSuffix(path, ".pb.go") {
