--- a/internal/program/node.go
+++ b/internal/program/node.go
@@ -39,60 +39,60 @@
 )
 
 const (
-	// silenceLimit is how long a peer may leave sent data unacknowledged before its
+	// ackTimeout is how long a peer may leave sent data unacknowledged before its
 	// connection is closed. It tolerates one or two lost packets and is well below the
 	// seconds after which a VM counts as lost.
-	silenceLimit = 1500 * time.Millisecond
-	// sessionLimit bounds the opening of a session between own processes. It takes
+	ackTimeout = 1500 * time.Millisecond
+	// sessionDialTimeout bounds the opening of a session between own processes. It takes
 	// milliseconds unless a packet is lost.
-	sessionLimit = 500 * time.Millisecond
-	// backendIdle is how long an idle connection to a backend server is kept until the
-	// server has announced its own keep-alive timeout.
-	backendIdle = 4 * time.Second
-	// backendDial bounds the opening of a connection to a backend server. It normally
+	sessionDialTimeout = 500 * time.Millisecond
+	// backendIdleTimeout is how long an idle connection to a backend server is kept until
+	// the server has announced its own keep-alive timeout.
+	backendIdleTimeout = 4 * time.Second
+	// backendDialTimeout bounds the opening of a connection to a backend server. It normally
 	// takes milliseconds; after the timeout another server is tried.
-	backendDial = 300 * time.Millisecond
-	// memoryShare is the share of the process's memory limit that is set as the soft limit
-	// of the Go runtime, near which the garbage collector runs more often.
-	memoryShare = 0.6
+	backendDialTimeout = 300 * time.Millisecond
+	// memoryLimitShare is the share of the process's memory limit that is set as the soft
+	// limit of the Go runtime, near which the garbage collector runs more often.
+	memoryLimitShare = 0.6
 	// reloadPeriod is how often the settings file is read again without a signal.
 	reloadPeriod = 2 * time.Second
-	// notReadyFor is how long a gateway that shuts down still accepts requests: the
+	// notReadyPeriod is how long a gateway that shuts down still accepts requests: the
 	// balancer checks readiness once a second and removes a gateway after two failures.
-	notReadyFor = 3 * time.Second
+	notReadyPeriod = 3 * time.Second
 	// stopMargin is the part of the grace period after the stop signal that is left unused
 	// by the drain, so that the process ends before it is killed.
 	stopMargin = time.Second
-	// handOverLimit bounds the transfer of leases and leadership when a node shuts down.
-	handOverLimit = 700 * time.Millisecond
+	// nodeHandOverTimeout bounds the transfer of leases and leadership when a node shuts down.
+	nodeHandOverTimeout = 700 * time.Millisecond
 	// metricsPort is the port of counters and histograms. deploy/system.toml names it too.
 	metricsPort = "9464"
-	// clientIdle is longer than any client of the users keeps an idle connection, so that
-	// the server never closes a connection that a client is about to reuse.
-	clientIdle = time.Minute
+	// clientIdleTimeout is longer than any client of the users keeps an idle connection, so
+	// that the server never closes a connection that a client is about to reuse.
+	clientIdleTimeout = time.Minute
 )
 
 // Node is a running process on a platform.
 type Node struct {
-	*parts
-	role  string
-	boot  func() (*settings.Node, error)
-	meter *meter.Meter
-
-	controllers atomic.Pointer[[]string]
-	settings    *settings.Node
-	cancel      context.CancelFunc
-	servers     []*http.Server
-	peers       *peer.Listener
-	edge        *edge.Edge
-	handOver    func(ctx context.Context)
-	leads       func() bool
-	gauges      func() // updates the gauges that are computed only when metrics are read
-	dropped     func() int64
+	*runGroup
+	role         string
+	loadSettings func() (*settings.Node, error)
+	meter        *meter.Meter
+
+	controllers  atomic.Pointer[[]string]
+	settings     *settings.Node
+	cancel       context.CancelFunc
+	servers      []*http.Server
+	peers        *peer.Listener
+	edge         *edge.Edge
+	handOver     func(ctx context.Context)
+	isLeader     func() bool
+	updateGauges func() // updates the gauges that are computed only when metrics are read
+	droppedLines func() int64
 }
 
-// bootNow returns the time since the machine booted, including time spent suspended.
-func bootNow() time.Duration {
+// timeSinceBoot returns the time since the machine booted, including time spent suspended.
+func timeSinceBoot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		panic(err) // every supported kernel has this clock
@@ -135,15 +135,15 @@
 		return nil, err
 	}
 	if no.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(no.MemoryBytes)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(no.MemoryBytes)))
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	nd := &Node{
-		parts: newParts("process", lo.WithFields(log.Fields{"role": role, "node": no.Name})), role: role, boot: boot, meter: meter.New(),
-		settings: no, cancel: cancel, handOver: func(context.Context) {}, leads: func() bool { return false }, gauges: func() {},
-		dropped: dropped,
+		runGroup: newRunGroup("process", lo.WithFields(log.Fields{"role": role, "node": no.Name})), role: role, loadSettings: boot, meter: meter.New(),
+		settings: no, cancel: cancel, handOver: func(context.Context) {}, isLeader: func() bool { return false }, updateGauges: func() {},
+		droppedLines: dropped,
 	}
-	nd.kill = nd.Kill
+	nd.terminate = nd.Kill
 	nd.controllers.Store(&no.Controllers)
 
 	start := map[string]func(ctx context.Context) error{
@@ -160,8 +160,8 @@
 		return nil, err
 	}
 	nd.serveMetrics()
-	nd.run("reload", func() error { return nd.reloadDuty(ctx) })
-	nd.seal()
+	nd.run("reload", func() error { return nd.reloadPeriodically(ctx) })
+	nd.closeWhenDone()
 	nd.log.WithFields(log.Fields{
 		"failureDomain": no.FailureDomain, "peers": no.PeerAddress, "controllers": no.Controllers, "mayForm": no.MayForm,
 		"dataFolder": no.DataFolder, "losses": no.Losses,
@@ -176,7 +176,7 @@
 // peerConfig returns the configuration of sessions with other own processes.
 func (nd *Node) peerConfig() peer.Config {
 	return peer.Config{
-		Bind: nd.settings.BindIP, Silence: silenceLimit, DialTimeout: sessionLimit, Log: nd.log,
+		Bind: nd.settings.BindIP, Silence: ackTimeout, DialTimeout: sessionDialTimeout, Log: nd.log,
 		Hello: &wire.Hello{
 			Name: nd.settings.Name, Role: nd.role, FailureDomain: nd.settings.FailureDomain, Address: nd.settings.PeerAddress,
 			Protocol: peer.ProtocolVersion,
@@ -186,12 +186,12 @@
 
 // serve starts an HTTP server at address as a component called name.
 func (nd *Node) serve(name, address string, h http.Handler) error {
-	ln, err := dialer.Listen(address, silenceLimit)
+	ln, err := dialer.Listen(address, ackTimeout)
 	if err != nil {
 		return result.New(result.AddressInUse, "program: listen on %s: %v", address, err)
 	}
 	sv := &http.Server{
-		Handler: h, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: clientIdle,
+		Handler: h, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: clientIdleTimeout,
 		ErrorLog: stdlog.New(io.Discard, "", 0), // failed connections are counted with their requests
 	}
 	nd.servers = append(nd.servers, sv)
@@ -203,7 +203,7 @@
 // httpClient returns the HTTP client for backend servers.
 func (nd *Node) httpClient() *http.Client {
 	return httpcall.NewLearning(httpcall.Config{
-		Bind: nd.settings.BindIP, KeepAlive: true, Silence: silenceLimit, Idle: backendIdle, DialTimeout: backendDial,
+		Bind: nd.settings.BindIP, KeepAlive: true, Silence: ackTimeout, Idle: backendIdleTimeout, DialTimeout: backendDialTimeout,
 	})
 }
 
@@ -223,8 +223,8 @@
 // runs without them.
 func (nd *Node) serveMetrics() {
 	h := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		nd.gauges()
-		nd.meter.Gauge("log.dropped", nd.dropped())
+		nd.updateGauges()
+		nd.meter.Gauge("log.dropped", nd.droppedLines())
 		if err := nd.meter.WriteText(w); err != nil {
 			nd.log.WithError(err).Info("metrics could not be written to their reader") // it has disconnected
 		}
@@ -237,11 +237,11 @@
 func (nd *Node) startGateway(ctx context.Context) error {
 	hc := nd.httpClient()
 	ed := edge.New(edge.Config{
-		Settings: nd.settings, Controllers: nd.seeds, Peer: nd.peerConfig(), Client: platform.NewBackendClient(hc), Now: bootNow,
+		Settings: nd.settings, Controllers: nd.seeds, Peer: nd.peerConfig(), Client: platform.NewBackendClient(hc), Now: timeSinceBoot,
 		Meter: nd.meter, Log: nd.log,
 	})
 	nd.edge = ed
-	nd.gauges = func() { ed.Measure(nd.meter) }
+	nd.updateGauges = func() { ed.Measure(nd.meter) }
 	front := &platform.Front{
 		Serve: ed.Ingress().Serve, IsBatch: ed.Gate().IsBatch, Submit: ed.Gate().Submit, Read: ed.Gate().Read, Body: ed.Gate().Body,
 		End: ed.Gate().End, MaxBodyBytes: ed.MaxBodyBytes, IsReady: ed.IsReady, IsClosing: ed.IsClosing,
@@ -268,7 +268,7 @@
 	hc := nd.httpClient()
 	cfg := controller.Config{
 		Settings: nd.settings, Controllers: nd.seeds, Files: nd.countedFiles(), Peer: nd.peerConfig(),
-		Client: platform.NewBackendClient(hc), Now: bootNow, WallMs: wallMs, Log: nd.log,
+		Client: platform.NewBackendClient(hc), Now: timeSinceBoot, WallMs: wallMs, Log: nd.log,
 	}
 	if nd.settings.DutiesAddress != "" {
 		cfg.ReportUsage = platform.NewDuties(nd.settings.DutiesAddress, hc).ReportUsage
@@ -277,26 +277,26 @@
 	if err != nil {
 		return err
 	}
-	if err := nd.servePeers(nd.peerConfigOf(string(co.Group().Replica())), co.Handlers()); err != nil {
+	if err := nd.servePeers(nd.replicaPeerConfig(string(co.Group().Replica())), co.Handlers()); err != nil {
 		return err
 	}
 	ctl := &platform.Control{
 		Beat: co.Beat, Leave: co.Leave, PutRouting: co.PutRouting, Routing: co.Routing, NameVersion: co.NameVersion,
 		Retire: co.Retire, Retirement: co.Retirement,
 	}
-	if err := nd.serve("control", nd.settings.ControlAddress, limited(ctl.Handler())); err != nil {
+	if err := nd.serve("control", nd.settings.ControlAddress, withControlTimeout(ctl.Handler())); err != nil {
 		return err
 	}
-	nd.handOver, nd.leads = co.StopDuties, co.Group().IsLeader
-	nd.gauges = func() { co.Measure(nd.meter) }
+	nd.handOver, nd.isLeader = co.StopDuties, co.Group().IsLeader
+	nd.updateGauges = func() { co.Measure(nd.meter) }
 	nd.run("controller", func() error { return co.Run(ctx) })
 
 	return nil
 }
 
-// limited bounds each control call, so that it ends before its caller retries at another
-// controller.
-func limited(h http.Handler) http.Handler {
+// withControlTimeout bounds each control call, so that it ends before its caller retries
+// at another controller.
+func withControlTimeout(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), platform.ControlTimeout)
 		defer cancel()
@@ -304,7 +304,7 @@
 	})
 }
 
-func (nd *Node) peerConfigOf(replica string) peer.Config {
+func (nd *Node) replicaPeerConfig(replica string) peer.Config {
 	cfg := nd.peerConfig()
 	cfg.Hello.Replica = replica
 
@@ -318,23 +318,23 @@
 	hc := nd.httpClient()
 	st, err := jobstore.New(jobstore.Config{
 		Settings: nd.settings, Controllers: nd.seeds, Files: nd.countedFiles(), Peer: nd.peerConfig(),
-		Client: platform.NewBackendClient(hc), Now: bootNow, WallMs: wallMs, Meter: nd.meter, Log: nd.log,
+		Client: platform.NewBackendClient(hc), Now: timeSinceBoot, WallMs: wallMs, Meter: nd.meter, Log: nd.log,
 	})
 	if err != nil {
 		return err
 	}
-	if err := nd.servePeers(nd.peerConfigOf(string(st.Group().Replica())), st.Handlers()); err != nil {
+	if err := nd.servePeers(nd.replicaPeerConfig(string(st.Group().Replica())), st.Handlers()); err != nil {
 		return err
 	}
-	nd.handOver, nd.leads = st.StopDuties, st.Group().IsLeader
-	nd.gauges = func() { st.Measure(nd.meter) }
+	nd.handOver, nd.isLeader = st.StopDuties, st.Group().IsLeader
+	nd.updateGauges = func() { st.Measure(nd.meter) }
 	nd.run("store", func() error { return st.Run(ctx) })
 
 	return nil
 }
 
-// reloadDuty reloads the settings file periodically, because it may change without a signal.
-func (nd *Node) reloadDuty(ctx context.Context) error {
+// reloadPeriodically reloads the settings file, because it may change without a signal.
+func (nd *Node) reloadPeriodically(ctx context.Context) error {
 	for {
 		select {
 		case <-time.After(reloadPeriod):
@@ -348,7 +348,7 @@
 // Reload reads the settings again and applies a changed list of controllers. Changes of
 // other settings need a restart.
 func (nd *Node) Reload() {
-	no, err := nd.boot()
+	no, err := nd.loadSettings()
 	if err != nil {
 		nd.log.WithError(err).Warn("settings could not be reloaded, keeping the current ones")
 
@@ -362,7 +362,7 @@
 }
 
 // Leads reports whether the process's replica is the leader of its group.
-func (nd *Node) Leads() bool { return nd.leads() }
+func (nd *Node) Leads() bool { return nd.isLeader() }
 
 // Kill terminates the process's components immediately, as a crash would.
 func (nd *Node) Kill() {
@@ -380,13 +380,13 @@
 func (nd *Node) Shutdown() {
 	began := time.Now()
 	nd.log.Info("shutdown begins")
-	hctx, cancel := context.WithTimeout(context.Background(), handOverLimit)
+	hctx, cancel := context.WithTimeout(context.Background(), nodeHandOverTimeout)
 	nd.handOver(hctx)
 	cancel()
 
 	if nd.edge != nil {
 		nd.edge.BeginShutdown()
-		time.Sleep(notReadyFor)
+		time.Sleep(notReadyPeriod)
 		dctx, cancel := context.WithDeadline(context.Background(), began.Add(nd.settings.StopGrace-stopMargin))
 		defer cancel()
 		var wg sync.WaitGroup
--- a/internal/program/parts.go
+++ b/internal/program/parts.go
@@ -9,12 +9,12 @@
 	"github.com/gravitational/trace"
 )
 
-// parts is a run group of the components of a process. When one component fails,
+// runGroup is a run group of the components of a process. When one component fails,
 // all of them are terminated.
-type parts struct {
-	what string // kind of process, used in log messages
-	log  log.Interface
-	kill func() // terminates all components
+type runGroup struct {
+	process   string // kind of process, used in log messages
+	log       log.Interface
+	terminate func() // terminates all components
 
 	wg   sync.WaitGroup
 	done chan struct{}
@@ -22,47 +22,47 @@
 	err  error
 }
 
-// run starts a component. It must not be called after seal.
-func (pa *parts) run(name string, f func() error) {
-	pa.wg.Go(func() {
+// run starts a component. It must not be called after closeWhenDone.
+func (rg *runGroup) run(name string, f func() error) {
+	rg.wg.Go(func() {
 		if err := f(); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			pa.fail(name, err)
+			rg.fail(name, err)
 		}
 	})
 }
 
 // fail records the first error and terminates all components.
-func (pa *parts) fail(name string, err error) {
-	pa.mu.Lock()
-	if pa.err == nil {
-		pa.err = trace.Wrap(err, name)
+func (rg *runGroup) fail(name string, err error) {
+	rg.mu.Lock()
+	if rg.err == nil {
+		rg.err = trace.Wrap(err, name)
 	}
-	pa.mu.Unlock()
-	pa.log.WithError(err).WithField("part", name).Error("terminating the " + pa.what + " because a component failed")
-	pa.kill()
+	rg.mu.Unlock()
+	rg.log.WithError(err).WithField("part", name).Error("terminating the " + rg.process + " because a component failed")
+	rg.terminate()
 }
 
-// newParts returns an empty run group. The owner sets kill before the first call of run.
-func newParts(what string, lo log.Interface) *parts {
-	return &parts{what: what, log: lo, done: make(chan struct{})}
+// newRunGroup returns an empty run group. The owner sets terminate before the first call of run.
+func newRunGroup(process string, lo log.Interface) *runGroup {
+	return &runGroup{process: process, log: lo, done: make(chan struct{})}
 }
 
-// seal closes the done channel once all components have returned. It is called after
+// closeWhenDone closes the done channel once all components have returned. It is called after
 // the last component has been started.
-func (pa *parts) seal() {
+func (rg *runGroup) closeWhenDone() {
 	go func() {
-		pa.wg.Wait()
-		close(pa.done)
+		rg.wg.Wait()
+		close(rg.done)
 	}()
 }
 
 // Done returns a channel that is closed once all components have returned.
-func (pa *parts) Done() <-chan struct{} { return pa.done }
+func (rg *runGroup) Done() <-chan struct{} { return rg.done }
 
 // Err returns the first error of a component, or nil if none failed.
-func (pa *parts) Err() error {
-	pa.mu.Lock()
-	defer pa.mu.Unlock()
+func (rg *runGroup) Err() error {
+	rg.mu.Lock()
+	defer rg.mu.Unlock()
 
-	return pa.err
+	return rg.err
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -32,20 +32,20 @@
 	idleTimeout       = 2 * time.Minute // of connections of callers and operators
 	// handOverTimeout bounds the transfer of leases and leadership when a gateway shuts down.
 	handOverTimeout = 3 * time.Second
-	// headerFlood is how many times the configured limit of a header net/http accepts, so
+	// headerLimitFactor is how many times the configured limit of a header net/http accepts, so
 	// that the handlers can answer a header over the limit with a numbered error.
-	headerFlood = 8
+	headerLimitFactor = 8
 )
 
 // Gateway is a running gateway process with its listeners.
 type Gateway struct {
-	*parts
-	se       settings.Gateway
-	gateway  *gateway.Gateway
-	callers  *http.Server
-	ops      *http.Server
-	callerLn net.Listener
-	opLn     net.Listener
+	*runGroup
+	settings         settings.Gateway
+	gateway          *gateway.Gateway
+	callerServer     *http.Server
+	operatorServer   *http.Server
+	callerListener   net.Listener
+	operatorListener net.Listener
 
 	cancel context.CancelFunc
 }
@@ -65,18 +65,18 @@
 		return nil, trace.Wrap(err)
 	}
 
-	pg := &Gateway{parts: newParts("gateway", lo), se: se, gateway: ga}
-	pg.kill = pg.Kill
-	if pg.callerLn, err = listen(se.CallerAddress, callerTLS); err != nil {
+	pg := &Gateway{runGroup: newRunGroup("gateway", lo), settings: se, gateway: ga}
+	pg.terminate = pg.Kill
+	if pg.callerListener, err = listen(se.CallerAddress, callerTLS); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	if pg.opLn, err = listen(se.OperatorAddress, callerTLS); err != nil {
-		_ = pg.callerLn.Close()
+	if pg.operatorListener, err = listen(se.OperatorAddress, callerTLS); err != nil {
+		_ = pg.callerListener.Close()
 
 		return nil, trace.Wrap(err)
 	}
-	pg.callers = newServer(handlers.NewCallers(ga), se.MaxHeaderBytes)
-	pg.ops = newServer(handlers.NewOperators(ga), se.MaxHeaderBytes)
+	pg.callerServer = newServer(handlers.NewCallers(ga), se.MaxHeaderBytes)
+	pg.operatorServer = newServer(handlers.NewOperators(ga), se.MaxHeaderBytes)
 	pg.start()
 
 	return pg, nil
@@ -109,7 +109,7 @@
 func newServer(h http.Handler, maxHeader int) *http.Server {
 	return &http.Server{
 		Handler: h, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout,
-		MaxHeaderBytes: headerFlood * maxHeader,
+		MaxHeaderBytes: headerLimitFactor * maxHeader,
 		ErrorLog:       stdlog.New(io.Discard, "", 0), // failed connections are counted with their requests
 	}
 }
@@ -117,12 +117,12 @@
 func (pg *Gateway) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	pg.cancel = cancel
-	pg.run("callers", func() error { return pg.callers.Serve(pg.callerLn) })
-	pg.run("operators", func() error { return pg.ops.Serve(pg.opLn) })
+	pg.run("callers", func() error { return pg.callerServer.Serve(pg.callerListener) })
+	pg.run("operators", func() error { return pg.operatorServer.Serve(pg.operatorListener) })
 	pg.run("gateway", func() error { return pg.gateway.Run(ctx) })
-	pg.seal()
+	pg.closeWhenDone()
 	pg.log.WithFields(log.Fields{
-		"callers": pg.callerLn.Addr().String(), "operators": pg.opLn.Addr().String(), "peers": pg.gateway.PeerAddress(),
+		"callers": pg.callerListener.Addr().String(), "operators": pg.operatorListener.Addr().String(), "peers": pg.gateway.PeerAddress(),
 	}).Info("gateway is serving")
 }
 
@@ -132,8 +132,8 @@
 // Kill terminates the process's components immediately, as a crash would.
 func (pg *Gateway) Kill() {
 	pg.cancel()
-	_ = pg.callers.Close()
-	_ = pg.ops.Close()
+	_ = pg.callerServer.Close()
+	_ = pg.operatorServer.Close()
 }
 
 // Shutdown terminates gracefully. The health check fails first, and new requests are
@@ -142,15 +142,15 @@
 func (pg *Gateway) Shutdown() {
 	pg.log.Info("shutdown begins")
 	pg.gateway.BeginShutdown()
-	time.Sleep(settings.Duration(pg.se.Times.BalancerLagMs))
+	time.Sleep(settings.Duration(pg.settings.Times.BalancerLagMs))
 
 	hctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 	pg.gateway.StopDuties(hctx)
 	cancel()
 
-	dctx, cancel := context.WithTimeout(context.Background(), settings.Duration(pg.se.Times.DrainMs))
+	dctx, cancel := context.WithTimeout(context.Background(), settings.Duration(pg.settings.Times.DrainMs))
 	defer cancel()
-	if err := pg.callers.Shutdown(dctx); err != nil {
+	if err := pg.callerServer.Shutdown(dctx); err != nil {
 		pg.log.WithError(err).Warn("drain time expired while requests were still running")
 	}
 	pg.Kill()
@@ -160,11 +160,11 @@
 
 // Agent is a running agent process.
 type Agent struct {
-	se     settings.Agent
-	log    log.Interface
-	agent  *agent.Agent
-	cancel context.CancelFunc
-	done   chan struct{}
+	settings settings.Agent
+	log      log.Interface
+	agent    *agent.Agent
+	cancel   context.CancelFunc
+	done     chan struct{}
 }
 
 // StartAgent starts the agent of a backend server.
@@ -183,7 +183,7 @@
 		},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	pa := &Agent{se: se, log: lo, agent: ag, cancel: cancel, done: make(chan struct{})}
+	pa := &Agent{settings: se, log: lo, agent: ag, cancel: cancel, done: make(chan struct{})}
 	go func() {
 		defer close(pa.done)
 		ag.Run(ctx)
@@ -202,9 +202,9 @@
 // Shutdown drains the backend server, then terminates the agent.
 func (pa *Agent) Shutdown() {
 	pa.log.Info("draining the backend server")
-	ctx, cancel := context.WithTimeout(context.Background(), settings.Duration(pa.se.DrainMs))
+	ctx, cancel := context.WithTimeout(context.Background(), settings.Duration(pa.settings.DrainMs))
 	defer cancel()
 	pa.agent.Drain(ctx)
 	pa.Kill()
-	pa.log.Info("drain of the backend server complete")
+	pa.log.Info("agent stopped after the drain")
 }
