--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,6 +1,6 @@
-// Package ctl is the operators' side of the configuration: declarations in a
-// folder under version control are compared with, and applied to, the numbered
-// configuration of the gateways.
+// Package ctl implements the operators' commands. It compares a folder of declarations,
+// which operators keep under version control, with the gateways' versioned configuration
+// and applies the difference.
 package ctl
 
 import (
@@ -20,10 +20,10 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// ErrDiffers says that the folder and the configuration are not equal.
+// ErrDiffers is returned by Diff if the folder and the configuration are not equal.
 var ErrDiffers = errors.New("ctl: the folder differs from the configuration")
 
-// Refusal is a gateway's numbered refusal.
+// Refusal is an error response of a gateway with a numbered code.
 type Refusal struct {
 	Code      result.Code `json:"code"`
 	Name      string      `json:"name"`
@@ -34,7 +34,7 @@
 // Error returns the name, the code and the message.
 func (re *Refusal) Error() string { return fmt.Sprintf("%s (%d): %s", re.Name, re.Code, re.Message) }
 
-// Config says which gateways are asked.
+// Config describes the gateways to call and where output is written.
 type Config struct {
 	Gateways []string // base URLs of the operators' interface
 	Token    string
@@ -42,12 +42,12 @@
 	Out      io.Writer
 }
 
-// Ctl carries out the operators' commands.
+// Ctl runs the operators' commands.
 type Ctl struct {
 	cfg Config
 }
 
-// New returns a Ctl.
+// New returns a Ctl. Without an HTTP client in cfg it uses one with a timeout of 30 s.
 func New(cfg Config) *Ctl {
 	if cfg.HTTP == nil {
 		cfg.HTTP = &http.Client{Timeout: 30 * time.Second}
@@ -56,14 +56,15 @@
 	return &Ctl{cfg: cfg}
 }
 
-// call asks each gateway in turn until one answers. Every call is idempotent.
+// call tries the gateways in order until one responds without a server error. Retrying is
+// safe because every call is idempotent.
 func (ct *Ctl) call(ctx context.Context, method, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return err
 	}
 
-	last := errors.New("ctl: no gateway is named")
+	last := errors.New("ctl: no gateway address is configured")
 	for _, g := range ct.cfg.Gateways {
 		err := ct.callOne(ctx, method, g+path, body, out)
 		var re *Refusal
@@ -84,13 +85,13 @@
 	rq.Header.Set("Authorization", "Bearer "+ct.cfg.Token)
 	rs, err := ct.cfg.HTTP.Do(rq)
 	if err != nil {
-		return fmt.Errorf("ctl: %w", err)
+		return fmt.Errorf("ctl: call to a gateway: %w", err)
 	}
 	defer rs.Body.Close()
 
 	b, err := io.ReadAll(rs.Body)
 	if err != nil {
-		return fmt.Errorf("ctl: %w", err)
+		return fmt.Errorf("ctl: read the response of a gateway: %w", err)
 	}
 	if rs.StatusCode >= http.StatusBadRequest {
 		var eb struct{ Error *Refusal }
@@ -98,7 +99,7 @@
 			return eb.Error
 		}
 
-		return fmt.Errorf("ctl: status %d: %s", rs.StatusCode, b)
+		return fmt.Errorf("ctl: a gateway responded with status %d: %s", rs.StatusCode, b)
 	}
 	if out == nil {
 		return nil
@@ -134,7 +135,8 @@
 	return nil
 }
 
-// diff returns what leads from the configuration to the folder.
+// diff returns the operations that make the configuration equal to the folder, and the
+// version of the configuration that they start from.
 func (ct *Ctl) diff(ctx context.Context, folder string) ([]declaration.Op, uint64, error) {
 	set, err := declaration.ReadFolder(os.DirFS(folder), ".")
 	if err != nil {
@@ -150,7 +152,9 @@
 	return ops, cf.Version, err
 }
 
-// keepPushed leaves versions alone that trainers pushed: they do not stand in files.
+// keepPushed adds the versions that trainers pushed to the set of the folder, as long as
+// it declares their model. Pushed versions are not declared in files, and the diff would
+// remove them otherwise.
 func keepPushed(from, to *declaration.Set) {
 	for n, v := range from.Versions {
 		if _, ok := to.Versions[n]; ok {
@@ -172,7 +176,7 @@
 	}
 }
 
-// Diff prints what Apply would change, and returns ErrDiffers if there is anything.
+// Diff prints what Apply would change. It returns ErrDiffers if there are changes.
 func (ct *Ctl) Diff(ctx context.Context, folder string) error {
 	ops, version, err := ct.diff(ctx, folder)
 	if err != nil {
@@ -187,8 +191,8 @@
 	return nil
 }
 
-// Apply makes the configuration equal to the folder. Base, if not 0, is the
-// version that the folder was made against; another one is refused.
+// Apply makes the configuration equal to the folder. Base, if not 0, is the version that
+// the folder was made against: the gateways refuse the patch if the current one differs.
 func (ct *Ctl) Apply(ctx context.Context, folder string, base uint64) error {
 	ops, version, err := ct.diff(ctx, folder)
 	if err != nil {
@@ -205,7 +209,7 @@
 
 	ct.print(ops)
 	var an declaration.Answer
-	// The ID is drawn from the content, so that a resend is the same patch.
+	// The ID is derived from the content, so that a retry is recognised as the same patch.
 	if err := ct.call(ctx, http.MethodPost, "/v1/patches", declaration.Patch{ID: patchID(base, ops), Base: base, Ops: ops}, &an); err != nil {
 		return err
 	}
@@ -214,6 +218,7 @@
 	return nil
 }
 
+// patchID returns an ID that is derived from the base version and the operations.
 func patchID(base uint64, ops []declaration.Op) string {
 	h := sha256.New()
 	fmt.Fprintln(h, base)
@@ -224,7 +229,7 @@
 	return "apply-" + hex.EncodeToString(h.Sum(nil)[:12])
 }
 
-// Show prints an answer of the operators' interface as it is.
+// Show calls the operators' interface and prints the response as indented JSON.
 func (ct *Ctl) Show(ctx context.Context, method, path string, in any) error {
 	var out json.RawMessage
 	if err := ct.call(ctx, method, path, in, &out); err != nil {
