--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -146,16 +146,16 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	keepPushed(cf.Set, set)
+	retainPushedVersions(cf.Set, set)
 	ops, err := declaration.Diff(cf.Set, set, false)
 
 	return ops, cf.Version, err
 }
 
-// keepPushed adds the versions that trainers pushed to the set of the folder, as long as
+// retainPushedVersions adds the versions that trainers pushed to the set of the folder, as long as
 // it declares their model. Pushed versions are not declared in files, and the diff would
 // remove them otherwise.
-func keepPushed(from, to *declaration.Set) {
+func retainPushedVersions(from, to *declaration.Set) {
 	for n, v := range from.Versions {
 		if _, ok := to.Versions[n]; ok {
 			continue
@@ -166,7 +166,7 @@
 	}
 }
 
-func (ct *Ctl) print(ops []declaration.Op) {
+func (ct *Ctl) printOps(ops []declaration.Op) {
 	for _, op := range ops {
 		if len(op.Value) == 0 {
 			fmt.Fprintf(ct.cfg.Out, "- %s\n", op.Path)
@@ -182,7 +182,7 @@
 	if err != nil {
 		return err
 	}
-	ct.print(ops)
+	ct.printOps(ops)
 	if len(ops) > 0 {
 		return ErrDiffers
 	}
@@ -207,7 +207,7 @@
 		base = version
 	}
 
-	ct.print(ops)
+	ct.printOps(ops)
 	var an declaration.Answer
 	// The ID is derived from the content, so that a retry is recognised as the same patch.
 	if err := ct.call(ctx, http.MethodPost, "/v1/patches", declaration.Patch{ID: patchID(base, ops), Base: base, Ops: ops}, &an); err != nil {
