--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -166,7 +166,7 @@
 	}
 }
 
-func (ct *Ctl) printOps(ops []declaration.Op) {
+func (ct *Ctl) print(ops []declaration.Op) {
 	for _, op := range ops {
 		if len(op.Value) == 0 {
 			fmt.Fprintf(ct.cfg.Out, "- %s\n", op.Path)
@@ -182,7 +182,7 @@
 	if err != nil {
 		return err
 	}
-	ct.printOps(ops)
+	ct.print(ops)
 	if len(ops) > 0 {
 		return ErrDiffers
 	}
@@ -207,7 +207,7 @@
 		base = version
 	}
 
-	ct.printOps(ops)
+	ct.print(ops)
 	var an declaration.Answer
 	// The ID is derived from the content, so that a retry is recognised as the same patch.
 	if err := ct.call(ctx, http.MethodPost, "/v1/patches", declaration.Patch{ID: patchID(base, ops), Base: base, Ops: ops}, &an); err != nil {
