--- a/cmd/tamarackbay/agent.go
+++ b/cmd/tamarackbay/agent.go
@@ -10,11 +10,11 @@
 	"github.com/tamarackbay/tamarackbay/internal/settings"
 )
 
-const agentUsage = `Run beside a backend server.
+const agentUsage = `Run the agent next to a backend server.
 
-The agent announces the backend server to the gateways of its settings, passes
-requests on, and guards it. SIGTERM or SIGINT drains it: no new work is taken and
-what runs finishes.
+The agent announces the backend server to the gateways of its settings, forwards
+requests to it, refuses orders with an old fencing number and counts usage. SIGTERM
+or SIGINT drains it: new requests are refused and running ones finish.
 
 Example:
   tamarackbay agent --settings /etc/tamarackbay/agent.jsonc`
--- a/cmd/tamarackbay/capacity.go
+++ b/cmd/tamarackbay/capacity.go
@@ -8,10 +8,10 @@
 	"github.com/tamarackbay/tamarackbay/internal/capacity"
 )
 
-const capacityUsage = `Measure what each part costs, or write docs/CAPACITY.md from a measurement.
+const capacityUsage = `Measure the capacity of each component, or write docs/CAPACITY.md from a report.
 
-The measurement takes about two minutes and uses loopback addresses and temporary
-folders alone.
+The measurement takes about two minutes. It uses only loopback addresses and
+temporary folders.
 
 Examples:
   tamarackbay capacity measure --file docs/capacity.json
@@ -19,11 +19,11 @@
 
 func addCapacity(app *kingpin.Application) []command {
 	c := app.Command("capacity", capacityUsage)
-	measure := c.Command("measure", "Measure and write the report.")
-	only := measure.Flag("only", "One part: configuration, ledgers, pool, calls, feed, partitions, path, commits, failOver or restart.").String()
-	to := measure.Flag("file", "Report to write.").Required().String()
+	measure := c.Command("measure", "Measure and write a report.")
+	only := measure.Flag("only", "Measure only one component: configuration, ledgers, pool, calls, feed, partitions, path, commits, failOver or restart.").String()
+	to := measure.Flag("file", "Report file to write.").Required().String()
 	page := c.Command("page", "Write the page from a report to standard output.")
-	from := page.Flag("file", "Report to read.").Required().ExistingFile()
+	from := page.Flag("file", "Report file to read.").Required().ExistingFile()
 
 	return []command{
 		{measure, func() error {
--- a/cmd/tamarackbay/ctl.go
+++ b/cmd/tamarackbay/ctl.go
@@ -15,10 +15,10 @@
 	"github.com/tamarackbay/tamarackbay/internal/declaration"
 )
 
-const ctlUsage = `Read and change the numbered configuration and the group.
+const ctlUsage = `Read and change the versioned configuration and the group.
 
-The gateways are named with --gateway or TAMARACKBAY_GATEWAYS, the token is read
-from TAMARACKBAY_TOKEN.
+The gateways are given with --gateway or TAMARACKBAY_GATEWAYS. The operator's token
+is read from TAMARACKBAY_TOKEN.
 
 Examples:
   tamarackbay ctl validate --folder declarations
@@ -28,9 +28,10 @@
   tamarackbay ctl key withdraw 0123456789abcdef
   tamarackbay ctl status`
 
+// ctlTimeout bounds one subcommand, including retries at other gateways.
 const ctlTimeout = time.Minute
 
-// ctlCommands holds what the subcommands of ctl share.
+// ctlCommands collects the subcommands of ctl and the flags that they share.
 type ctlCommands struct {
 	clause   *kingpin.CmdClause
 	gateways *[]string
@@ -52,7 +53,7 @@
 	return cc.list
 }
 
-// add registers a subcommand that talks to the gateways.
+// add registers a subcommand that calls the gateways.
 func (cc *ctlCommands) add(c *kingpin.CmdClause, run func(ctx context.Context, ct *ctl.Ctl) error) {
 	cc.list = append(cc.list, command{c, func() error {
 		ctx, cancel := context.WithTimeout(context.Background(), ctlTimeout)
@@ -67,22 +68,22 @@
 	vf := validate.Flag("folder", "Folder of declarations.").Required().ExistingDir()
 	cc.add(validate, func(_ context.Context, ct *ctl.Ctl) error { return ct.Validate(*vf) })
 
-	diff := cc.clause.Command("diff", "Show what apply would change; exit code 4 if there is anything.")
+	diff := cc.clause.Command("diff", "Show what apply would change; the exit code is 4 if there are changes.")
 	df := diff.Flag("folder", "Folder of declarations.").Required().ExistingDir()
 	cc.add(diff, func(ctx context.Context, ct *ctl.Ctl) error { return ct.Diff(ctx, *df) })
 
 	apply := cc.clause.Command("apply", "Make the configuration equal to a folder; applying it again changes nothing.")
 	af := apply.Flag("folder", "Folder of declarations.").Required().ExistingDir()
-	base := apply.Flag("base", "Configuration version that the folder was made against.").Uint64()
+	base := apply.Flag("base", "Configuration version that the folder was made against; apply is refused at any other.").Uint64()
 	cc.add(apply, func(ctx context.Context, ct *ctl.Ctl) error { return ct.Apply(ctx, *af, *base) })
 }
 
 func (cc *ctlCommands) addKeys() {
 	key := cc.clause.Command("key", "Issue and withdraw keys.")
-	issue := key.Command("issue", "Issue a key; its token is shown this once.")
+	issue := key.Command("issue", "Issue a key; its token is shown only once.")
 	workspace := issue.Arg("workspace", "Workspace that the key acts for.").Required().String()
-	note := issue.Flag("note", "Shown beside the key.").String()
-	ttl := issue.Flag("ttl", "How long the key is valid, without limit by default.").Duration()
+	note := issue.Flag("note", "Note that is shown with the key.").String()
+	ttl := issue.Flag("ttl", "How long the key is valid; unlimited by default.").Duration()
 	cc.add(issue, func(ctx context.Context, ct *ctl.Ctl) error {
 		in := map[string]any{"workspace": *workspace, "note": *note}
 		if *ttl > 0 {
@@ -92,7 +93,7 @@
 		return ct.Show(ctx, http.MethodPost, "/v1/keys", in)
 	})
 
-	withdraw := key.Command("withdraw", "Withdraw a key; running requests that showed it end.")
+	withdraw := key.Command("withdraw", "Withdraw a key; running requests that use it are terminated.")
 	id := withdraw.Arg("id", "ID of the key.").Required().String()
 	cc.add(withdraw, func(ctx context.Context, ct *ctl.Ctl) error {
 		return ct.Show(ctx, http.MethodPost, "/v1/keys/"+url.PathEscape(*id)+"/withdraw", nil)
@@ -115,11 +116,11 @@
 
 func (cc *ctlCommands) addQuarantine() {
 	q := cc.clause.Command("quarantine", "Show and release requests that crashed backend servers.")
-	cc.add(q.Command("list", "List the fingerprints."), func(ctx context.Context, ct *ctl.Ctl) error {
+	cc.add(q.Command("list", "List the fingerprints of quarantined requests."), func(ctx context.Context, ct *ctl.Ctl) error {
 		return ct.Show(ctx, http.MethodGet, "/v1/quarantine", nil)
 	})
-	release := q.Command("release", "Let a fingerprint run again.")
-	fp := release.Arg("fingerprint", "The fingerprint.").Required().String()
+	release := q.Command("release", "Release a fingerprint, so that its requests may run again.")
+	fp := release.Arg("fingerprint", "Fingerprint to release.").Required().String()
 	cc.add(release, func(ctx context.Context, ct *ctl.Ctl) error {
 		return ct.Show(ctx, http.MethodPost, "/v1/quarantine/"+url.PathEscape(*fp)+"/release", nil)
 	})
@@ -127,7 +128,7 @@
 
 func (cc *ctlCommands) addReads() {
 	get := cc.clause.Command("get", "Show the configuration or one object.")
-	path := get.Arg("path", "Such as routes/preview.").String()
+	path := get.Arg("path", "Path of one object, such as routes/preview.").String()
 	cc.add(get, func(ctx context.Context, ct *ctl.Ctl) error {
 		p := "/v1/configuration"
 		if *path != "" {
@@ -137,20 +138,20 @@
 		return ct.Show(ctx, http.MethodGet, p, nil)
 	})
 
-	history := cc.clause.Command("history", "Show who changed what, newest first.")
-	n := history.Flag("n", "Number of changes.").Default("20").Int()
+	history := cc.clause.Command("history", "Show the changes of the configuration with their authors, newest first.")
+	n := history.Flag("n", "Number of changes to show.").Default("20").Int()
 	cc.add(history, func(ctx context.Context, ct *ctl.Ctl) error {
 		return ct.Show(ctx, http.MethodGet, "/v1/history?n="+strconv.Itoa(*n), nil)
 	})
 
-	cc.add(cc.clause.Command("status", "Show a gateway, its replica, leases and backend servers."),
+	cc.add(cc.clause.Command("status", "Show the state of a gateway, its replica, leases and backend servers."),
 		func(ctx context.Context, ct *ctl.Ctl) error { return ct.Show(ctx, http.MethodGet, "/v1/status", nil) })
 	cc.add(cc.clause.Command("explain", "Show why the fleet has its size."),
 		func(ctx context.Context, ct *ctl.Ctl) error { return ct.Show(ctx, http.MethodGet, "/v1/explain", nil) })
 }
 
 func (cc *ctlCommands) addHash() {
-	hash := cc.clause.Command("hash", "Write the hash of the token in TAMARACKBAY_TOKEN for the settings of gateways.")
+	hash := cc.clause.Command("hash", "Print the hash of the token in TAMARACKBAY_TOKEN, for the settings of gateways.")
 	cc.list = append(cc.list, command{hash, func() error {
 		fmt.Println(declaration.HashSecret(os.Getenv("TAMARACKBAY_TOKEN")))
 
--- a/cmd/tamarackbay/demo.go
+++ b/cmd/tamarackbay/demo.go
@@ -9,15 +9,15 @@
 	"github.com/tamarackbay/tamarackbay/internal/demo"
 )
 
-const demoUsage = `Run a whole deployment on this machine, under a minute.
+const demoUsage = `Run a complete deployment on this machine in less than a minute.
 
-Three gateways, agents and small stand-ins of the outside systems run in this
+Three gateways, agents and small stand-ins for the external systems run in this
 process. A trainer runs steps while its weights change, a gateway is killed and an
-engine crashes. It ends with the five measures and a line for each promise; the
-exit code is 1 if one was broken.
+engine crashes. The demo prints the five measures and a line for each promise; the
+exit code is 1 if a promise was broken.
 
-With the deployment "platform", controllers, stores and a gateway serve a calm day in
-the dialect of the users' platform, against a stand-in of it.
+With the deployment "platform", controllers, stores and a gateway serve a load without
+faults through the interfaces of the users' platform, against a stand-in for it.
 
 Examples:
   tamarackbay demo
@@ -26,7 +26,7 @@
 
 func addDemo(app *kingpin.Application) []command {
 	c := app.Command("demo", demoUsage)
-	name := c.Flag("deployment", "consortium, cedarwick or platform.").Default("consortium").Enum("consortium", "cedarwick", "platform")
+	name := c.Flag("deployment", "Deployment to run: consortium, cedarwick or platform.").Default("consortium").Enum("consortium", "cedarwick", "platform")
 
 	return []command{{c, func() error {
 		if *name == "platform" {
--- a/cmd/tamarackbay/exit.go
+++ b/cmd/tamarackbay/exit.go
@@ -9,7 +9,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// exitCode prints err and returns the exit code that belongs to it.
+// exitCode prints err, unless it is ErrDiffers, and returns its exit code.
 func exitCode(err error) int {
 	if err == nil {
 		return 0
--- a/cmd/tamarackbay/experiment.go
+++ b/cmd/tamarackbay/experiment.go
@@ -9,11 +9,11 @@
 	"github.com/tamarackbay/tamarackbay/internal/experiment"
 )
 
-const experimentUsage = `Compare the policy with plain baselines under the same load and faults.
+const experimentUsage = `Compare the current policy with simple baselines under the same load and faults.
 
-Each run starts gateways, agents and stand-ins on loopback, a trainer, callers, one
-workspace that asks for ten times its share, and a fault script. The table holds the
-median of the repetitions with the lowest and highest value.
+Each run starts gateways, agents and stand-ins on loopback addresses, a trainer,
+callers, one workspace that sends ten times its share, and a script of faults. The
+table shows the median of the repetitions with the lowest and the highest value.
 
 Examples:
   tamarackbay experiment --workload consortium
@@ -24,13 +24,13 @@
 func addExperiment(app *kingpin.Application) []command {
 	c := app.Command("experiment", experimentUsage)
 	var cfg experiment.Config
-	c.Flag("workload", "consortium or cedarwick.").Default("consortium").EnumVar(&cfg.Workload, "consortium", "cedarwick")
-	c.Flag("duration", "Time of one run.").Default("10s").DurationVar(&cfg.Duration)
-	c.Flag("repetitions", "Runs of each policy.").Default("3").IntVar(&cfg.Repetitions)
-	c.Flag("policy", "Policy to run, all by default; may be repeated.").StringsVar(&cfg.Policies)
-	spending := c.Flag("spending", "Compare the fleet's sizing over a day's load curve compressed to --duration.").Bool()
-	overload := c.Flag("overload", "Serve lookups beside previews at capacity and at twice it.").Bool()
-	plotFile := c.Flag("plot", "PNG or SVG file to write.").String()
+	c.Flag("workload", "Workload to run: consortium or cedarwick.").Default("consortium").EnumVar(&cfg.Workload, "consortium", "cedarwick")
+	c.Flag("duration", "Duration of one run.").Default("10s").DurationVar(&cfg.Duration)
+	c.Flag("repetitions", "Number of runs of each policy.").Default("3").IntVar(&cfg.Repetitions)
+	c.Flag("policy", "Policy to run; all by default; may be repeated.").StringsVar(&cfg.Policies)
+	spending := c.Flag("spending", "Compare how the policies size the fleet over a day's load curve, compressed to --duration.").Bool()
+	overload := c.Flag("overload", "Serve lookups together with previews, at capacity and at twice the capacity.").Bool()
+	plotFile := c.Flag("plot", "PNG or SVG file to write the plot to.").String()
 
 	return []command{{c, func() error {
 		cfg.Out = os.Stderr
--- a/cmd/tamarackbay/explain.go
+++ b/cmd/tamarackbay/explain.go
@@ -10,11 +10,11 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-const explainUsage = `Tell the course of a request, item or batch job from the logs.
+const explainUsage = `Show the timeline of a request, item or batch job from the logs.
 
-The logs of several processes are joined by time. Between the lines that name the
-ID stand those that say what its processes came to believe, and what became of the
-backend servers that it met.
+The logs of several processes are merged by time. Besides the lines that name the ID,
+the timeline has the lines about configuration, weight versions and leadership of the
+processes involved, and about the state of the backend servers that were used.
 
 Example:
   tamarackbay explain 9c41d07be2a35f68 --logs gateway.log --logs store.log`
@@ -22,7 +22,7 @@
 func addExplain(app *kingpin.Application) []command {
 	c := app.Command("explain", explainUsage)
 	id := c.Arg("id", "ID of the request, item, score or batch job.").Required().String()
-	files := c.Flag("logs", "Log file of one or more processes; may be given again.").Required().ExistingFiles()
+	files := c.Flag("logs", "Log file of one or more processes; may be repeated.").Required().ExistingFiles()
 
 	return []command{{c, func() error {
 		var all []explain.Line
@@ -32,13 +32,13 @@
 				return err
 			}
 			if skipped > 0 {
-				fmt.Fprintf(os.Stderr, "%s: %d lines are no log lines\n", name, skipped)
+				fmt.Fprintf(os.Stderr, "%s: skipped %d lines that are not log lines\n", name, skipped)
 			}
 			all = append(all, lines...)
 		}
 		course := explain.Course(all, *id)
 		if len(course) == 0 {
-			return result.New(result.UnknownObject, "explain: no line of %d names %q", len(all), *id)
+			return result.New(result.UnknownObject, "explain: none of %d log lines names the ID %q", len(all), *id)
 		}
 
 		return explain.Write(os.Stdout, course)
--- a/cmd/tamarackbay/fake.go
+++ b/cmd/tamarackbay/fake.go
@@ -9,7 +9,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/fake"
 )
 
-const fakeUsage = `Serve a small stand-in of an outside system, to try tamarackbay by hand.
+const fakeUsage = `Serve a small stand-in for an external system, to try tamarackbay by hand.
 
 Examples:
   tamarackbay fake engine --listen 127.0.0.1:9001 --model nozzle
@@ -21,7 +21,7 @@
 	return []command{
 		addFakeEngine(c),
 		addFakeService(c),
-		addFakeSimple(c, "store", "A weight store that serves three fetches at once.", func(a string) error {
+		addFakeSimple(c, "store", "A weight store that serves up to three fetches at once.", func(a string) error {
 			_, err := fake.NewWeightStore(a, 3)
 
 			return err
@@ -31,12 +31,12 @@
 
 			return err
 		}),
-		addFakeSimple(c, "usage", "An interface that takes usage reports.", func(a string) error {
+		addFakeSimple(c, "usage", "An interface that accepts usage reports.", func(a string) error {
 			_, err := fake.NewUsageSink(a)
 
 			return err
 		}),
-		addFakeSimple(c, "ordering", "An interface that takes orders and writes them; it starts nothing.", func(a string) error {
+		addFakeSimple(c, "ordering", "An interface that accepts orders and prints them, but starts no servers.", func(a string) error {
 			_, err := fake.NewOrdering(a, func(server, class, domain, order string) {
 				fmt.Printf("start %s class %s failure domain %s order %s\n", server, class, domain, order)
 			}, func(server string) { fmt.Printf("stop %s\n", server) })
@@ -48,7 +48,7 @@
 
 func addFakeSimple(parent *kingpin.CmdClause, name, help string, start func(address string) error) command {
 	c := parent.Command(name, help)
-	listen := c.Flag("listen", "IP number and port.").Required().String()
+	listen := c.Flag("listen", "IP number and port to listen on.").Required().String()
 
 	return command{c, func() error {
 		if err := start(*listen); err != nil {
@@ -61,12 +61,12 @@
 }
 
 func addFakeEngine(parent *kingpin.CmdClause) command {
-	c := parent.Command("engine", "A model engine that streams tokens naming the version that wrote them.")
-	listen := c.Flag("listen", "IP number and port.").Required().String()
-	model := c.Flag("model", "The model it serves.").Required().String()
-	weights := c.Flag("weights", "The version it serves at its start, none by default.").String()
-	slots := c.Flag("slots", "Requests that run at once.").Default("8").Int()
-	token := c.Flag("token-time", "Time of one token.").Default("10ms").Duration()
+	c := parent.Command("engine", "A model engine that streams tokens, each with the weight version that produced it.")
+	listen := c.Flag("listen", "IP number and port to listen on.").Required().String()
+	model := c.Flag("model", "Model to serve.").Required().String()
+	weights := c.Flag("weights", "Weight version to serve at the start; none by default.").String()
+	slots := c.Flag("slots", "Number of requests that run at once.").Default("8").Int()
+	token := c.Flag("token-time", "Time to generate one token.").Default("10ms").Duration()
 
 	return command{c, func() error {
 		_, err := fake.NewEngine(*listen, fake.EngineConfig{
@@ -83,9 +83,9 @@
 }
 
 func addFakeService(parent *kingpin.CmdClause) command {
-	c := parent.Command("service", "A plain service that answers with what it was asked.")
-	listen := c.Flag("listen", "IP number and port.").Required().String()
-	delay := c.Flag("delay", "Time of each answer.").Default("5ms").Duration()
+	c := parent.Command("service", "A plain service that echoes its requests.")
+	listen := c.Flag("listen", "IP number and port to listen on.").Required().String()
+	delay := c.Flag("delay", "Delay before each response.").Default("5ms").Duration()
 
 	return command{c, func() error {
 		if _, err := fake.NewService(*listen, *delay); err != nil {
--- a/cmd/tamarackbay/gateway.go
+++ b/cmd/tamarackbay/gateway.go
@@ -14,9 +14,10 @@
 
 const gatewayUsage = `Serve callers, trainers and operators on an entry VM.
 
-With a data folder in its settings the gateway also votes in the group that holds
-the state. SIGTERM or SIGINT ends it gracefully: the health check fails first, new
-work is taken until the balancer has moved on, what runs finishes.
+With a data folder in its settings the gateway is also a voter of the group that
+replicates the state. SIGTERM or SIGINT terminates it gracefully: the health check
+fails first, new requests are accepted until the balancer has removed the gateway,
+and running requests finish.
 
 Example:
   tamarackbay gateway --settings /etc/tamarackbay/gateway.jsonc`
@@ -46,6 +47,7 @@
 	}}}
 }
 
+// stopSignals returns a channel that receives SIGTERM and SIGINT.
 func stopSignals() <-chan os.Signal {
 	sig := make(chan os.Signal, 1)
 	signal.Notify(sig, syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/tamarackbay/main.go
+++ b/cmd/tamarackbay/main.go
@@ -1,5 +1,5 @@
-// Command tamarackbay is the gateway, the agent, the operators' tool and the demo
-// of the rollout service.
+// Command tamarackbay contains the gateway, the agent, the nodes of a platform, the
+// operators' tools and the demo of the rollout service.
 package main
 
 import (
@@ -11,17 +11,17 @@
 
 // Exit codes of every subcommand.
 const (
-	exitFailed   = 1 // the work failed; the reason is on standard error
-	exitUsage    = 2 // the command line was wrong
-	exitRefused  = 3 // a gateway refused, with a numbered code
+	exitFailed   = 1 // the subcommand failed; the reason is on standard error
+	exitUsage    = 2 // the command line is invalid
+	exitRefused  = 3 // a gateway refused the request with a numbered code
 	exitDiffers  = 4 // ctl diff found differences
-	exitSettings = 5 // the settings or declarations are not valid
+	exitSettings = 5 // the settings or declarations are invalid
 )
 
 // version is set by the linker in releases.
 var version = "0.1.0-dev"
 
-// command is one subcommand with its work.
+// command is a subcommand and the function that runs it.
 type command struct {
 	clause *kingpin.CmdClause
 	run    func() error
@@ -54,11 +54,11 @@
 
 const usage = `tamarackbay serves rollouts for reinforcement learning.
 
-A gateway on an entry VM serves callers and trainers, an agent runs beside each
-backend server, and operators change the numbered configuration with ctl.
+A gateway on an entry VM serves callers and trainers, an agent runs next to each
+backend server, and operators change the versioned configuration with ctl.
 
-Exit codes: 0 done, 1 failed, 2 wrong command line, 3 refused with a numbered
-code, 4 differences found, 5 settings or declarations not valid.
+Exit codes: 0 success, 1 failed, 2 invalid command line, 3 refused with a numbered
+code, 4 differences found, 5 invalid settings or declarations.
 
 Examples:
   tamarackbay demo
--- a/cmd/tamarackbay/node.go
+++ b/cmd/tamarackbay/node.go
@@ -16,20 +16,20 @@
 	"github.com/tamarackbay/tamarackbay/platform"
 )
 
-const nodeUsage = `Run one process of a deployment that a platform starts.
+const nodeUsage = `Run one process of a deployment that is started by a platform.
 
-The platform names the settings file in the environment. A gateway serves clients
-at the edge, a controller holds configuration, weight versions and leases, a store
-holds batch jobs and drives their items. SIGTERM ends it gracefully, SIGHUP reads
-the settings anew. Logs are JSON lines on standard output.
+The platform passes the path of the settings file in the environment. A gateway
+serves clients at the edge, a controller holds configuration, weight versions and
+leases, a store holds batch jobs and runs their items. SIGTERM terminates the process
+gracefully, SIGHUP reloads the settings. Logs are JSON lines on standard output.
 
 Example:
   tamarackbay node gateway`
 
 func addNode(app *kingpin.Application) []command {
 	c := app.Command("node", nodeUsage)
-	role := c.Arg("role", "gateway, controller or store.").Required().Enum(program.RoleGateway, program.RoleController, program.RoleStore)
-	peerListen := c.Flag("peer-listen", "Address to listen on for own processes, where a forwarder stands at the one they are told.").
+	role := c.Arg("role", "Role of the process: gateway, controller or store.").Required().Enum(program.RoleGateway, program.RoleController, program.RoleStore)
+	peerListen := c.Flag("peer-listen", "Address to listen on for own processes, if a forwarder listens on the address that they dial.").
 		PlaceHolder("HOST:PORT").String()
 	level := c.Flag("log-level", "Lowest level that is logged: debug, info, warn or error.").Default("info").String()
 
@@ -45,12 +45,13 @@
 	}}}
 }
 
-// diskPause is kept before the end of a process whose disk takes no bytes: it is
-// started again at once, and meets the same disk.
+// diskPause delays the exit of a process that cannot write to its disk: the platform
+// restarts it immediately, and it would fail on the same disk again.
 const diskPause = time.Second
 
+// runNode runs the process of a role until it fails or a stop signal has been handled.
 func runNode(role, peerListen string, lo log.Interface, dropped func() int64) error {
-	// Taken over first: a signal that comes while the process starts waits.
+	// Registered before the start, so that a signal received meanwhile is queued.
 	sig := make(chan os.Signal, 4)
 	signal.Notify(sig, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	nd, err := program.StartNode(role, func() (*settings.Node, error) {
@@ -63,7 +64,7 @@
 		return no, nil
 	}, lo, dropped)
 	if err != nil {
-		lo.WithError(err).Error("not started")
+		lo.WithError(err).Error("node could not be started")
 
 		return err
 	}
--- a/cmd/tamarackbay/nodes.go
+++ b/cmd/tamarackbay/nodes.go
@@ -16,18 +16,18 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-const nodesUsage = `Show what the nodes of a platform believe: versions, ages, leaders, work.
+const nodesUsage = `Show the state of a platform's nodes: configuration, leadership, jobs and items.
 
-Each address is the metrics address of one node. A node that does not answer is
-shown with its error, and makes the exit status differ from 0.
+Each address is the metrics address of one node. If a node does not respond, the
+error is shown in its line and the exit code is not 0.
 
 Example:
   tamarackbay nodes 10.0.0.11:9464 10.0.0.21:9464`
 
-// nodesTimeout bounds the answer of one node, which takes milliseconds.
+// nodesTimeout bounds the request to one node, which normally takes milliseconds.
 const nodesTimeout = 2 * time.Second
 
-// nodeColumns are the gauges that are shown, with their headings.
+// nodeColumns lists the gauges that are shown and their headings.
 var nodeColumns = []struct{ heading, gauge string }{
 	{"CONFIG", "configuration_version"},
 	{"AGE MS", "configuration_ageMs"},
@@ -57,7 +57,7 @@
 	}}}
 }
 
-// showNodes writes one line a node. A gauge that a node does not have is a dash.
+// showNodes writes one line per node. A dash stands for a gauge that a node does not have.
 func showNodes(w io.Writer, addresses []string, read func(address string) (map[string]int64, error)) error {
 	var failed []string
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
@@ -88,7 +88,7 @@
 		return err
 	}
 	if len(failed) > 0 {
-		return result.New(result.BackendUnreachable, "nodes: no answer of %s", strings.Join(failed, ", "))
+		return result.New(result.BackendUnreachable, "nodes: no response from %s", strings.Join(failed, ", "))
 	}
 
 	return nil
--- a/cmd/tamarackbay/nodes_test.go
+++ b/cmd/tamarackbay/nodes_test.go
@@ -18,7 +18,7 @@
 func TestSuite(t *testing.T) { suite.Run(t, "tamarackbay") }
 
 var _ = ginkgo.Describe("the table of nodes", func() {
-	ginkgo.It("shows what each node serves, and names those that don't answer", func() {
+	ginkgo.It("shows the gauges of each node, and the error of a node that does not respond", func() {
 		me := meter.New()
 		me.Gauge("configuration.version", 7)
 		me.Gauge("group.leads", 1)
--- a/cmd/tamarackbay/settings.go
+++ b/cmd/tamarackbay/settings.go
@@ -11,9 +11,9 @@
 	"github.com/tamarackbay/tamarackbay/platform"
 )
 
-const settingsUsage = `Check a settings file, or explain every key with its default.
+const settingsUsage = `Check a settings file, or describe every key with its default.
 
-A node's settings file is the one that a platform writes.
+The settings file of a node is written by the platform.
 
 Examples:
   tamarackbay settings explain gateway
@@ -22,11 +22,11 @@
 
 func addSettings(app *kingpin.Application) []command {
 	c := app.Command("settings", settingsUsage)
-	explain := c.Command("explain", "Write every key with its type, meaning and default.")
-	explainOf := explain.Arg("program", "gateway or agent.").Required().Enum("gateway", "agent")
-	check := c.Command("check", "Check a settings file; mistakes name the line and the key.")
-	checkOf := check.Arg("program", "gateway, agent or node.").Required().Enum("gateway", "agent", "node")
-	path := check.Arg("file", "Settings file.").Required().String()
+	explain := c.Command("explain", "Print every key with its type, meaning and default.")
+	explainOf := explain.Arg("program", "Program: gateway or agent.").Required().Enum("gateway", "agent")
+	check := c.Command("check", "Check a settings file; errors name the line and the key.")
+	checkOf := check.Arg("program", "Program: gateway, agent or node.").Required().Enum("gateway", "agent", "node")
+	path := check.Arg("file", "Settings file to check.").Required().String()
 
 	return []command{
 		{explain, func() error {
@@ -56,15 +56,15 @@
 	}
 }
 
-// checkNode checks a platform's settings file and says what a node takes from it.
+// checkNode checks a platform's settings file and prints a summary of the node's settings.
 func checkNode(path string) error {
 	no, err := platform.ReadBoot(path)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("valid: node %s in %s, %d controllers, bears the loss of %d VMs", no.Name, no.FailureDomain, len(no.Controllers), no.Losses)
+	fmt.Printf("valid: node %s in %s, %d controllers, tolerates the loss of %d VMs", no.Name, no.FailureDomain, len(no.Controllers), no.Losses)
 	if no.DataFolder == "" {
-		fmt.Print(", no disk: a gateway only")
+		fmt.Print(", no data folder: can only run as a gateway")
 	}
 	fmt.Println()
 
@@ -72,7 +72,7 @@
 }
 
 func addCodes(app *kingpin.Application) []command {
-	c := app.Command("codes", "Write the table of result codes.")
+	c := app.Command("codes", "Print the table of result codes.")
 
 	return []command{{c, func() error {
 		result.WriteTable(os.Stdout)
@@ -82,7 +82,7 @@
 }
 
 func addVersion(app *kingpin.Application) []command {
-	c := app.Command("version", "Write the version.")
+	c := app.Command("version", "Print the version.")
 
 	return []command{{c, func() error {
 		fmt.Println("tamarackbay", version)
