--- a/cmd/tamarackbay/ctl.go
+++ b/cmd/tamarackbay/ctl.go
@@ -35,7 +35,7 @@
 type ctlCommands struct {
 	clause   *kingpin.CmdClause
 	gateways *[]string
-	list     []command
+	commands []command
 }
 
 func addCtl(app *kingpin.Application) []command {
@@ -47,15 +47,15 @@
 	cc.addKeys()
 	cc.addMembers()
 	cc.addQuarantine()
-	cc.addReads()
+	cc.addQueries()
 	cc.addHash()
 
-	return cc.list
+	return cc.commands
 }
 
 // add registers a subcommand that calls the gateways.
 func (cc *ctlCommands) add(c *kingpin.CmdClause, run func(ctx context.Context, ct *ctl.Ctl) error) {
-	cc.list = append(cc.list, command{c, func() error {
+	cc.commands = append(cc.commands, command{c, func() error {
 		ctx, cancel := context.WithTimeout(context.Background(), ctlTimeout)
 		defer cancel()
 
@@ -126,7 +126,7 @@
 	})
 }
 
-func (cc *ctlCommands) addReads() {
+func (cc *ctlCommands) addQueries() {
 	get := cc.clause.Command("get", "Show the configuration or one object.")
 	path := get.Arg("path", "Path of one object, such as routes/preview.").String()
 	cc.add(get, func(ctx context.Context, ct *ctl.Ctl) error {
@@ -152,7 +152,7 @@
 
 func (cc *ctlCommands) addHash() {
 	hash := cc.clause.Command("hash", "Print the hash of the token in TAMARACKBAY_TOKEN, for the settings of gateways.")
-	cc.list = append(cc.list, command{hash, func() error {
+	cc.commands = append(cc.commands, command{hash, func() error {
 		fmt.Println(declaration.HashSecret(os.Getenv("TAMARACKBAY_TOKEN")))
 
 		return nil
--- a/cmd/tamarackbay/explain.go
+++ b/cmd/tamarackbay/explain.go
@@ -36,12 +36,12 @@
 			}
 			all = append(all, lines...)
 		}
-		course := explain.Course(all, *id)
-		if len(course) == 0 {
+		timeline := explain.Course(all, *id)
+		if len(timeline) == 0 {
 			return result.New(result.UnknownObject, "explain: none of %d log lines names the ID %q", len(all), *id)
 		}
 
-		return explain.Write(os.Stdout, course)
+		return explain.Write(os.Stdout, timeline)
 	}}}
 }
 
--- a/cmd/tamarackbay/node.go
+++ b/cmd/tamarackbay/node.go
@@ -38,16 +38,16 @@
 		defer ring.Close()
 		err := runNode(*role, *peerListen, logging.NewWith(ring, *level, "tamarackbay", *role), ring.Dropped)
 		if result.Is(err, result.DataFolderWrite) {
-			time.Sleep(diskPause)
+			time.Sleep(diskErrorExitDelay)
 		}
 
 		return err
 	}}}
 }
 
-// diskPause delays the exit of a process that cannot write to its disk: the platform
+// diskErrorExitDelay delays the exit of a process that cannot write to its disk: the platform
 // restarts it immediately, and it would fail on the same disk again.
-const diskPause = time.Second
+const diskErrorExitDelay = time.Second
 
 // runNode runs the process of a role until it fails or a stop signal has been handled.
 func runNode(role, peerListen string, lo log.Interface, dropped func() int64) error {
