--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -1,6 +1,6 @@
-// Package client calls tamarackbay for callers and trainers. It moves to another
-// gateway when one fails, comes back when told to, and resends only what may be
-// sent again.
+// Package client is the client library for callers and trainers. It switches to the next
+// gateway when one fails, waits as long as a Retry-After-Ms header says, and retries only
+// requests that may be repeated.
 package client
 
 import (
@@ -22,20 +22,20 @@
 	minBackoff     = 20 * time.Millisecond
 	maxBackoff     = 2 * time.Second
 	maxAnswerBytes = 256 << 20
-	pageWait       = 2 * time.Second
+	pageWait       = 2 * time.Second // how long a gateway waits for samples before it responds
 )
 
 // Config describes the gateways and the caller.
 type Config struct {
-	Gateways []string // base URLs such as http://192.0.2.1:8080, or the balancer's alone
+	Gateways []string // base URLs such as http://192.0.2.1:8080, or only that of the balancer
 	Token    string   // key of the workspace
 	HTTP     *http.Client
 }
 
-// Client is safe for concurrent use.
+// Client calls the gateways. It is safe for concurrent use.
 type Client struct {
 	cfg  Config
-	next atomic.Uint32
+	next atomic.Uint32 // current gateway, modulo the number of gateways
 }
 
 // New returns a client.
@@ -47,12 +47,12 @@
 	return &Client{cfg: cfg}
 }
 
-// Error is a numbered refusal; docs/codes.md lists the codes.
+// Error is an error response with a numbered code; docs/codes.md lists the codes.
 type Error struct {
 	Code       int           `json:"code"`
 	Name       string        `json:"name"`
 	Message    string        `json:"message"`
-	Execution  string        `json:"execution"` // notRun, ran or unknown
+	Execution  string        `json:"execution"` // whether the request was executed: notRun, ran or unknown
 	Status     int           `json:"-"`
 	RetryAfter time.Duration `json:"-"`
 }
@@ -62,18 +62,20 @@
 	return fmt.Sprintf("%s (%d): %s [%s]", er.Name, er.Code, er.Message, er.Execution)
 }
 
-// Names of refusals that the client handles itself.
+// Names of errors, and an execution, that the client handles itself.
 const (
 	nameStepOver     = "stepOver"
 	nameCallInFlight = "callInFlight"
 	executionNotRun  = "notRun"
 )
 
+// base returns the base URL of the current gateway.
 func (cl *Client) base() string {
 	return cl.cfg.Gateways[int(cl.next.Load())%len(cl.cfg.Gateways)]
 }
 
-// once sends one request to the current gateway. The body of a good answer is returned whole.
+// once sends one request to the current gateway and returns the response with its complete
+// body. If the body is incomplete, it switches to the next gateway.
 func (cl *Client) once(ctx context.Context, method, path string, body []byte, h http.Header) (*http.Response, []byte, error) {
 	rs, err := cl.open(ctx, method, path, body, h)
 	if err != nil {
@@ -84,12 +86,14 @@
 	if err != nil {
 		cl.next.Add(1)
 
-		return nil, nil, fmt.Errorf("client: %s %s: the answer is not whole: %w", method, path, err)
+		return nil, nil, fmt.Errorf("client: %s %s: the response is incomplete: %w", method, path, err)
 	}
 
 	return rs, b, nil
 }
 
+// open sends one request to the current gateway and returns the response with its body
+// unread. It switches to the next gateway if there is no response.
 func (cl *Client) open(ctx context.Context, method, path string, body []byte, h http.Header) (*http.Response, error) {
 	rq, err := http.NewRequestWithContext(ctx, method, cl.base()+path, bytes.NewReader(body))
 	if err != nil {
@@ -115,6 +119,8 @@
 	return nil, cl.readError(rs)
 }
 
+// readError returns the error of a response. It switches to the next gateway for errors
+// that are due to the state of the current one.
 func (cl *Client) readError(rs *http.Response) error {
 	var eb struct {
 		Error Error `json:"error"`
@@ -129,14 +135,14 @@
 	}
 	switch eb.Error.Name {
 	case "staleProcess", "shuttingDown", "noLeader", "groupTimeout":
-		cl.next.Add(1) // another gateway may do better
+		cl.next.Add(1) // another gateway may be able to serve the request
 	}
 
 	return &eb.Error
 }
 
-// isTemporary reports whether the same request may succeed later. Requests sent
-// through it are idempotent.
+// isTemporary reports whether the same request may succeed later. An error without a
+// response counts as temporary, so callers use it for idempotent requests only.
 func isTemporary(err error) bool {
 	var er *Error
 	if !errors.As(err, &er) {
@@ -146,7 +152,8 @@
 	return er.Status == http.StatusTooManyRequests || er.Status >= http.StatusInternalServerError
 }
 
-// again repeats a call while mayRepeat says so, until it ends or ctx does.
+// again retries a call with exponential back-off, or after the time that a response asked
+// for, until it succeeds, mayRepeat returns false or ctx ends.
 func (cl *Client) again(ctx context.Context, mayRepeat func(err error) bool, call func() error) error {
 	for wait := minBackoff; ; wait = min(2*wait, maxBackoff) {
 		err := call()
@@ -161,11 +168,13 @@
 		select {
 		case <-time.After(d):
 		case <-ctx.Done():
-			return fmt.Errorf("client: %w; last: %w", ctx.Err(), err)
+			return fmt.Errorf("client: stopped retrying: %w; last error: %w", ctx.Err(), err)
 		}
 	}
 }
 
+// post sends an idempotent request with a JSON body, retries temporary errors, and decodes
+// the response into out unless that is nil.
 func (cl *Client) post(ctx context.Context, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -182,7 +191,7 @@
 	})
 }
 
-// CompletionRequest asks a model for text.
+// CompletionRequest is a request for a completion of a prompt.
 type CompletionRequest struct {
 	Model       string  `json:"model"`
 	Prompt      string  `json:"prompt"`
@@ -192,14 +201,15 @@
 	Stream      bool    `json:"stream,omitempty"`
 }
 
-// VersionRange says which tokens a weight version wrote: From inclusive, To exclusive.
+// VersionRange is the range of tokens that a weight version generated: From is inclusive,
+// To exclusive.
 type VersionRange struct {
 	Version string `json:"version"`
 	From    int    `json:"from"`
 	To      int    `json:"to"`
 }
 
-// Completion is a text with the weight versions that wrote it.
+// Completion is a generated text with the weight versions that generated it.
 type Completion struct {
 	ID       string
 	Text     string
@@ -219,7 +229,7 @@
 	Error    *Error         `json:"error"`
 }
 
-// Complete returns a whole completion.
+// Complete returns a completion without streaming.
 func (cl *Client) Complete(ctx context.Context, rq CompletionRequest) (*Completion, error) {
 	rq.Stream = false
 	var cb completionBody
@@ -235,8 +245,8 @@
 	return co, nil
 }
 
-// Stream calls onText for each part of a completion. It returns an error unless
-// the end mark was seen.
+// Stream calls onText for each part of a completion as it arrives. It returns an error
+// unless the end marker was received, and doesn't retry.
 func (cl *Client) Stream(ctx context.Context, rq CompletionRequest, onText func(string)) (*Completion, error) {
 	rq.Stream = true
 	body, err := json.Marshal(rq)
@@ -261,7 +271,7 @@
 		}
 		var cb completionBody
 		if err := json.Unmarshal([]byte(data), &cb); err != nil {
-			return co, fmt.Errorf("client: stream: %w", err)
+			return co, fmt.Errorf("client: decode an event of the stream: %w", err)
 		}
 		if cb.Error != nil {
 			return co, cb.Error
@@ -275,12 +285,12 @@
 		}
 	}
 
-	return co, fmt.Errorf("client: the stream ended before its end mark: %w", errors.Join(sc.Err(), io.ErrUnexpectedEOF))
+	return co, fmt.Errorf("client: the stream ended before its end marker: %w", errors.Join(sc.Err(), io.ErrUnexpectedEOF))
 }
 
-// Call sends a request to a plain service. With an idempotency key the request is
-// sent again after a lost answer, without one only after a refusal that says it
-// has not run.
+// Call sends a request to a plain service. With an idempotency key, the request is retried
+// if its response was lost. Without one it is retried only after a temporary error that
+// says that the request has not run.
 func (cl *Client) Call(ctx context.Context, method, route, path string, body []byte, idempotencyKey string) ([]byte, error) {
 	h := http.Header{}
 	if idempotencyKey != "" {
@@ -290,9 +300,9 @@
 	mayRepeat := func(err error) bool {
 		var er *Error
 		switch {
-		case !errors.As(err, &er): // the answer is lost
+		case !errors.As(err, &er): // the response was lost
 			return idempotencyKey != ""
-		case er.Name == nameCallInFlight: // the first request's answer can be fetched once it is there
+		case er.Name == nameCallInFlight: // a retry receives the first request's response once it is available
 			return true
 		}
 
--- a/pkg/client/trainer.go
+++ b/pkg/client/trainer.go
@@ -9,7 +9,7 @@
 	"net/url"
 )
 
-// Group is a prompt of a step.
+// Group is a prompt of a step with the number of samples to generate.
 type Group struct {
 	ID          string  `json:"id"`
 	Prompt      string  `json:"prompt"`
@@ -18,17 +18,17 @@
 	Temperature float64 `json:"temperature,omitempty"`
 }
 
-// Step is one step of a trainer. Opening the same step again changes nothing.
+// Step is one step of a trainer. Opening the same step again has no effect.
 type Step struct {
 	ID         string  `json:"id"`
 	Trainer    string  `json:"trainer"`
-	Staleness  *uint64 `json:"staleness,omitempty"` // versions
+	Staleness  *uint64 `json:"staleness,omitempty"` // bound in versions; nil for that of the trainer
 	MinVersion string  `json:"minVersion,omitempty"`
 	TimeoutMs  int     `json:"timeoutMs,omitempty"`
 	Groups     []Group `json:"groups"`
 }
 
-// Sample is one rollout.
+// Sample is one rollout. Failure is set if no text could be generated.
 type Sample struct {
 	ID           string         `json:"id"`
 	Group        string         `json:"group"`
@@ -40,7 +40,7 @@
 	Versions     []VersionRange `json:"versions"`
 	Score        *float64       `json:"score"`
 	Failure      *Error         `json:"failure"`
-	StartedMs    int64          `json:"startedMs"` // Unix time
+	StartedMs    int64          `json:"startedMs"` // Unix time in ms
 	EndedMs      int64          `json:"endedMs"`
 }
 
@@ -50,20 +50,20 @@
 	Samples []Sample `json:"samples"`
 }
 
-// OpenStep opens a step.
+// OpenStep opens a step, whose samples are then fetched with Samples.
 func (cl *Client) OpenStep(ctx context.Context, st Step) error {
 	return cl.post(ctx, "/v1/steps", st, nil)
 }
 
-// Samples calls onPage with the samples of each page of a step until all are
-// delivered. A page is acknowledged after onPage has returned nil, and is fetched
-// again only when it did not arrive whole: each sample is passed on once.
+// Samples calls onPage with the samples of each page of a step until all are delivered.
+// A page is fetched again only if its response was incomplete, and is acknowledged after
+// onPage has returned nil, so that each sample is passed to onPage once.
 func (cl *Client) Samples(ctx context.Context, step string, onPage func([]Sample) error) error {
 	return cl.SamplesFrom(ctx, step, 1, func(_ uint64, ss []Sample) error { return onPage(ss) })
 }
 
-// SamplesFrom goes on with page number first, as a trainer does that kept the
-// number of the last page it has processed.
+// SamplesFrom is like Samples but starts at page number first. A trainer that stores the
+// number of the last page that it has processed can resume with the next one.
 func (cl *Client) SamplesFrom(ctx context.Context, step string, first uint64, onPage func(page uint64, samples []Sample) error) error {
 	path := "/v1/steps/" + url.PathEscape(step) + "/pages/"
 	for n := first; ; n++ {
@@ -92,7 +92,7 @@
 	}
 }
 
-// PushVersion declares new weights of a model.
+// PushVersion declares a new weight version of a model and the source of its weights.
 func (cl *Client) PushVersion(ctx context.Context, model, name, source string) error {
 	in := map[string]string{"name": name, "source": source}
 
