--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -34,8 +34,8 @@
 
 // Client calls the gateways. It is safe for concurrent use.
 type Client struct {
-	cfg  Config
-	next atomic.Uint32 // current gateway, modulo the number of gateways
+	cfg          Config
+	gatewayIndex atomic.Uint32 // current gateway, modulo the number of gateways
 }
 
 // New returns a client.
@@ -69,22 +69,22 @@
 	executionNotRun  = "notRun"
 )
 
-// base returns the base URL of the current gateway.
-func (cl *Client) base() string {
-	return cl.cfg.Gateways[int(cl.next.Load())%len(cl.cfg.Gateways)]
+// baseURL returns the base URL of the current gateway.
+func (cl *Client) baseURL() string {
+	return cl.cfg.Gateways[int(cl.gatewayIndex.Load())%len(cl.cfg.Gateways)]
 }
 
-// once sends one request to the current gateway and returns the response with its complete
-// body. If the body is incomplete, it switches to the next gateway.
-func (cl *Client) once(ctx context.Context, method, path string, body []byte, h http.Header) (*http.Response, []byte, error) {
-	rs, err := cl.open(ctx, method, path, body, h)
+// sendAndRead sends one request to the current gateway and returns the response with its
+// complete body. If the body is incomplete, it switches to the next gateway.
+func (cl *Client) sendAndRead(ctx context.Context, method, path string, body []byte, h http.Header) (*http.Response, []byte, error) {
+	rs, err := cl.send(ctx, method, path, body, h)
 	if err != nil {
 		return nil, nil, err
 	}
 	defer rs.Body.Close()
 	b, err := io.ReadAll(io.LimitReader(rs.Body, maxAnswerBytes))
 	if err != nil {
-		cl.next.Add(1)
+		cl.gatewayIndex.Add(1)
 
 		return nil, nil, fmt.Errorf("client: %s %s: the response is incomplete: %w", method, path, err)
 	}
@@ -92,10 +92,10 @@
 	return rs, b, nil
 }
 
-// open sends one request to the current gateway and returns the response with its body
+// send sends one request to the current gateway and returns the response with its body
 // unread. It switches to the next gateway if there is no response.
-func (cl *Client) open(ctx context.Context, method, path string, body []byte, h http.Header) (*http.Response, error) {
-	rq, err := http.NewRequestWithContext(ctx, method, cl.base()+path, bytes.NewReader(body))
+func (cl *Client) send(ctx context.Context, method, path string, body []byte, h http.Header) (*http.Response, error) {
+	rq, err := http.NewRequestWithContext(ctx, method, cl.baseURL()+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
@@ -107,7 +107,7 @@
 	}
 	rs, err := cl.cfg.HTTP.Do(rq)
 	if err != nil {
-		cl.next.Add(1)
+		cl.gatewayIndex.Add(1)
 
 		return nil, err
 	}
@@ -135,7 +135,7 @@
 	}
 	switch eb.Error.Name {
 	case "staleProcess", "shuttingDown", "noLeader", "groupTimeout":
-		cl.next.Add(1) // another gateway may be able to serve the request
+		cl.gatewayIndex.Add(1) // another gateway may be able to serve the request
 	}
 
 	return &eb.Error
@@ -152,12 +152,12 @@
 	return er.Status == http.StatusTooManyRequests || er.Status >= http.StatusInternalServerError
 }
 
-// again retries a call with exponential back-off, or after the time that a response asked
-// for, until it succeeds, mayRepeat returns false or ctx ends.
-func (cl *Client) again(ctx context.Context, mayRepeat func(err error) bool, call func() error) error {
+// retry retries a call with exponential back-off, or after the time that a response asked
+// for, until it succeeds, isRetryable returns false or ctx ends.
+func (cl *Client) retry(ctx context.Context, isRetryable func(err error) bool, call func() error) error {
 	for wait := minBackoff; ; wait = min(2*wait, maxBackoff) {
 		err := call()
-		if err == nil || !mayRepeat(err) {
+		if err == nil || !isRetryable(err) {
 			return err
 		}
 		d := wait
@@ -181,8 +181,8 @@
 		return err
 	}
 
-	return cl.again(ctx, isTemporary, func() error {
-		_, b, err := cl.once(ctx, http.MethodPost, path, body, http.Header{"Content-Type": {"application/json"}})
+	return cl.retry(ctx, isTemporary, func() error {
+		_, b, err := cl.sendAndRead(ctx, http.MethodPost, path, body, http.Header{"Content-Type": {"application/json"}})
 		if err != nil || out == nil {
 			return err
 		}
@@ -253,7 +253,7 @@
 	if err != nil {
 		return nil, err
 	}
-	rs, err := cl.open(ctx, http.MethodPost, "/v1/completions", body, http.Header{"Content-Type": {"application/json"}})
+	rs, err := cl.send(ctx, http.MethodPost, "/v1/completions", body, http.Header{"Content-Type": {"application/json"}})
 	if err != nil {
 		return nil, err
 	}
@@ -297,7 +297,7 @@
 		h.Set("Idempotency-Key", idempotencyKey)
 	}
 
-	mayRepeat := func(err error) bool {
+	isRetryable := func(err error) bool {
 		var er *Error
 		switch {
 		case !errors.As(err, &er): // the response was lost
@@ -309,8 +309,8 @@
 		return er.Execution == executionNotRun && isTemporary(err)
 	}
 	var out []byte
-	err := cl.again(ctx, mayRepeat, func() error {
-		_, b, err := cl.once(ctx, method, "/r/"+route+path, body, h)
+	err := cl.retry(ctx, isRetryable, func() error {
+		_, b, err := cl.sendAndRead(ctx, method, "/r/"+route+path, body, h)
 		out = b
 
 		return err
--- a/pkg/client/trainer.go
+++ b/pkg/client/trainer.go
@@ -68,8 +68,8 @@
 	path := "/v1/steps/" + url.PathEscape(step) + "/pages/"
 	for n := first; ; n++ {
 		var pb pageBody
-		err := cl.again(ctx, isTemporary, func() error {
-			_, b, err := cl.once(ctx, http.MethodGet, fmt.Sprintf("%s%d?waitMs=%d", path, n, pageWait.Milliseconds()), nil, nil)
+		err := cl.retry(ctx, isTemporary, func() error {
+			_, b, err := cl.sendAndRead(ctx, http.MethodGet, fmt.Sprintf("%s%d?waitMs=%d", path, n, pageWait.Milliseconds()), nil, nil)
 			if err != nil {
 				return err
 			}
