--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,6 +1,6 @@
-// Package deployment runs a whole deployment in one process for the demo, the
-// experiments and the tests: real gateways and agents over loopback, and the
-// stand-ins of the outside systems, which keep the records that checks read.
+// Package deployment runs a complete deployment in one process for the demo, the
+// experiments and the tests: real gateways and agents on loopback addresses, and
+// stand-ins for the external systems, which record what they receive for later checks.
 package deployment
 
 import (
@@ -28,22 +28,22 @@
 	"github.com/tamarackbay/tamarackbay/pkg/client"
 )
 
-// OperatorToken is the operator's token of every deployment made here.
+// OperatorToken is the operator's token of every deployment that this package starts.
 const OperatorToken = "operator-of-the-demo"
 
 // Config describes a deployment.
 type Config struct {
 	Gateways     int
-	Folder       string // of the data folders, one below it for each gateway
+	Folder       string // parent of the data folders, one per gateway
 	Declarations *declaration.Set
-	Engine       fake.EngineConfig // Model is filled in from the class
+	Engine       fake.EngineConfig // its Model is set from the class
 	ServiceDelay time.Duration
-	StoreLimit   int
-	Startup      time.Duration // of a backend server
-	NoOrdering   bool          // the test starts backend servers itself
+	StoreLimit   int           // concurrent fetches that the weight store serves, at least 1
+	Startup      time.Duration // startup time of an ordered backend server
+	NoOrdering   bool          // no ordering interface: the test starts backend servers itself
 	NoUsage      bool
 	NoScorer     bool
-	Tune         func(se *settings.Gateway)
+	Tune         func(se *settings.Gateway) // changes the settings of each gateway
 	Log          log.Interface
 }
 
@@ -62,22 +62,22 @@
 	services map[string]*fake.Service
 	agents   map[string]*program.Agent
 	isClosed bool
-	past     []*fake.Engine // engines of backend servers that were given back
+	past     []*fake.Engine // engines of backend servers that were stopped or killed
 }
 
-// domains are the failure domains of a deployment, one gateway in each in turn.
+// domains are the failure domains, to which gateways are assigned round-robin.
 var domains = []string{"a", "b", "c"}
 
-// Ports of a gateway; they lie below those that the system gives to outgoing connections.
+// Ports of a gateway. They are below the operating system's range of ephemeral ports.
 const (
 	callerPort   = 8080
 	operatorPort = 8081
 	peerPort     = 8082
-	hostTries    = 100
+	hostTries    = 100 // random loopback addresses that are tried
 )
 
-// freeHost returns a loopback address of its own, so that each gateway stands on
-// its own IP number as it does on its own VM.
+// freeHost returns an unused loopback address. Each gateway gets its own, like gateways on
+// VMs of their own.
 func freeHost() (string, error) {
 	for range hostTries {
 		h := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250))
@@ -87,10 +87,10 @@
 		}
 	}
 
-	return "", fmt.Errorf("deployment: no free loopback address in %d tries", hostTries)
+	return "", fmt.Errorf("deployment: no free loopback address found in %d attempts", hostTries)
 }
 
-// Start starts the stand-ins and the gateways and applies the declarations.
+// Start starts the stand-ins and the gateways and applies the declarations, if any.
 func Start(ctx context.Context, cfg Config) (*Deployment, error) {
 	if cfg.Log == nil {
 		cfg.Log = logging.Discard()
@@ -116,6 +116,7 @@
 	return de, de.Apply(ctx, cfg.Declarations)
 }
 
+// startOutside starts the stand-ins for the external systems.
 func (de *Deployment) startOutside() error {
 	const any0 = "127.0.0.1:0"
 	var err error
@@ -133,7 +134,7 @@
 	return err
 }
 
-// plan writes the settings of all gateways.
+// plan generates the settings of all gateways.
 func (de *Deployment) plan() error {
 	var fos []settings.Founder
 	for i := range de.cfg.Gateways {
@@ -178,7 +179,7 @@
 	return nil
 }
 
-// StartGateway starts gateway i, also after it was killed.
+// StartGateway starts gateway i, or restarts it after KillGateway.
 func (de *Deployment) StartGateway(i int) error {
 	pg, err := program.StartGateway(de.settings[i], de.cfg.Log)
 	if err != nil {
@@ -199,20 +200,20 @@
 	return de.gateways[i]
 }
 
-// KillGateway ends gateway i as a crash would.
+// KillGateway terminates gateway i as a crash would.
 func (de *Deployment) KillGateway(i int) {
 	pg := de.Gateway(i)
 	pg.Kill()
 	<-pg.Done()
 }
 
-// EmptyDisk removes the data folder of gateway i, which must not run.
+// EmptyDisk removes the data folder of gateway i, which must not be running.
 func (de *Deployment) EmptyDisk(i int) error { return os.RemoveAll(de.settings[i].DataFolder) }
 
 // Settings returns the settings of gateway i.
 func (de *Deployment) Settings(i int) *settings.Gateway { return &de.settings[i] }
 
-// Leader returns the index of the gateway that leads the group, or -1.
+// Leader returns the index of the gateway whose replica leads the group, or -1 if none does.
 func (de *Deployment) Leader() int {
 	for i := range de.settings {
 		pg := de.Gateway(i)
@@ -232,7 +233,7 @@
 	return -1
 }
 
-// URLs returns the callers' base URLs of all gateways.
+// URLs returns the base URLs of all gateways for callers and trainers.
 func (de *Deployment) URLs() []string {
 	out := make([]string, len(de.settings))
 	for i := range de.settings {
@@ -250,7 +251,8 @@
 	return client.New(client.Config{Gateways: append(u[first:len(u):len(u)], u[:first]...), Token: token})
 }
 
-// Operate calls the operators' interface of the first gateway that answers.
+// Operate calls the operators' interface of the gateways in order, and retries until one
+// responds without a server error or ctx ends.
 func (de *Deployment) Operate(ctx context.Context, method, path string, in, out any) error {
 	var last error
 	for ctx.Err() == nil {
@@ -264,10 +266,11 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 
-	return fmt.Errorf("deployment: %w; last: %w", ctx.Err(), last)
+	return fmt.Errorf("deployment: the operator's call did not succeed: %w; last error: %w", ctx.Err(), last)
 }
 
-// operateAt calls one gateway and tells whether the call may be made again.
+// operateAt calls the operators' interface of gateway i and reports whether the call may
+// be retried.
 func (de *Deployment) operateAt(ctx context.Context, i int, method, path string, in, out any) (bool, error) {
 	b, err := json.Marshal(in)
 	if err != nil {
@@ -288,7 +291,7 @@
 		return true, err
 	}
 	if rs.StatusCode >= http.StatusBadRequest {
-		return rs.StatusCode >= http.StatusInternalServerError, fmt.Errorf("deployment: %s %s: status %d: %s", method, path, rs.StatusCode, body)
+		return rs.StatusCode >= http.StatusInternalServerError, fmt.Errorf("deployment: %s %s: response with status %d: %s", method, path, rs.StatusCode, body)
 	}
 	if out == nil {
 		return false, nil
@@ -297,7 +300,8 @@
 	return false, json.Unmarshal(body, out)
 }
 
-// Apply makes the configuration equal to set, keys left alone.
+// Apply makes the configuration equal to set, except for keys, which are unchanged. It
+// repeats the patch until nothing differs.
 func (de *Deployment) Apply(ctx context.Context, set *declaration.Set) error {
 	for {
 		var cur struct {
@@ -327,7 +331,7 @@
 	return out.ID, out.Token, err
 }
 
-// Close ends everything.
+// Close terminates all agents, gateways and stand-ins.
 func (de *Deployment) Close() {
 	de.mu.Lock()
 	de.isClosed = true
--- a/internal/deployment/servers.go
+++ b/internal/deployment/servers.go
@@ -12,7 +12,8 @@
 	"github.com/tamarackbay/tamarackbay/internal/settings"
 )
 
-// startOrdered is called by the ordering interface.
+// startOrdered starts a backend server that was ordered at the ordering interface, after
+// its startup time.
 func (de *Deployment) startOrdered(server, class, failureDomain, orderID string) {
 	time.Sleep(de.cfg.Startup)
 	cl, ok := de.cfg.Declarations.Classes[class]
@@ -20,7 +21,7 @@
 		return
 	}
 	if err := de.StartServer(server, class, cl, failureDomain, orderID); err != nil {
-		de.cfg.Log.WithError(err).Error("a backend server did not start")
+		de.cfg.Log.WithError(err).Error("ordered backend server could not be started")
 	}
 }
 
@@ -63,7 +64,8 @@
 	return nil
 }
 
-// takeServer takes a backend server off the list of those that run.
+// takeServer removes a backend server from the running ones and returns its agent and
+// its engine, each nil if there is none.
 func (de *Deployment) takeServer(server string) (*program.Agent, *fake.Engine) {
 	de.mu.Lock()
 	defer de.mu.Unlock()
@@ -93,7 +95,7 @@
 	}
 }
 
-// KillServer ends a backend server and its agent as the loss of a VM would.
+// KillServer terminates a backend server and its agent as the loss of its VM would.
 func (de *Deployment) KillServer(server string) {
 	pa, en := de.takeServer(server)
 	if en != nil {
@@ -104,7 +106,7 @@
 	}
 }
 
-// Engines returns the engines that run, by name.
+// Engines returns the running engines by the name of their backend server.
 func (de *Deployment) Engines() map[string]*fake.Engine {
 	de.mu.Lock()
 	defer de.mu.Unlock()
@@ -112,7 +114,7 @@
 	return maps.Clone(de.engines)
 }
 
-// AllEngines returns every engine that ever ran.
+// AllEngines returns the running and the terminated engines.
 func (de *Deployment) AllEngines() []*fake.Engine {
 	de.mu.Lock()
 	defer de.mu.Unlock()
@@ -125,7 +127,8 @@
 	return out
 }
 
-// Services returns every plain service that ever ran.
+// Services returns the running and the terminated plain services by the name of their
+// backend server.
 func (de *Deployment) Services() map[string]*fake.Service {
 	de.mu.Lock()
 	defer de.mu.Unlock()
@@ -133,7 +136,7 @@
 	return maps.Clone(de.services)
 }
 
-// Agent returns the agent of a backend server.
+// Agent returns the agent of a running backend server, or nil.
 func (de *Deployment) Agent(server string) *program.Agent {
 	de.mu.Lock()
 	defer de.mu.Unlock()
@@ -141,8 +144,9 @@
 	return de.agents[server]
 }
 
-// WaitServers waits until every gateway that runs sees n ready backend servers
-// that serve, with a verified version where version is set.
+// WaitServers waits until every running gateway sees at least n ready backend servers of
+// the model or plain service serves. If version is set, only servers on which that
+// version was verified count.
 func (de *Deployment) WaitServers(ctx context.Context, serves string, n int, version string) error {
 	return Until(ctx, func() error {
 		for i := range de.settings {
@@ -162,7 +166,7 @@
 				}
 			}
 			if ready < n {
-				return fmt.Errorf("deployment: gateway %d sees %d of %d ready servers of %s at version %q", i+1, ready, n, serves, version)
+				return fmt.Errorf("deployment: gateway %d sees %d of %d ready backend servers of %s at version %q", i+1, ready, n, serves, version)
 			}
 		}
 
@@ -170,7 +174,7 @@
 	})
 }
 
-// Until calls f until it returns nil or ctx ends, then returns its last error.
+// Until calls f periodically until it returns nil or ctx ends, and returns its last error.
 func Until(ctx context.Context, f func() error) error {
 	for {
 		err := f()
