--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -55,14 +55,14 @@
 	Ordering *fake.Ordering
 	Usage    *fake.UsageSink
 
-	mu       sync.Mutex
-	settings []settings.Gateway
-	gateways []*program.Gateway
-	engines  map[string]*fake.Engine
-	services map[string]*fake.Service
-	agents   map[string]*program.Agent
-	isClosed bool
-	past     []*fake.Engine // engines of backend servers that were stopped or killed
+	mu             sync.Mutex
+	settings       []settings.Gateway
+	gateways       []*program.Gateway
+	engines        map[string]*fake.Engine
+	services       map[string]*fake.Service
+	agents         map[string]*program.Agent
+	isClosed       bool
+	stoppedEngines []*fake.Engine // engines of backend servers that were stopped or killed
 }
 
 // domains are the failure domains, to which gateways are assigned round-robin.
@@ -70,16 +70,16 @@
 
 // Ports of a gateway. They are below the operating system's range of ephemeral ports.
 const (
-	callerPort   = 8080
-	operatorPort = 8081
-	peerPort     = 8082
-	hostTries    = 100 // random loopback addresses that are tried
+	callerPort      = 8080
+	operatorPort    = 8081
+	peerPort        = 8082
+	maxHostAttempts = 100 // random loopback addresses that are tried
 )
 
 // freeHost returns an unused loopback address. Each gateway gets its own, like gateways on
 // VMs of their own.
 func freeHost() (string, error) {
-	for range hostTries {
+	for range maxHostAttempts {
 		h := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250))
 		ln, err := net.Listen("tcp", net.JoinHostPort(h, strconv.Itoa(callerPort)))
 		if err == nil {
@@ -87,7 +87,7 @@
 		}
 	}
 
-	return "", fmt.Errorf("deployment: no free loopback address found in %d attempts", hostTries)
+	return "", fmt.Errorf("deployment: no free loopback address found in %d attempts", maxHostAttempts)
 }
 
 // Start starts the stand-ins and the gateways and applies the declarations, if any.
@@ -98,10 +98,10 @@
 	de := &Deployment{
 		cfg: cfg, engines: map[string]*fake.Engine{}, services: map[string]*fake.Service{}, agents: map[string]*program.Agent{},
 	}
-	if err := de.startOutside(); err != nil {
+	if err := de.startExternalSystems(); err != nil {
 		return nil, err
 	}
-	if err := de.plan(); err != nil {
+	if err := de.generateSettings(); err != nil {
 		return nil, err
 	}
 	for i := range cfg.Gateways {
@@ -116,26 +116,26 @@
 	return de, de.Apply(ctx, cfg.Declarations)
 }
 
-// startOutside starts the stand-ins for the external systems.
-func (de *Deployment) startOutside() error {
-	const any0 = "127.0.0.1:0"
+// startExternalSystems starts the stand-ins for the external systems.
+func (de *Deployment) startExternalSystems() error {
+	const anyPort = "127.0.0.1:0"
 	var err error
-	if de.Store, err = fake.NewWeightStore(any0, max(de.cfg.StoreLimit, 1)); err != nil {
+	if de.Store, err = fake.NewWeightStore(anyPort, max(de.cfg.StoreLimit, 1)); err != nil {
 		return err
 	}
-	if de.Scorer, err = fake.NewScorer(any0); err != nil {
+	if de.Scorer, err = fake.NewScorer(anyPort); err != nil {
 		return err
 	}
-	if de.Usage, err = fake.NewUsageSink(any0); err != nil {
+	if de.Usage, err = fake.NewUsageSink(anyPort); err != nil {
 		return err
 	}
-	de.Ordering, err = fake.NewOrdering(any0, de.startOrdered, de.StopServer)
+	de.Ordering, err = fake.NewOrdering(anyPort, de.startOrdered, de.StopServer)
 
 	return err
 }
 
-// plan generates the settings of all gateways.
-func (de *Deployment) plan() error {
+// generateSettings generates the settings of all gateways.
+func (de *Deployment) generateSettings() error {
 	var fos []settings.Founder
 	for i := range de.cfg.Gateways {
 		var se settings.Gateway
--- a/internal/deployment/servers.go
+++ b/internal/deployment/servers.go
@@ -64,9 +64,9 @@
 	return nil
 }
 
-// takeServer removes a backend server from the running ones and returns its agent and
+// removeServer removes a backend server from the running ones and returns its agent and
 // its engine, each nil if there is none.
-func (de *Deployment) takeServer(server string) (*program.Agent, *fake.Engine) {
+func (de *Deployment) removeServer(server string) (*program.Agent, *fake.Engine) {
 	de.mu.Lock()
 	defer de.mu.Unlock()
 
@@ -74,7 +74,7 @@
 	delete(de.agents, server)
 	delete(de.engines, server)
 	if en != nil {
-		de.past = append(de.past, en)
+		de.stoppedEngines = append(de.stoppedEngines, en)
 	}
 
 	return pa, en
@@ -82,7 +82,7 @@
 
 // StopServer stops a backend server and its agent.
 func (de *Deployment) StopServer(server string) {
-	pa, en := de.takeServer(server)
+	pa, en := de.removeServer(server)
 	sv := de.Services()[server]
 	if pa != nil {
 		pa.Shutdown()
@@ -97,7 +97,7 @@
 
 // KillServer terminates a backend server and its agent as the loss of its VM would.
 func (de *Deployment) KillServer(server string) {
-	pa, en := de.takeServer(server)
+	pa, en := de.removeServer(server)
 	if en != nil {
 		en.Close()
 	}
@@ -119,7 +119,7 @@
 	de.mu.Lock()
 	defer de.mu.Unlock()
 
-	out := append([]*fake.Engine(nil), de.past...)
+	out := append([]*fake.Engine(nil), de.stoppedEngines...)
 	for _, en := range de.engines {
 		out = append(out, en)
 	}
