--- a/internal/demo/check.go
+++ b/internal/demo/check.go
@@ -16,13 +16,13 @@
 	"github.com/tamarackbay/tamarackbay/internal/usage"
 )
 
-// promise is one check over the records.
+// promise is a guarantee of the service and its check against the records.
 type promise struct {
-	text  string
+	text  string // printed with the result
 	check func() error
 }
 
-// report prints the measures and the promises, and returns an error when one is broken.
+// report prints the measures and the promises. It returns an error if a promise was broken.
 func (wo *world) report(ctx context.Context) error {
 	wo.say("waiting for the last usage window to be reported")
 	if err := wo.waitReports(ctx); err != nil {
@@ -31,19 +31,19 @@
 	fmt.Fprintln(wo.out, "\nMeasures")
 	wo.measures()
 
-	fmt.Fprintln(wo.out, "\nPromises, checked from the records of the stand-ins")
+	fmt.Fprintln(wo.out, "\nPromises, checked against the records of the stand-ins")
 	broken := 0
 	for _, p := range []promise{
 		{"every sample names the weight versions that produced it", wo.checkVersions},
 		{"no sample is older than the staleness bound", wo.checkStaleness},
 		{"every sample reaches its trainer exactly once", wo.checkOnce},
-		{"no backend server sees a key", wo.checkKeys},
+		{"no backend server receives a key", wo.checkKeys},
 		{"a withdrawn key stops working", wo.checkWithdrawn},
 		{"orders come from one process at a time", wo.checkOrders},
-		{"no window is reported twice with different figures, nor by an earlier holder", wo.checkReports},
-		{"usage is never above what the engines made", wo.checkUsage},
+		{"no window is reported with different figures, or by an earlier lease holder", wo.checkReports},
+		{"reported usage never exceeds what the engines processed", wo.checkUsage},
 		{"a request that may not be repeated runs at most once", wo.checkSingle},
-		{"the weight store's limit is kept", wo.checkStore},
+		{"the weight store's limit is respected", wo.checkStore},
 	} {
 		if err := p.check(); err != nil {
 			broken++
@@ -60,11 +60,12 @@
 	return nil
 }
 
-// settleTime is how long nothing new must be reported: a window, its grace and a second.
+// settleTime is how long no new usage must be reported before the reports count as final:
+// a window, its grace period and one second.
 const settleTime = (windowSeconds + 3) * time.Second
 
-// waitReports waits until all tokens are reported, or no more come: what an engine
-// made in the moment of its crash reached nobody.
+// waitReports waits until all tokens are reported or settleTime has passed without a new
+// report: tokens that an engine generated just before its crash are never reported.
 func (wo *world) waitReports(ctx context.Context) error {
 	made, last, since := wo.madeTokens(), uint64(0), time.Now()
 
@@ -74,13 +75,14 @@
 			last, since = sum, time.Now()
 		}
 		if sum < made && time.Since(since) < settleTime {
-			return fmt.Errorf("%d of %d tokens are reported so far", sum, made)
+			return fmt.Errorf("usage reports contain %d of %d tokens so far", sum, made)
 		}
 
 		return nil
 	})
 }
 
+// measures prints the five measures.
 func (wo *world) measures() {
 	wo.mu.Lock()
 	defer wo.mu.Unlock()
@@ -97,7 +99,7 @@
 			parts = append(parts, fmt.Sprintf("%d: %d", l, lag[l]))
 		}
 	}
-	fmt.Fprintf(wo.out, "  staleness                samples by versions behind at the request of their page: %s\n", strings.Join(parts, ", "))
+	fmt.Fprintf(wo.out, "  staleness                samples by number of versions behind when their page was requested: %s\n", strings.Join(parts, ", "))
 	wo.worst()
 	class := wo.set.Classes[wo.names.sampler]
 	seconds := wo.de.Ordering.ServerSeconds(wo.names.sampler)
@@ -106,6 +108,8 @@
 	fmt.Fprintf(wo.out, "  reports                  %d windows, latest %.1f s after the window's end\n", len(wo.byWindow()), wo.latestReport().Seconds())
 }
 
+// worst prints the workspace with the lowest share of served calls, or the highest p99
+// latency among equal shares.
 func (wo *world) worst() {
 	type line struct {
 		name  string
@@ -130,13 +134,15 @@
 	}
 }
 
+// sequence returns the number in a version name such as v2.
 func sequence(version string) int {
 	n, _ := strconv.Atoi(strings.TrimPrefix(version, "v"))
 
 	return n
 }
 
-// oldest returns the sequence of the oldest version that the text itself names.
+// oldest returns the sequence number of the oldest version that generated a token of the
+// sample, read from the text: the engine stand-in writes the version with every token.
 func (wo *world) oldest(s *delivered) int {
 	low := 0
 	for _, tok := range strings.Fields(s.Text) {
@@ -149,13 +155,13 @@
 	return low
 }
 
-// checkVersions compares the versions of each sample with its text, in which the
-// engine wrote the version with every token.
+// checkVersions compares the reported versions of each sample with its text, in which the
+// engine stand-in wrote the version with every token.
 func (wo *world) checkVersions() error {
 	for _, s := range wo.samples {
 		toks := strings.Fields(s.Text)
 		if len(toks) != s.Tokens {
-			return fmt.Errorf("sample %s has %d tokens and says %d", s.ID, len(toks), s.Tokens)
+			return fmt.Errorf("sample %s has %d tokens but reports %d", s.ID, len(toks), s.Tokens)
 		}
 		for i, tok := range toks {
 			v, _, _ := strings.Cut(tok, ":")
@@ -164,7 +170,7 @@
 				ok = ok || (vr.Version == v && i >= vr.From && i < vr.To)
 			}
 			if !ok {
-				return fmt.Errorf("sample %s: token %d was written by %s, which its ranges %v do not say", s.ID, i, v, s.Versions)
+				return fmt.Errorf("sample %s: token %d was generated by version %s, but the reported ranges are %v", s.ID, i, v, s.Versions)
 			}
 		}
 	}
@@ -172,6 +178,7 @@
 	return nil
 }
 
+// checkStaleness compares the oldest version of each sample with the trainer's bound.
 func (wo *world) checkStaleness() error {
 	bound := int(wo.set.Trainers[wo.names.trainer].StalenessBound)
 	for _, s := range wo.samples {
@@ -183,6 +190,7 @@
 	return nil
 }
 
+// checkOnce checks that all samples were delivered, each once.
 func (wo *world) checkOnce() error {
 	seen := map[string]int{}
 	for _, s := range wo.samples {
@@ -194,13 +202,13 @@
 		}
 	}
 	if want := steps * groups * perGroup; len(seen) != want {
-		return fmt.Errorf("%d samples were delivered, %d were wanted", len(seen), want)
+		return fmt.Errorf("%d samples were delivered, want %d", len(seen), want)
 	}
 
 	return nil
 }
 
-// checkKeys searches everything that a backend server received for every key.
+// checkKeys searches everything that backend servers received for the secret of each key.
 func (wo *world) checkKeys() error {
 	var seen strings.Builder
 	for _, sv := range wo.de.Services() {
@@ -215,35 +223,36 @@
 	}
 	for _, s := range wo.secrets {
 		if strings.Contains(seen.String(), s) {
-			return fmt.Errorf("a secret reached a backend server")
+			return fmt.Errorf("a request to a backend server contains the secret of a key")
 		}
 	}
 
 	return nil
 }
 
+// checkWithdrawn checks that no gateway served the withdrawn key.
 func (wo *world) checkWithdrawn() error {
 	for _, sv := range wo.de.Services() {
 		for _, r := range sv.Runs() {
 			if strings.Contains(r.Path, "after-withdrawal") {
-				return fmt.Errorf("a backend server ran a request of the withdrawn key")
+				return fmt.Errorf("a backend server ran a request with the withdrawn key")
 			}
 		}
 	}
 	if wo.withdrawn > 0 || wo.refused == 0 {
-		return fmt.Errorf("%d gateways served it, %d refused it", wo.withdrawn, wo.refused)
+		return fmt.Errorf("%d gateways served the withdrawn key, %d refused it", wo.withdrawn, wo.refused)
 	}
 
 	return nil
 }
 
-// checkOrders looks for an order of an earlier holder after one of a later holder.
+// checkOrders checks that no order of an earlier lease holder follows one of a later holder.
 func (wo *world) checkOrders() error {
 	var top uint64
 	starts := map[string]bool{}
 	for _, r := range wo.de.Ordering.Records() {
 		if r.Fencing < top {
-			return fmt.Errorf("order %s of %s has fencing number %d after %d", r.ID, r.Giver, r.Fencing, top)
+			return fmt.Errorf("order %s from %s has fencing number %d after %d", r.ID, r.Giver, r.Fencing, top)
 		}
 		top = r.Fencing
 		starts[r.ID] = true
@@ -252,18 +261,19 @@
 		top = 0
 		for _, o := range en.Orders() {
 			if o.Taken && o.Fencing < top {
-				return fmt.Errorf("engine order %s of %s has fencing number %d after %d", o.ID, o.Giver, o.Fencing, top)
+				return fmt.Errorf("engine order %s from %s was accepted with fencing number %d after %d", o.ID, o.Giver, o.Fencing, top)
 			}
 			top = max(top, o.Fencing)
 		}
 	}
 	if len(starts) == 0 {
-		return fmt.Errorf("no order was given")
+		return fmt.Errorf("no order was sent to the ordering interface")
 	}
 
 	return nil
 }
 
+// byWindow returns the records of the usage reports by window.
 func (wo *world) byWindow() map[uint64][]fake.ReportRecord {
 	out := map[uint64][]fake.ReportRecord{}
 	for _, r := range wo.de.Usage.Records() {
@@ -273,9 +283,11 @@
 	return out
 }
 
+// checkReports checks that all reports of a window are equal, and that none of an earlier
+// lease holder follows one of a later holder.
 func (wo *world) checkReports() error {
 	if len(wo.byWindow()) == 0 {
-		return fmt.Errorf("nothing was reported")
+		return fmt.Errorf("no usage was reported")
 	}
 	for n, rs := range wo.byWindow() {
 		for _, r := range rs {
@@ -287,7 +299,7 @@
 	var top uint64
 	for _, r := range wo.de.Usage.Records() {
 		if r.Fencing < top {
-			return fmt.Errorf("window %d was reported by an earlier holder", r.Window)
+			return fmt.Errorf("window %d was reported by an earlier lease holder after a later one had reported", r.Window)
 		}
 		top = r.Fencing
 	}
@@ -295,6 +307,7 @@
 	return nil
 }
 
+// reported returns the sum of all reported usage.
 func (wo *world) reported() usage.Figures {
 	var sum usage.Figures
 	for _, rs := range wo.byWindow() {
@@ -311,6 +324,7 @@
 	return sum
 }
 
+// latestReport returns the longest time from the end of a window to its first report.
 func (wo *world) latestReport() time.Duration {
 	var late time.Duration
 	for n, rs := range wo.byWindow() {
@@ -321,7 +335,7 @@
 	return late
 }
 
-// madeTokens counts what the engines made, prompts and texts.
+// madeTokens counts the tokens of the engines' runs: generated ones and those of prompts.
 func (wo *world) madeTokens() uint64 {
 	var sum uint64
 	for _, en := range wo.de.AllEngines() {
@@ -336,18 +350,21 @@
 	return sum
 }
 
+// checkUsage checks that the reported tokens are at most those of the engines, and at
+// least 90 % of them.
 func (wo *world) checkUsage() error {
 	made, sum := wo.madeTokens(), wo.reported().Tokens
 	if sum > made {
-		return fmt.Errorf("%d tokens were reported, the engines made %d", sum, made)
+		return fmt.Errorf("%d tokens were reported, but the engines processed only %d", sum, made)
 	}
 	if float64(sum) < 0.9*float64(made) {
-		return fmt.Errorf("%d tokens were reported, the engines made %d", sum, made)
+		return fmt.Errorf("only %d tokens were reported, but the engines processed %d", sum, made)
 	}
 
 	return nil
 }
 
+// checkSingle checks that no request that may not be repeated ran twice.
 func (wo *world) checkSingle() error {
 	runs := map[string]int{}
 	for _, sv := range wo.de.Services() {
@@ -358,7 +375,7 @@
 		}
 	}
 	if len(runs) == 0 {
-		return fmt.Errorf("no such request ran")
+		return fmt.Errorf("no request that may not be repeated ran")
 	}
 	for k, n := range runs {
 		if n > 1 {
@@ -369,9 +386,10 @@
 	return nil
 }
 
+// checkStore checks that the weight store never had to refuse a fetch over its limit.
 func (wo *world) checkStore() error {
 	if n := wo.de.Store.Refused(); n > 0 {
-		return fmt.Errorf("%d fetches were over the limit", n)
+		return fmt.Errorf("%d fetches exceeded the weight store's limit", n)
 	}
 
 	return nil
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,7 +1,7 @@
-// Package demo runs a deployment of the brief in one process: several steps of a
-// trainer with a change of weights, callers beside it, the loss of a gateway and
-// of an engine. It ends with the five measures and a line for each promise,
-// checked from the records of the stand-ins.
+// Package demo runs one of the example deployments in one process: a trainer runs several
+// steps while its weights change, callers send requests at the same time, a gateway is
+// killed and an engine crashes. It then prints the five measures and one line for each
+// promise, which is checked against the records of the stand-ins.
 package demo
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/tamarackbay/tamarackbay/pkg/client"
 )
 
-// Config describes a run.
+// Config describes a run of the demo.
 type Config struct {
 	Deployment string // consortium or cedarwick
 	Out        io.Writer
@@ -29,13 +29,13 @@
 const (
 	runLimit      = 55 * time.Second
 	steps         = 5
-	groups        = 12
-	perGroup      = 8
-	windowSeconds = 3
+	groups        = 12 // of a step
+	perGroup      = 8  // samples of a group
+	windowSeconds = 3  // of usage
 	engineStartup = 200 * time.Millisecond
 )
 
-// world is what one run knows.
+// world is the state of one run.
 type world struct {
 	out   io.Writer
 	de    *deployment.Deployment
@@ -45,16 +45,16 @@
 
 	mu        sync.Mutex
 	samples   []delivered
-	pushed    []string // versions in the order of their acceptance
-	idle      time.Duration
-	busy      time.Duration
-	calls     map[string]*callCount
-	refused   int // uses of the withdrawn key that were refused
-	withdrawn int // uses of the withdrawn key after the bound that were served
-	secrets   []string
+	pushed    []string              // weight versions in the order of their acceptance
+	idle      time.Duration         // time that the trainer waited for samples
+	busy      time.Duration         // time that the trainer computed
+	calls     map[string]*callCount // by workspace
+	refused   int                   // requests with the withdrawn key that were refused
+	withdrawn int                   // requests with the withdrawn key that were served after the revocation bound
+	secrets   []string              // of all issued keys
 }
 
-// names are the nouns of a deployment that the run uses.
+// names holds the names of a deployment's objects that the run uses.
 type names struct {
 	trainer, trainerWorkspace, model, service, onceRoute, repeatRoute, sampler string
 	callers                                                                    []string
@@ -73,19 +73,20 @@
 	},
 }
 
-// delivered is a sample with what was known when its page was asked for.
+// delivered is a sample with the state at the time when its page was requested.
 type delivered struct {
 	client.Sample
 	step   string
-	latest int // versions accepted before the page was asked for
+	latest int // number of versions accepted before the page was requested
 }
 
+// callCount counts the calls of one workspace.
 type callCount struct {
 	ok, failed int
 	latencies  []time.Duration
 }
 
-// Run runs the demo and returns an error when a promise was broken.
+// Run runs the demo. It returns an error if a promise was broken.
 func Run(ctx context.Context, cfg Config) error {
 	nm, ok := deployments[cfg.Deployment]
 	if !ok {
@@ -104,7 +105,7 @@
 	if wo.set, err = declarations(cfg.Deployment); err != nil {
 		return err
 	}
-	wo.say("starting three gateways, the stand-ins and the declarations of %s", cfg.Deployment)
+	wo.say("starting three gateways and the stand-ins, applying the declarations of %s", cfg.Deployment)
 	wo.de, err = deployment.Start(ctx, deployment.Config{
 		Gateways: 3, Folder: folder, Declarations: wo.set, StoreLimit: 3, Startup: engineStartup, ServiceDelay: 2 * time.Millisecond,
 		Engine: fake.EngineConfig{
@@ -127,7 +128,7 @@
 	return wo.report(ctx)
 }
 
-// declarations returns the example of a deployment with the times of a demo.
+// declarations returns the example declarations of a deployment, with shorter times.
 func declarations(name string) (*declaration.Set, error) {
 	set, err := declaration.ReadFolder(examples.Files, name)
 	if err != nil {
@@ -149,10 +150,12 @@
 	return set, nil
 }
 
+// say prints a line with the time since the start.
 func (wo *world) say(format string, args ...any) {
 	fmt.Fprintf(wo.out, "%6.2fs  %s\n", time.Since(wo.start).Seconds(), fmt.Sprintf(format, args...))
 }
 
+// scenario issues the keys, waits for the fleet, and runs the callers next to the trainer.
 func (wo *world) scenario(ctx context.Context) error {
 	tokens := map[string]string{}
 	for _, w := range append([]string{wo.names.trainerWorkspace}, wo.names.callers...) {
@@ -167,7 +170,7 @@
 	if err := wo.push(ctx, tr, "v1"); err != nil {
 		return err
 	}
-	wo.say("keys issued, weights v1 declared; waiting for the fleet to order backend servers")
+	wo.say("keys issued, weight version v1 declared; waiting for the fleet to order backend servers")
 	if err := wo.de.WaitServers(ctx, wo.names.model, 6, "v1"); err != nil {
 		return err
 	}
@@ -196,7 +199,7 @@
 	return err
 }
 
-// train runs the steps with the faults between and within them.
+// train runs the steps and injects a fault into some of them.
 func (wo *world) train(ctx context.Context, tr *client.Client) error {
 	for n := 1; n <= steps; n++ {
 		id := fmt.Sprintf("step-%d", n)
@@ -210,7 +213,7 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", id, err)
 		}
-		wo.say("%s whole: %d samples in %v", id, groups*perGroup, time.Since(began).Round(time.Millisecond))
+		wo.say("%s complete: %d samples in %v", id, groups*perGroup, time.Since(began).Round(time.Millisecond))
 		wo.mu.Lock()
 		wo.idle += time.Since(began)
 		wo.mu.Unlock()
@@ -220,7 +223,7 @@
 	return nil
 }
 
-// work stands for the trainer's own computation.
+// work simulates the trainer's own computation.
 func (wo *world) work(d time.Duration) {
 	time.Sleep(d)
 	wo.mu.Lock()
@@ -239,14 +242,14 @@
 	return st
 }
 
-// fault brings about what step n is to survive.
+// fault injects the fault that step n must survive.
 func (wo *world) fault(ctx context.Context, n int, tr *client.Client) {
 	switch n {
 	case 2:
 		if err := wo.push(ctx, tr, "v2"); err != nil {
 			wo.say("push of v2 failed: %v", err)
 		}
-		wo.say("weights v2 accepted in the middle of a step")
+		wo.say("weight version v2 accepted in the middle of a step")
 	case 3:
 		if i := wo.de.Leader(); i >= 0 {
 			wo.say("killing gateway %d, which leads the group", i+1)
@@ -258,7 +261,7 @@
 				if err := wo.de.StartGateway(i); err != nil {
 					wo.say("gateway %d did not start: %v", i+1, err)
 				}
-				wo.say("gateway %d is back", i+1)
+				wo.say("gateway %d is running again", i+1)
 			})
 		}
 	case 4:
@@ -274,6 +277,7 @@
 	}
 }
 
+// push declares a weight version and records it once it was accepted.
 func (wo *world) push(ctx context.Context, tr *client.Client, version string) error {
 	if err := tr.PushVersion(ctx, wo.names.model, version, "store://"+wo.names.model+"/"+version); err != nil {
 		return err
@@ -285,6 +289,7 @@
 	return nil
 }
 
+// latest returns the number of accepted weight versions.
 func (wo *world) latest() int {
 	wo.mu.Lock()
 	defer wo.mu.Unlock()
@@ -292,6 +297,7 @@
 	return len(wo.pushed)
 }
 
+// collect records the samples of a step as their pages are delivered.
 func (wo *world) collect(ctx context.Context, tr *client.Client, id string) error {
 	latest := wo.latest()
 
@@ -307,7 +313,8 @@
 	})
 }
 
-// callLoop sends calls of one workspace until ctx ends.
+// callLoop sends calls of one workspace until ctx ends: alternately one that must run at
+// most once and one that may be repeated.
 func (wo *world) callLoop(ctx context.Context, workspace string, cl *client.Client) {
 	for n := 0; ctx.Err() == nil; n++ {
 		key := fmt.Sprintf("%s-%d", workspace, n)
@@ -337,7 +344,7 @@
 	}
 }
 
-// withdraw takes a key back while its holder streams, and uses it at every gateway.
+// withdraw issues, uses and withdraws a key, and 2 s later tries it at every gateway.
 func (wo *world) withdraw(ctx context.Context) error {
 	id, token, err := wo.de.IssueKey(ctx, wo.names.callers[0])
 	if err != nil {
@@ -368,7 +375,7 @@
 			wo.refused++
 		}
 	}
-	wo.say("a key was withdrawn: refused at %d of %d gateways 2 s later", wo.refused, len(wo.de.URLs()))
+	wo.say("a key was withdrawn: %d of %d gateways refused it 2 s later", wo.refused, len(wo.de.URLs()))
 
 	return nil
 }
