--- a/internal/demo/check.go
+++ b/internal/demo/check.go
@@ -18,40 +18,40 @@
 
 // promise is a guarantee of the service and its check against the records.
 type promise struct {
-	text  string // printed with the result
-	check func() error
+	description string // printed with the result
+	check       func() error
 }
 
 // report prints the measures and the promises. It returns an error if a promise was broken.
-func (wo *world) report(ctx context.Context) error {
-	wo.say("waiting for the last usage window to be reported")
-	if err := wo.waitReports(ctx); err != nil {
-		wo.say("%v", err)
+func (dr *demoRun) report(ctx context.Context) error {
+	dr.logf("waiting for the last usage window to be reported")
+	if err := dr.waitReports(ctx); err != nil {
+		dr.logf("%v", err)
 	}
-	fmt.Fprintln(wo.out, "\nMeasures")
-	wo.measures()
+	fmt.Fprintln(dr.out, "\nMeasures")
+	dr.printMeasures()
 
-	fmt.Fprintln(wo.out, "\nPromises, checked against the records of the stand-ins")
+	fmt.Fprintln(dr.out, "\nPromises, checked against the records of the stand-ins")
 	broken := 0
 	for _, p := range []promise{
-		{"every sample names the weight versions that produced it", wo.checkVersions},
-		{"no sample is older than the staleness bound", wo.checkStaleness},
-		{"every sample reaches its trainer exactly once", wo.checkOnce},
-		{"no backend server receives a key", wo.checkKeys},
-		{"a withdrawn key stops working", wo.checkWithdrawn},
-		{"orders come from one process at a time", wo.checkOrders},
-		{"no window is reported with different figures, or by an earlier lease holder", wo.checkReports},
-		{"reported usage never exceeds what the engines processed", wo.checkUsage},
-		{"a request that may not be repeated runs at most once", wo.checkSingle},
-		{"the weight store's limit is respected", wo.checkStore},
+		{"every sample names the weight versions that produced it", dr.checkVersions},
+		{"no sample is older than the staleness bound", dr.checkStaleness},
+		{"every sample reaches its trainer exactly once", dr.checkExactlyOnce},
+		{"no backend server receives a key", dr.checkKeys},
+		{"a withdrawn key stops working", dr.checkWithdrawn},
+		{"orders come from one process at a time", dr.checkOrders},
+		{"no window is reported with different figures, or by an earlier lease holder", dr.checkReports},
+		{"reported usage never exceeds what the engines processed", dr.checkUsage},
+		{"a request that may not be repeated runs at most once", dr.checkAtMostOnce},
+		{"the weight store's limit is respected", dr.checkStore},
 	} {
 		if err := p.check(); err != nil {
 			broken++
-			fmt.Fprintf(wo.out, "  BROKEN  %s: %v\n", p.text, err)
+			fmt.Fprintf(dr.out, "  BROKEN  %s: %v\n", p.description, err)
 
 			continue
 		}
-		fmt.Fprintf(wo.out, "  kept    %s\n", p.text)
+		fmt.Fprintf(dr.out, "  kept    %s\n", p.description)
 	}
 	if broken > 0 {
 		return fmt.Errorf("demo: %d promises were broken", broken)
@@ -66,11 +66,11 @@
 
 // waitReports waits until all tokens are reported or settleTime has passed without a new
 // report: tokens that an engine generated just before its crash are never reported.
-func (wo *world) waitReports(ctx context.Context) error {
-	made, last, since := wo.madeTokens(), uint64(0), time.Now()
+func (dr *demoRun) waitReports(ctx context.Context) error {
+	made, last, since := dr.engineTokens(), uint64(0), time.Now()
 
 	return deployment.Until(ctx, func() error {
-		sum := wo.reported().Tokens
+		sum := dr.reportedUsage().Tokens
 		if sum != last {
 			last, since = sum, time.Now()
 		}
@@ -82,16 +82,16 @@
 	})
 }
 
-// measures prints the five measures.
-func (wo *world) measures() {
-	wo.mu.Lock()
-	defer wo.mu.Unlock()
+// printMeasures prints the five measures.
+func (dr *demoRun) printMeasures() {
+	dr.mu.Lock()
+	defer dr.mu.Unlock()
 
-	total := wo.idle + wo.busy
-	fmt.Fprintf(wo.out, "  trainer idle time        %v of %v (%.0f%%)\n", wo.idle.Round(time.Millisecond), total.Round(time.Millisecond), 100*float64(wo.idle)/float64(total))
+	total := dr.idle + dr.busy
+	fmt.Fprintf(dr.out, "  trainer idle time        %v of %v (%.0f%%)\n", dr.idle.Round(time.Millisecond), total.Round(time.Millisecond), 100*float64(dr.idle)/float64(total))
 	lag := map[int]int{}
-	for _, s := range wo.samples {
-		lag[s.latest-wo.oldest(&s)]++
+	for _, s := range dr.samples {
+		lag[s.acceptedCount-dr.oldestVersion(&s)]++
 	}
 	var parts []string
 	for l := -2; l <= 3; l++ {
@@ -99,18 +99,18 @@
 			parts = append(parts, fmt.Sprintf("%d: %d", l, lag[l]))
 		}
 	}
-	fmt.Fprintf(wo.out, "  staleness                samples by number of versions behind when their page was requested: %s\n", strings.Join(parts, ", "))
-	wo.worst()
-	class := wo.set.Classes[wo.names.sampler]
-	seconds := wo.de.Ordering.ServerSeconds(wo.names.sampler)
-	fmt.Fprintf(wo.out, "  spending                 %.0f engine-seconds (%.4f at %g an hour) for %d tokens\n",
-		seconds, seconds/3600*class.PricePerHour, class.PricePerHour, wo.madeTokens())
-	fmt.Fprintf(wo.out, "  reports                  %d windows, latest %.1f s after the window's end\n", len(wo.byWindow()), wo.latestReport().Seconds())
+	fmt.Fprintf(dr.out, "  staleness                samples by number of versions behind when their page was requested: %s\n", strings.Join(parts, ", "))
+	dr.printWorstWorkspace()
+	class := dr.set.Classes[dr.names.sampler]
+	seconds := dr.de.Ordering.ServerSeconds(dr.names.sampler)
+	fmt.Fprintf(dr.out, "  spending                 %.0f engine-seconds (%.4f at %g an hour) for %d tokens\n",
+		seconds, seconds/3600*class.PricePerHour, class.PricePerHour, dr.engineTokens())
+	fmt.Fprintf(dr.out, "  reports                  %d windows, latest %.1f s after the window's end\n", len(dr.reportsByWindow()), dr.longestReportDelay().Seconds())
 }
 
-// worst prints the workspace with the lowest share of served calls, or the highest p99
-// latency among equal shares.
-func (wo *world) worst() {
+// printWorstWorkspace prints the workspace with the lowest share of served calls; among
+// equal shares, that with the highest p99 latency.
+func (dr *demoRun) printWorstWorkspace() {
 	type line struct {
 		name  string
 		share float64
@@ -118,7 +118,7 @@
 		calls int
 	}
 	var lines []line
-	for n, cc := range wo.calls {
+	for n, cc := range dr.calls {
 		lines = append(lines, line{n, float64(cc.ok) / float64(max(cc.ok+cc.failed, 1)), quantile.Of(cc.latencies, 0.99), cc.ok + cc.failed})
 	}
 	sort.Slice(lines, func(i, j int) bool {
@@ -130,24 +130,24 @@
 	})
 	if len(lines) > 0 {
 		l := lines[0]
-		fmt.Fprintf(wo.out, "  worst-served workspace   %s: %.2f%% of %d calls served, p99 %v\n", l.name, 100*l.share, l.calls, l.p99.Round(time.Millisecond))
+		fmt.Fprintf(dr.out, "  worst-served workspace   %s: %.2f%% of %d calls served, p99 %v\n", l.name, 100*l.share, l.calls, l.p99.Round(time.Millisecond))
 	}
 }
 
-// sequence returns the number in a version name such as v2.
-func sequence(version string) int {
+// versionNumber returns the number in a version name such as v2.
+func versionNumber(version string) int {
 	n, _ := strconv.Atoi(strings.TrimPrefix(version, "v"))
 
 	return n
 }
 
-// oldest returns the sequence number of the oldest version that generated a token of the
+// oldestVersion returns the number of the oldest version that generated a token of the
 // sample, read from the text: the engine stand-in writes the version with every token.
-func (wo *world) oldest(s *delivered) int {
+func (dr *demoRun) oldestVersion(s *delivered) int {
 	low := 0
 	for _, tok := range strings.Fields(s.Text) {
 		v, _, _ := strings.Cut(tok, ":")
-		if n := sequence(v); low == 0 || n < low {
+		if n := versionNumber(v); low == 0 || n < low {
 			low = n
 		}
 	}
@@ -157,8 +157,8 @@
 
 // checkVersions compares the reported versions of each sample with its text, in which the
 // engine stand-in wrote the version with every token.
-func (wo *world) checkVersions() error {
-	for _, s := range wo.samples {
+func (dr *demoRun) checkVersions() error {
+	for _, s := range dr.samples {
 		toks := strings.Fields(s.Text)
 		if len(toks) != s.Tokens {
 			return fmt.Errorf("sample %s has %d tokens but reports %d", s.ID, len(toks), s.Tokens)
@@ -179,10 +179,10 @@
 }
 
 // checkStaleness compares the oldest version of each sample with the trainer's bound.
-func (wo *world) checkStaleness() error {
-	bound := int(wo.set.Trainers[wo.names.trainer].StalenessBound)
-	for _, s := range wo.samples {
-		if lag := s.latest - wo.oldest(&s); lag > bound {
+func (dr *demoRun) checkStaleness() error {
+	bound := int(dr.set.Trainers[dr.names.trainer].StalenessBound)
+	for _, s := range dr.samples {
+		if lag := s.acceptedCount - dr.oldestVersion(&s); lag > bound {
 			return fmt.Errorf("sample %s is %d versions behind, the bound is %d", s.ID, lag, bound)
 		}
 	}
@@ -190,10 +190,10 @@
 	return nil
 }
 
-// checkOnce checks that all samples were delivered, each once.
-func (wo *world) checkOnce() error {
+// checkExactlyOnce checks that all samples were delivered, each once.
+func (dr *demoRun) checkExactlyOnce() error {
 	seen := map[string]int{}
-	for _, s := range wo.samples {
+	for _, s := range dr.samples {
 		seen[s.ID]++
 	}
 	for id, n := range seen {
@@ -201,7 +201,7 @@
 			return fmt.Errorf("sample %s was delivered %d times", id, n)
 		}
 	}
-	if want := steps * groups * perGroup; len(seen) != want {
+	if want := steps * groupsPerStep * samplesPerGroup; len(seen) != want {
 		return fmt.Errorf("%d samples were delivered, want %d", len(seen), want)
 	}
 
@@ -209,19 +209,19 @@
 }
 
 // checkKeys searches everything that backend servers received for the secret of each key.
-func (wo *world) checkKeys() error {
+func (dr *demoRun) checkKeys() error {
 	var seen strings.Builder
-	for _, sv := range wo.de.Services() {
+	for _, sv := range dr.de.Services() {
 		for _, r := range sv.Runs() {
 			fmt.Fprintln(&seen, r.Path, r.Query, r.Header, r.Body)
 		}
 	}
-	for _, en := range wo.de.AllEngines() {
+	for _, en := range dr.de.AllEngines() {
 		for _, r := range en.Runs() {
 			fmt.Fprintln(&seen, r.Headers, r.Prompt)
 		}
 	}
-	for _, s := range wo.secrets {
+	for _, s := range dr.secrets {
 		if strings.Contains(seen.String(), s) {
 			return fmt.Errorf("a request to a backend server contains the secret of a key")
 		}
@@ -231,33 +231,33 @@
 }
 
 // checkWithdrawn checks that no gateway served the withdrawn key.
-func (wo *world) checkWithdrawn() error {
-	for _, sv := range wo.de.Services() {
+func (dr *demoRun) checkWithdrawn() error {
+	for _, sv := range dr.de.Services() {
 		for _, r := range sv.Runs() {
 			if strings.Contains(r.Path, "after-withdrawal") {
 				return fmt.Errorf("a backend server ran a request with the withdrawn key")
 			}
 		}
 	}
-	if wo.withdrawn > 0 || wo.refused == 0 {
-		return fmt.Errorf("%d gateways served the withdrawn key, %d refused it", wo.withdrawn, wo.refused)
+	if dr.servedAfterWithdrawal > 0 || dr.refusedAfterWithdrawal == 0 {
+		return fmt.Errorf("%d gateways served the withdrawn key, %d refused it", dr.servedAfterWithdrawal, dr.refusedAfterWithdrawal)
 	}
 
 	return nil
 }
 
 // checkOrders checks that no order of an earlier lease holder follows one of a later holder.
-func (wo *world) checkOrders() error {
+func (dr *demoRun) checkOrders() error {
 	var top uint64
 	starts := map[string]bool{}
-	for _, r := range wo.de.Ordering.Records() {
+	for _, r := range dr.de.Ordering.Records() {
 		if r.Fencing < top {
 			return fmt.Errorf("order %s from %s has fencing number %d after %d", r.ID, r.Giver, r.Fencing, top)
 		}
 		top = r.Fencing
 		starts[r.ID] = true
 	}
-	for _, en := range wo.de.AllEngines() {
+	for _, en := range dr.de.AllEngines() {
 		top = 0
 		for _, o := range en.Orders() {
 			if o.Taken && o.Fencing < top {
@@ -273,10 +273,10 @@
 	return nil
 }
 
-// byWindow returns the records of the usage reports by window.
-func (wo *world) byWindow() map[uint64][]fake.ReportRecord {
+// reportsByWindow returns the records of the usage reports by window.
+func (dr *demoRun) reportsByWindow() map[uint64][]fake.ReportRecord {
 	out := map[uint64][]fake.ReportRecord{}
-	for _, r := range wo.de.Usage.Records() {
+	for _, r := range dr.de.Usage.Records() {
 		out[r.Window] = append(out[r.Window], r)
 	}
 
@@ -285,11 +285,11 @@
 
 // checkReports checks that all reports of a window are equal, and that none of an earlier
 // lease holder follows one of a later holder.
-func (wo *world) checkReports() error {
-	if len(wo.byWindow()) == 0 {
+func (dr *demoRun) checkReports() error {
+	if len(dr.reportsByWindow()) == 0 {
 		return fmt.Errorf("no usage was reported")
 	}
-	for n, rs := range wo.byWindow() {
+	for n, rs := range dr.reportsByWindow() {
 		for _, r := range rs {
 			if r.Body != rs[0].Body {
 				return fmt.Errorf("window %d was reported with different figures", n)
@@ -297,7 +297,7 @@
 		}
 	}
 	var top uint64
-	for _, r := range wo.de.Usage.Records() {
+	for _, r := range dr.de.Usage.Records() {
 		if r.Fencing < top {
 			return fmt.Errorf("window %d was reported by an earlier lease holder after a later one had reported", r.Window)
 		}
@@ -307,10 +307,10 @@
 	return nil
 }
 
-// reported returns the sum of all reported usage.
-func (wo *world) reported() usage.Figures {
+// reportedUsage returns the sum of all reported usage.
+func (dr *demoRun) reportedUsage() usage.Figures {
 	var sum usage.Figures
-	for _, rs := range wo.byWindow() {
+	for _, rs := range dr.reportsByWindow() {
 		var re usage.Report
 		if err := json.Unmarshal([]byte(rs[0].Body), &re); err != nil {
 			continue
@@ -324,10 +324,10 @@
 	return sum
 }
 
-// latestReport returns the longest time from the end of a window to its first report.
-func (wo *world) latestReport() time.Duration {
+// longestReportDelay returns the longest time from the end of a window to its first report.
+func (dr *demoRun) longestReportDelay() time.Duration {
 	var late time.Duration
-	for n, rs := range wo.byWindow() {
+	for n, rs := range dr.reportsByWindow() {
 		end := time.Unix(int64(n+1)*windowSeconds, 0)
 		late = max(late, rs[0].At.Sub(end))
 	}
@@ -335,10 +335,10 @@
 	return late
 }
 
-// madeTokens counts the tokens of the engines' runs: generated ones and those of prompts.
-func (wo *world) madeTokens() uint64 {
+// engineTokens counts the tokens of the engines' runs: generated ones and those of prompts.
+func (dr *demoRun) engineTokens() uint64 {
 	var sum uint64
-	for _, en := range wo.de.AllEngines() {
+	for _, en := range dr.de.AllEngines() {
 		for _, r := range en.Runs() {
 			sum += uint64(r.Tokens)
 			if r.Tokens > 0 {
@@ -352,8 +352,8 @@
 
 // checkUsage checks that the reported tokens are at most those of the engines, and at
 // least 90 % of them.
-func (wo *world) checkUsage() error {
-	made, sum := wo.madeTokens(), wo.reported().Tokens
+func (dr *demoRun) checkUsage() error {
+	made, sum := dr.engineTokens(), dr.reportedUsage().Tokens
 	if sum > made {
 		return fmt.Errorf("%d tokens were reported, but the engines processed only %d", sum, made)
 	}
@@ -364,10 +364,10 @@
 	return nil
 }
 
-// checkSingle checks that no request that may not be repeated ran twice.
-func (wo *world) checkSingle() error {
+// checkAtMostOnce checks that no request that may not be repeated ran twice.
+func (dr *demoRun) checkAtMostOnce() error {
 	runs := map[string]int{}
-	for _, sv := range wo.de.Services() {
+	for _, sv := range dr.de.Services() {
 		for _, r := range sv.Runs() {
 			if q, err := url.ParseQuery(r.Query); err == nil && q.Get("call") != "" {
 				runs[q.Get("call")]++
@@ -387,8 +387,8 @@
 }
 
 // checkStore checks that the weight store never had to refuse a fetch over its limit.
-func (wo *world) checkStore() error {
-	if n := wo.de.Store.Refused(); n > 0 {
+func (dr *demoRun) checkStore() error {
+	if n := dr.de.Store.Refused(); n > 0 {
 		return fmt.Errorf("%d fetches exceeded the weight store's limit", n)
 	}
 
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -27,40 +27,40 @@
 }
 
 const (
-	runLimit      = 55 * time.Second
-	steps         = 5
-	groups        = 12 // of a step
-	perGroup      = 8  // samples of a group
-	windowSeconds = 3  // of usage
-	engineStartup = 200 * time.Millisecond
+	runLimit        = 55 * time.Second
+	steps           = 5
+	groupsPerStep   = 12
+	samplesPerGroup = 8
+	windowSeconds   = 3 // length of a usage window
+	engineStartup   = 200 * time.Millisecond
 )
 
-// world is the state of one run.
-type world struct {
+// demoRun is the state of one run.
+type demoRun struct {
 	out   io.Writer
 	de    *deployment.Deployment
 	set   *declaration.Set
 	start time.Time
-	names names
-
-	mu        sync.Mutex
-	samples   []delivered
-	pushed    []string              // weight versions in the order of their acceptance
-	idle      time.Duration         // time that the trainer waited for samples
-	busy      time.Duration         // time that the trainer computed
-	calls     map[string]*callCount // by workspace
-	refused   int                   // requests with the withdrawn key that were refused
-	withdrawn int                   // requests with the withdrawn key that were served after the revocation bound
-	secrets   []string              // of all issued keys
+	names objectNames
+
+	mu                     sync.Mutex
+	samples                []delivered
+	acceptedVersions       []string              // weight versions in the order of their acceptance
+	idle                   time.Duration         // time that the trainer waited for samples
+	busy                   time.Duration         // time that the trainer computed
+	calls                  map[string]*callCount // by workspace
+	refusedAfterWithdrawal int                   // requests with the withdrawn key that were refused
+	servedAfterWithdrawal  int                   // requests with the withdrawn key that were served 2 s later
+	secrets                []string              // of all issued keys
 }
 
-// names holds the names of a deployment's objects that the run uses.
-type names struct {
+// objectNames holds the names of a deployment's objects that the run uses.
+type objectNames struct {
 	trainer, trainerWorkspace, model, service, onceRoute, repeatRoute, sampler string
 	callers                                                                    []string
 }
 
-var deployments = map[string]names{
+var deployments = map[string]objectNames{
 	"consortium": {
 		trainer: "nozzle-tuner", trainerWorkspace: "kunene", model: "nozzle", service: "pole-registry",
 		onceRoute: "pole-status", repeatRoute: "ledger-record", sampler: "sampler",
@@ -76,8 +76,8 @@
 // delivered is a sample with the state at the time when its page was requested.
 type delivered struct {
 	client.Sample
-	step   string
-	latest int // number of versions accepted before the page was requested
+	step          string
+	acceptedCount int // number of versions accepted before the page was requested
 }
 
 // callCount counts the calls of one workspace.
@@ -101,13 +101,13 @@
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
 
-	wo := &world{out: cfg.Out, start: time.Now(), names: nm, calls: map[string]*callCount{}}
-	if wo.set, err = declarations(cfg.Deployment); err != nil {
+	dr := &demoRun{out: cfg.Out, start: time.Now(), names: nm, calls: map[string]*callCount{}}
+	if dr.set, err = declarations(cfg.Deployment); err != nil {
 		return err
 	}
-	wo.say("starting three gateways and the stand-ins, applying the declarations of %s", cfg.Deployment)
-	wo.de, err = deployment.Start(ctx, deployment.Config{
-		Gateways: 3, Folder: folder, Declarations: wo.set, StoreLimit: 3, Startup: engineStartup, ServiceDelay: 2 * time.Millisecond,
+	dr.logf("starting three gateways and the stand-ins, applying the declarations of %s", cfg.Deployment)
+	dr.de, err = deployment.Start(ctx, deployment.Config{
+		Gateways: 3, Folder: folder, Declarations: dr.set, StoreLimit: 3, Startup: engineStartup, ServiceDelay: 2 * time.Millisecond,
 		Engine: fake.EngineConfig{
 			TokenTime: 4 * time.Millisecond, PrefillTime: 10 * time.Millisecond, SwapTime: 150 * time.Millisecond,
 			CacheSize: 64, Downtime: time.Second, Straggle: 97,
@@ -119,13 +119,13 @@
 	if err != nil {
 		return err
 	}
-	defer wo.de.Close()
+	defer dr.de.Close()
 
-	if err := wo.scenario(ctx); err != nil {
+	if err := dr.scenario(ctx); err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
 
-	return wo.report(ctx)
+	return dr.report(ctx)
 }
 
 // declarations returns the example declarations of a deployment, with shorter times.
@@ -150,48 +150,48 @@
 	return set, nil
 }
 
-// say prints a line with the time since the start.
-func (wo *world) say(format string, args ...any) {
-	fmt.Fprintf(wo.out, "%6.2fs  %s\n", time.Since(wo.start).Seconds(), fmt.Sprintf(format, args...))
+// logf prints a line with the time since the start.
+func (dr *demoRun) logf(format string, args ...any) {
+	fmt.Fprintf(dr.out, "%6.2fs  %s\n", time.Since(dr.start).Seconds(), fmt.Sprintf(format, args...))
 }
 
 // scenario issues the keys, waits for the fleet, and runs the callers next to the trainer.
-func (wo *world) scenario(ctx context.Context) error {
+func (dr *demoRun) scenario(ctx context.Context) error {
 	tokens := map[string]string{}
-	for _, w := range append([]string{wo.names.trainerWorkspace}, wo.names.callers...) {
-		_, token, err := wo.de.IssueKey(ctx, w)
+	for _, w := range append([]string{dr.names.trainerWorkspace}, dr.names.callers...) {
+		_, token, err := dr.de.IssueKey(ctx, w)
 		if err != nil {
 			return err
 		}
 		_, secret, _ := declaration.ParseToken(token)
-		tokens[w], wo.secrets = token, append(wo.secrets, secret)
+		tokens[w], dr.secrets = token, append(dr.secrets, secret)
 	}
-	tr := wo.de.Client(tokens[wo.names.trainerWorkspace], 0)
-	if err := wo.push(ctx, tr, "v1"); err != nil {
+	tr := dr.de.Client(tokens[dr.names.trainerWorkspace], 0)
+	if err := dr.pushVersion(ctx, tr, "v1"); err != nil {
 		return err
 	}
-	wo.say("keys issued, weight version v1 declared; waiting for the fleet to order backend servers")
-	if err := wo.de.WaitServers(ctx, wo.names.model, 6, "v1"); err != nil {
+	dr.logf("keys issued, weight version v1 declared; waiting for the fleet to order backend servers")
+	if err := dr.de.WaitServers(ctx, dr.names.model, 6, "v1"); err != nil {
 		return err
 	}
-	if err := wo.de.WaitServers(ctx, wo.names.service, 3, ""); err != nil {
+	if err := dr.de.WaitServers(ctx, dr.names.service, 3, ""); err != nil {
 		return err
 	}
-	wo.say("6 engines serve v1, 3 plain services are ready")
+	dr.logf("6 engines serve v1, 3 plain services are ready")
 
 	cctx, stopCallers := context.WithCancel(ctx)
 	defer stopCallers()
 	var wg sync.WaitGroup
-	for i, w := range wo.names.callers {
+	for i, w := range dr.names.callers {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			wo.callLoop(cctx, w, wo.de.Client(tokens[w], i))
+			dr.callLoop(cctx, w, dr.de.Client(tokens[w], i))
 		}()
 	}
-	err := wo.train(ctx, tr)
+	err := dr.train(ctx, tr)
 	if err == nil {
-		err = wo.withdraw(ctx)
+		err = dr.withdrawKey(ctx)
 	}
 	stopCallers()
 	wg.Wait()
@@ -200,114 +200,114 @@
 }
 
 // train runs the steps and injects a fault into some of them.
-func (wo *world) train(ctx context.Context, tr *client.Client) error {
+func (dr *demoRun) train(ctx context.Context, tr *client.Client) error {
 	for n := 1; n <= steps; n++ {
 		id := fmt.Sprintf("step-%d", n)
 		began := time.Now()
-		if err := tr.OpenStep(ctx, wo.newStep(id)); err != nil {
+		if err := tr.OpenStep(ctx, dr.newStep(id)); err != nil {
 			return err
 		}
-		fault := time.AfterFunc(80*time.Millisecond, func() { wo.fault(ctx, n, tr) })
-		err := wo.collect(ctx, tr, id)
+		fault := time.AfterFunc(80*time.Millisecond, func() { dr.injectFault(ctx, n, tr) })
+		err := dr.collectSamples(ctx, tr, id)
 		fault.Stop()
 		if err != nil {
 			return fmt.Errorf("%s: %w", id, err)
 		}
-		wo.say("%s complete: %d samples in %v", id, groups*perGroup, time.Since(began).Round(time.Millisecond))
-		wo.mu.Lock()
-		wo.idle += time.Since(began)
-		wo.mu.Unlock()
-		wo.work(100 * time.Millisecond)
+		dr.logf("%s complete: %d samples in %v", id, groupsPerStep*samplesPerGroup, time.Since(began).Round(time.Millisecond))
+		dr.mu.Lock()
+		dr.idle += time.Since(began)
+		dr.mu.Unlock()
+		dr.simulateWork(100 * time.Millisecond)
 	}
 
 	return nil
 }
 
-// work simulates the trainer's own computation.
-func (wo *world) work(d time.Duration) {
+// simulateWork simulates the trainer's own computation.
+func (dr *demoRun) simulateWork(d time.Duration) {
 	time.Sleep(d)
-	wo.mu.Lock()
-	wo.busy += d
-	wo.mu.Unlock()
+	dr.mu.Lock()
+	dr.busy += d
+	dr.mu.Unlock()
 }
 
-func (wo *world) newStep(id string) client.Step {
-	st := client.Step{ID: id, Trainer: wo.names.trainer}
-	for g := range groups {
+func (dr *demoRun) newStep(id string) client.Step {
+	st := client.Step{ID: id, Trainer: dr.names.trainer}
+	for g := range groupsPerStep {
 		st.Groups = append(st.Groups, client.Group{
-			ID: fmt.Sprintf("g%02d", g), Prompt: fmt.Sprintf("%s prompt %d: adjust and explain", id, g), Samples: perGroup, MaxTokens: 48,
+			ID: fmt.Sprintf("g%02d", g), Prompt: fmt.Sprintf("%s prompt %d: adjust and explain", id, g), Samples: samplesPerGroup, MaxTokens: 48,
 		})
 	}
 
 	return st
 }
 
-// fault injects the fault that step n must survive.
-func (wo *world) fault(ctx context.Context, n int, tr *client.Client) {
+// injectFault injects the fault that step n must survive, if any.
+func (dr *demoRun) injectFault(ctx context.Context, n int, tr *client.Client) {
 	switch n {
 	case 2:
-		if err := wo.push(ctx, tr, "v2"); err != nil {
-			wo.say("push of v2 failed: %v", err)
+		if err := dr.pushVersion(ctx, tr, "v2"); err != nil {
+			dr.logf("push of v2 failed: %v", err)
 		}
-		wo.say("weight version v2 accepted in the middle of a step")
+		dr.logf("weight version v2 accepted in the middle of a step")
 	case 3:
-		if i := wo.de.Leader(); i >= 0 {
-			wo.say("killing gateway %d, which leads the group", i+1)
-			wo.de.KillGateway(i)
+		if i := dr.de.Leader(); i >= 0 {
+			dr.logf("killing gateway %d, which leads the group", i+1)
+			dr.de.KillGateway(i)
 			time.AfterFunc(2*time.Second, func() {
 				if ctx.Err() != nil {
 					return
 				}
-				if err := wo.de.StartGateway(i); err != nil {
-					wo.say("gateway %d did not start: %v", i+1, err)
+				if err := dr.de.StartGateway(i); err != nil {
+					dr.logf("gateway %d did not start: %v", i+1, err)
 				}
-				wo.say("gateway %d is running again", i+1)
+				dr.logf("gateway %d is running again", i+1)
 			})
 		}
 	case 4:
-		for name, en := range wo.de.Engines() {
-			wo.say("crashing engine %s", name)
+		for name, en := range dr.de.Engines() {
+			dr.logf("crashing engine %s", name)
 			en.Crash()
 
 			break
 		}
-		if err := wo.push(ctx, tr, "v3"); err != nil {
-			wo.say("push of v3 failed: %v", err)
+		if err := dr.pushVersion(ctx, tr, "v3"); err != nil {
+			dr.logf("push of v3 failed: %v", err)
 		}
 	}
 }
 
-// push declares a weight version and records it once it was accepted.
-func (wo *world) push(ctx context.Context, tr *client.Client, version string) error {
-	if err := tr.PushVersion(ctx, wo.names.model, version, "store://"+wo.names.model+"/"+version); err != nil {
+// pushVersion declares a weight version and records it once it was accepted.
+func (dr *demoRun) pushVersion(ctx context.Context, tr *client.Client, version string) error {
+	if err := tr.PushVersion(ctx, dr.names.model, version, "store://"+dr.names.model+"/"+version); err != nil {
 		return err
 	}
-	wo.mu.Lock()
-	wo.pushed = append(wo.pushed, version)
-	wo.mu.Unlock()
+	dr.mu.Lock()
+	dr.acceptedVersions = append(dr.acceptedVersions, version)
+	dr.mu.Unlock()
 
 	return nil
 }
 
-// latest returns the number of accepted weight versions.
-func (wo *world) latest() int {
-	wo.mu.Lock()
-	defer wo.mu.Unlock()
+// acceptedCount returns the number of accepted weight versions.
+func (dr *demoRun) acceptedCount() int {
+	dr.mu.Lock()
+	defer dr.mu.Unlock()
 
-	return len(wo.pushed)
+	return len(dr.acceptedVersions)
 }
 
-// collect records the samples of a step as their pages are delivered.
-func (wo *world) collect(ctx context.Context, tr *client.Client, id string) error {
-	latest := wo.latest()
+// collectSamples records the samples of a step as their pages are delivered.
+func (dr *demoRun) collectSamples(ctx context.Context, tr *client.Client, id string) error {
+	latest := dr.acceptedCount()
 
 	return tr.Samples(ctx, id, func(ss []client.Sample) error {
-		wo.mu.Lock()
+		dr.mu.Lock()
 		for _, s := range ss {
-			wo.samples = append(wo.samples, delivered{Sample: s, step: id, latest: latest})
+			dr.samples = append(dr.samples, delivered{Sample: s, step: id, acceptedCount: latest})
 		}
-		wo.mu.Unlock()
-		latest = wo.latest()
+		dr.mu.Unlock()
+		latest = dr.acceptedCount()
 
 		return nil
 	})
@@ -315,23 +315,23 @@
 
 // callLoop sends calls of one workspace until ctx ends: alternately one that must run at
 // most once and one that may be repeated.
-func (wo *world) callLoop(ctx context.Context, workspace string, cl *client.Client) {
+func (dr *demoRun) callLoop(ctx context.Context, workspace string, cl *client.Client) {
 	for n := 0; ctx.Err() == nil; n++ {
 		key := fmt.Sprintf("%s-%d", workspace, n)
 		began := time.Now()
 		cctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), 5*time.Second)
 		var err error
 		if n%2 == 0 {
-			_, err = cl.Call(cctx, "POST", wo.names.onceRoute, "/visit?call="+key, []byte(`{"visit":"`+key+`"}`), key)
+			_, err = cl.Call(cctx, "POST", dr.names.onceRoute, "/visit?call="+key, []byte(`{"visit":"`+key+`"}`), key)
 		} else {
-			_, err = cl.Call(cctx, "GET", wo.names.repeatRoute, "/item/"+key, nil, "")
+			_, err = cl.Call(cctx, "GET", dr.names.repeatRoute, "/item/"+key, nil, "")
 		}
 		cancel()
-		wo.mu.Lock()
-		cc, ok := wo.calls[workspace]
+		dr.mu.Lock()
+		cc, ok := dr.calls[workspace]
 		if !ok {
 			cc = &callCount{}
-			wo.calls[workspace] = cc
+			dr.calls[workspace] = cc
 		}
 		if err != nil {
 			cc.failed++
@@ -339,43 +339,43 @@
 			cc.ok++
 			cc.latencies = append(cc.latencies, time.Since(began))
 		}
-		wo.mu.Unlock()
+		dr.mu.Unlock()
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// withdraw issues, uses and withdraws a key, and 2 s later tries it at every gateway.
-func (wo *world) withdraw(ctx context.Context) error {
-	id, token, err := wo.de.IssueKey(ctx, wo.names.callers[0])
+// withdrawKey issues, uses and withdraws a key, and 2 s later tries it at every gateway.
+func (dr *demoRun) withdrawKey(ctx context.Context) error {
+	id, token, err := dr.de.IssueKey(ctx, dr.names.callers[0])
 	if err != nil {
 		return err
 	}
 	_, secret, _ := declaration.ParseToken(token)
-	wo.secrets = append(wo.secrets, secret)
-	cl := wo.de.Client(token, 0)
+	dr.secrets = append(dr.secrets, secret)
+	cl := dr.de.Client(token, 0)
 	if err := deployment.Until(ctx, func() error {
-		_, err := cl.Call(ctx, "GET", wo.names.repeatRoute, "/before", nil, "")
+		_, err := cl.Call(ctx, "GET", dr.names.repeatRoute, "/before", nil, "")
 
 		return err
 	}); err != nil {
 		return err
 	}
-	if err := wo.de.Operate(ctx, "POST", "/v1/keys/"+id+"/withdraw", nil, nil); err != nil {
+	if err := dr.de.Operate(ctx, "POST", "/v1/keys/"+id+"/withdraw", nil, nil); err != nil {
 		return err
 	}
 	time.Sleep(2 * time.Second)
-	for _, u := range wo.de.URLs() {
+	for _, u := range dr.de.URLs() {
 		one := client.New(client.Config{Gateways: []string{u}, Token: token})
 		cctx, cancel := context.WithTimeout(ctx, time.Second)
-		_, err := one.Call(cctx, "GET", wo.names.repeatRoute, "/after-withdrawal", nil, "")
+		_, err := one.Call(cctx, "GET", dr.names.repeatRoute, "/after-withdrawal", nil, "")
 		cancel()
 		if err == nil {
-			wo.withdrawn++
+			dr.servedAfterWithdrawal++
 		} else {
-			wo.refused++
+			dr.refusedAfterWithdrawal++
 		}
 	}
-	wo.say("a key was withdrawn: %d of %d gateways refused it 2 s later", wo.refused, len(wo.de.URLs()))
+	dr.logf("a key was withdrawn: %d of %d gateways refused it 2 s later", dr.refusedAfterWithdrawal, len(dr.de.URLs()))
 
 	return nil
 }
--- a/internal/demo/nodes.go
+++ b/internal/demo/nodes.go
@@ -21,18 +21,18 @@
 
 // The size of the load without faults: large enough to use every code path.
 const (
-	nodeLookups  = 100
-	nodeJobs     = 4
-	nodeItems    = 16                    // of a job
-	nodeEvents   = 20                    // of an item
-	nodeWindow   = 2 * time.Second       // length of a usage window
-	nodeReady    = 20 * time.Second      // timeout of operations that are retried
-	nodePatience = 5 * time.Second       // timeout of a call, stop grace period and lease
-	nodePoll     = 50 * time.Millisecond // period of the heartbeats of backend servers
+	nodeLookups         = 100
+	nodeJobs            = 4
+	nodeItems           = 16                    // per job
+	nodeEvents          = 20                    // per item
+	nodeUsageWindow     = 2 * time.Second       // length of a usage window
+	nodeRetryTimeout    = 20 * time.Second      // timeout of operations that are retried
+	nodeTimeout         = 5 * time.Second       // timeout of a call, stop grace period and lease
+	nodeHeartbeatPeriod = 50 * time.Millisecond // period of the heartbeats of backend servers
 )
 
-// nodeDay is a run without faults of the nodes of a platform, all in this process.
-type nodeDay struct {
+// nodeRun is a run without faults of the nodes of a platform, all in this process.
+type nodeRun struct {
 	out     io.Writer
 	caller  *standin.Caller
 	cloud   *standin.Cloud
@@ -56,33 +56,33 @@
 		}
 	}()
 	ctx, cancel := context.WithCancel(ctx)
-	da := &nodeDay{out: out, gateway: "127.0.9.31"}
-	defer da.close()
+	nr := &nodeRun{out: out, gateway: "127.0.9.31"}
+	defer nr.close()
 	defer cancel()
-	if err := da.start(ctx, folder); err != nil {
+	if err := nr.start(ctx, folder); err != nil {
 		return err
 	}
-	if err := da.serve(ctx); err != nil {
+	if err := nr.runLoad(ctx); err != nil {
 		return err
 	}
 
-	return da.check()
+	return nr.check()
 }
 
 // start starts the stand-in for the platform, the nodes and the backend servers.
-func (da *nodeDay) start(ctx context.Context, folder string) error {
+func (nr *nodeRun) start(ctx context.Context, folder string) error {
 	ports, err := standin.FreePorts()
 	if err != nil {
 		return err
 	}
-	if da.cloud, err = standin.StartCloud(); err != nil {
+	if nr.cloud, err = standin.StartCloud(); err != nil {
 		return err
 	}
-	da.caller = &standin.Caller{Ports: ports, Timeout: nodePatience, Control: []string{"127.0.9.11", "127.0.9.12", "127.0.9.13"}}
+	nr.caller = &standin.Caller{Ports: ports, Timeout: nodeTimeout, Control: []string{"127.0.9.11", "127.0.9.12", "127.0.9.13"}}
 	add := func(role, ip string) error {
 		bo := standin.Boot{
-			Name: role + "-" + ip, IP: ip, Ports: ports, Controllers: da.caller.Control, IsFirst: true, Cloud: da.cloud.Address(),
-			Grace: nodePatience, Window: nodeWindow, Lease: nodePatience,
+			Name: role + "-" + ip, IP: ip, Ports: ports, Controllers: nr.caller.Control, IsFirst: true, Cloud: nr.cloud.Address(),
+			Grace: nodeTimeout, Window: nodeUsageWindow, Lease: nodeTimeout,
 		}
 		if role != program.RoleGateway {
 			bo.DataFolder = filepath.Join(folder, ip)
@@ -93,13 +93,13 @@
 		}
 		nd, err := program.StartNode(role, func() (*settings.Node, error) { return platform.DecodeBoot(b) }, logging.Discard(), nil)
 		if err == nil {
-			da.nodes = append(da.nodes, nd)
+			nr.nodes = append(nr.nodes, nd)
 		}
 
 		return err
 	}
-	errs := []error{add(program.RoleGateway, da.gateway)}
-	for i, ip := range da.caller.Control {
+	errs := []error{add(program.RoleGateway, nr.gateway)}
+	for i, ip := range nr.caller.Control {
 		errs = append(errs, add(program.RoleController, ip), add(program.RoleStore, fmt.Sprintf("127.0.9.2%d", i+1)))
 	}
 	for i := range 5 {
@@ -108,12 +108,12 @@
 			bs = standin.NewBackendServer(fmt.Sprintf("engine-%d", i), "engines", standin.Model)
 		}
 		errs = append(errs, bs.Start("127.0.0.1:0"))
-		da.servers = append(da.servers, bs)
-		da.wg.Go(func() {
+		nr.servers = append(nr.servers, bs)
+		nr.wg.Go(func() {
 			for i := 0; ctx.Err() == nil; i++ {
 				// An error is ignored: a controller that is not ready yet receives a later heartbeat.
-				_ = bs.Beat(fmt.Sprintf("%s:%d", da.caller.Control[i%len(da.caller.Control)], ports.Control))
-				time.Sleep(nodePoll)
+				_ = bs.Beat(fmt.Sprintf("%s:%d", nr.caller.Control[i%len(nr.caller.Control)], ports.Control))
+				time.Sleep(nodeHeartbeatPeriod)
 			}
 		})
 	}
@@ -121,17 +121,17 @@
 	return errors.Join(errs...)
 }
 
-// until calls f until it returns nil or the time that a start may take has passed.
-func until(ctx context.Context, f func() error) error {
-	ctx, cancel := context.WithTimeout(ctx, nodeReady)
+// retryUntil calls f until it returns nil or the time that a start may take has passed.
+func retryUntil(ctx context.Context, f func() error) error {
+	ctx, cancel := context.WithTimeout(ctx, nodeRetryTimeout)
 	defer cancel()
 
 	return deployment.Until(ctx, f)
 }
 
 // lookup sends one lookup and checks its response.
-func (da *nodeDay) lookup(ctx context.Context, id string) error {
-	an, err := da.caller.Lookup(ctx, da.gateway, id, false)
+func (nr *nodeRun) lookup(ctx context.Context, id string) error {
+	an, err := nr.caller.Lookup(ctx, nr.gateway, id, false)
 	switch {
 	case err != nil:
 		return err
@@ -142,38 +142,38 @@
 	return nil
 }
 
-// serve sends lookups and batch jobs while the configuration and the weights change.
-func (da *nodeDay) serve(ctx context.Context) error {
+// runLoad sends lookups and batch jobs while the configuration and the weights change.
+func (nr *nodeRun) runLoad(ctx context.Context) error {
 	began := time.Now()
-	if err := until(ctx, func() error { return da.caller.Configure(ctx, 1) }); err != nil {
+	if err := retryUntil(ctx, func() error { return nr.caller.Configure(ctx, 1) }); err != nil {
 		return fmt.Errorf("apply the first configuration: %w", err)
 	}
-	if err := until(ctx, func() error { return da.lookup(ctx, "first") }); err != nil {
+	if err := retryUntil(ctx, func() error { return nr.lookup(ctx, "first") }); err != nil {
 		return err
 	}
-	fmt.Fprintf(da.out, "7 nodes are serving %.1f s after their start\n", time.Since(began).Seconds())
+	fmt.Fprintf(nr.out, "7 nodes are serving %.1f s after their start\n", time.Since(began).Seconds())
 	for i := range nodeLookups {
 		if i == nodeLookups/2 {
-			if err := until(ctx, func() error { return da.caller.Configure(ctx, 2) }); err != nil {
+			if err := retryUntil(ctx, func() error { return nr.caller.Configure(ctx, 2) }); err != nil {
 				return fmt.Errorf("apply the second configuration: %w", err)
 			}
 		}
-		if err := da.lookup(ctx, fmt.Sprintf("lookup-%d", i)); err != nil {
+		if err := nr.lookup(ctx, fmt.Sprintf("lookup-%d", i)); err != nil {
 			return err
 		}
 	}
-	fmt.Fprintf(da.out, "%d lookups served while the configuration changed\n", nodeLookups)
+	fmt.Fprintf(nr.out, "%d lookups served while the configuration changed\n", nodeLookups)
 	for i := range nodeJobs {
-		if err := until(ctx, func() error { return da.caller.NameVersion(ctx, uint64(i+2)) }); err != nil {
+		if err := retryUntil(ctx, func() error { return nr.caller.NameVersion(ctx, uint64(i+2)) }); err != nil {
 			return fmt.Errorf("name weight version %d: %w", i+2, err)
 		}
-		if err := da.job(ctx, fmt.Sprintf("job-%d", i)); err != nil {
+		if err := nr.runJob(ctx, fmt.Sprintf("job-%d", i)); err != nil {
 			return err
 		}
 	}
-	fmt.Fprintf(da.out, "%d batch jobs of %d items complete, each with its full text and score, while versions 2 to %d were named\n", nodeJobs, nodeItems, nodeJobs+1)
-	err := until(ctx, func() error {
-		for _, bs := range da.servers[2:] {
+	fmt.Fprintf(nr.out, "%d batch jobs of %d items complete, each with its full text and score, while versions 2 to %d were named\n", nodeJobs, nodeItems, nodeJobs+1)
+	err := retryUntil(ctx, func() error {
+		for _, bs := range nr.servers[2:] {
 			if v := bs.Versions()[standin.Model]; v != nodeJobs+1 {
 				return fmt.Errorf("engine %s has weight version %d loaded", bs.ID, v)
 			}
@@ -184,10 +184,10 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(da.out, "all engines have weight version %d loaded\n", nodeJobs+1)
+	fmt.Fprintf(nr.out, "all engines have weight version %d loaded\n", nodeJobs+1)
 
-	return until(ctx, func() error {
-		if n := da.cloud.Reported(); n < nodeLookups {
+	return retryUntil(ctx, func() error {
+		if n := nr.cloud.Reported(); n < nodeLookups {
 			return fmt.Errorf("usage reports contain %d of %d requests", n, nodeLookups)
 		}
 
@@ -195,16 +195,16 @@
 	})
 }
 
-// job submits a job twice, as after a lost response, reads its results and finishes it.
-func (da *nodeDay) job(ctx context.Context, id string) error {
+// runJob submits a job twice, as after a lost response, reads its results and finishes it.
+func (nr *nodeRun) runJob(ctx context.Context, id string) error {
 	for range 2 {
-		an, err := da.caller.Submit(ctx, da.gateway, id, nodeItems, nodeEvents)
+		an, err := nr.caller.Submit(ctx, nr.gateway, id, nodeItems, nodeEvents)
 		if err != nil || an.Status != http.StatusAccepted {
 			return errors.Join(fmt.Errorf("submit job %s: status %d", id, an.Status), err)
 		}
 	}
-	err := until(ctx, func() error {
-		pa, status, err := da.caller.Read(ctx, da.gateway, id)
+	err := retryUntil(ctx, func() error {
+		pa, status, err := nr.caller.Read(ctx, nr.gateway, id)
 		if err != nil || status != http.StatusOK || len(pa.Results) < nodeItems {
 			return errors.Join(fmt.Errorf("read job %s: status %d, %d results", id, status, len(pa.Results)), err)
 		}
@@ -219,18 +219,18 @@
 	if err != nil {
 		return err
 	}
-	_, err = da.caller.Finish(ctx, da.gateway, id)
+	_, err = nr.caller.Finish(ctx, nr.gateway, id)
 
 	return err
 }
 
 // check compares what was requested with what the backend servers and the platform's
 // interface for duties received.
-func (da *nodeDay) check() error {
+func (nr *nodeRun) check() error {
 	runs, keys := map[string]int{}, 0
 	holders := map[uint64]string{}
 	var broken []error
-	for _, bs := range da.servers {
+	for _, bs := range nr.servers {
 		for id, n := range bs.Runs() {
 			runs[id] += n
 		}
@@ -257,26 +257,26 @@
 	if keys > 0 {
 		broken = append(broken, fmt.Errorf("%d requests with a client's key reached a backend server", keys))
 	}
-	for _, s := range da.cloud.Problems() {
+	for _, s := range nr.cloud.Problems() {
 		broken = append(broken, errors.New(s))
 	}
 	if len(broken) == 0 {
-		fmt.Fprintln(da.out, "every response came from a backend server, no key was forwarded, each fencing number had one sender of orders, each usage window one figure")
+		fmt.Fprintln(nr.out, "every response came from a backend server, no key was forwarded, each fencing number had one sender of orders, each usage window one figure")
 	}
 
 	return errors.Join(broken...)
 }
 
-func (da *nodeDay) close() {
-	for _, nd := range da.nodes {
+func (nr *nodeRun) close() {
+	for _, nd := range nr.nodes {
 		nd.Kill()
 		<-nd.Done()
 	}
-	for _, bs := range da.servers {
+	for _, bs := range nr.servers {
 		bs.Stop()
 	}
-	if da.cloud != nil {
-		da.cloud.Stop()
+	if nr.cloud != nil {
+		nr.cloud.Stop()
 	}
-	da.wg.Wait()
+	nr.wg.Wait()
 }
