--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,9 +1,10 @@
-// Package examples holds the declarations of both deployments, which the demo applies.
+// Package examples embeds the declarations of two example deployments, which the demo
+// applies.
 package examples
 
 import "embed"
 
-// Files holds a folder for each deployment.
+// Files contains one folder of declarations per deployment.
 //
 //go:embed consortium cedarwick
 var Files embed.FS
