--- a/internal/suite/suite.go
+++ b/internal/suite/suite.go
@@ -1,5 +1,5 @@
-// Package suite runs the specs of a package in a fixed order, so that every run
-// has the same verdict. Only tests import it.
+// Package suite runs the specs of a package in a fixed order, so that their results are
+// reproducible. Only tests import it.
 package suite
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/onsi/gomega"
 )
 
-// Run runs the specs of a package.
+// Run runs the specs of the package name with a fixed random seed.
 func Run(t *testing.T, name string) {
 	t.Helper()
 	gomega.RegisterFailHandler(ginkgo.Fail)
