--- a/internal/program/parts.go
+++ b/internal/program/parts.go
@@ -9,11 +9,12 @@
 	"github.com/gravitational/trace"
 )
 
-// parts run together: the first that breaks ends them all.
-type parts struct {
-	what string // of them, in the log
-	log  log.Interface
-	kill func() // ends all parts
+// runGroup is a run group of the components of a process. When one component fails,
+// all of them are terminated.
+type runGroup struct {
+	process   string // kind of process, used in log messages
+	log       log.Interface
+	terminate func() // terminates all components
 
 	wg   sync.WaitGroup
 	done chan struct{}
@@ -21,46 +22,47 @@
 	err  error
 }
 
-// run starts a part. It must not be called after seal.
-func (pa *parts) run(name string, f func() error) {
-	pa.wg.Go(func() {
+// run starts a component. It must not be called after closeWhenDone.
+func (rg *runGroup) run(name string, f func() error) {
+	rg.wg.Go(func() {
 		if err := f(); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			pa.fail(name, err)
+			rg.fail(name, err)
 		}
 	})
 }
 
-// fail ends all parts after one of them broke.
-func (pa *parts) fail(name string, err error) {
-	pa.mu.Lock()
-	if pa.err == nil {
-		pa.err = trace.Wrap(err, name)
+// fail records the first error and terminates all components.
+func (rg *runGroup) fail(name string, err error) {
+	rg.mu.Lock()
+	if rg.err == nil {
+		rg.err = trace.Wrap(err, name)
 	}
-	pa.mu.Unlock()
-	pa.log.WithError(err).WithField("part", name).Error("the " + pa.what + " stops")
-	pa.kill()
+	rg.mu.Unlock()
+	rg.log.WithError(err).WithField("part", name).Error("terminating the " + rg.process + " because a component failed")
+	rg.terminate()
 }
 
-// newParts returns no parts yet. The owner sets kill before it runs the first.
-func newParts(what string, lo log.Interface) *parts {
-	return &parts{what: what, log: lo, done: make(chan struct{})}
+// newRunGroup returns an empty run group. The owner sets terminate before the first call of run.
+func newRunGroup(process string, lo log.Interface) *runGroup {
+	return &runGroup{process: process, log: lo, done: make(chan struct{})}
 }
 
-// seal says that all parts are started.
-func (pa *parts) seal() {
+// closeWhenDone closes the done channel once all components have returned. It is called after
+// the last component has been started.
+func (rg *runGroup) closeWhenDone() {
 	go func() {
-		pa.wg.Wait()
-		close(pa.done)
+		rg.wg.Wait()
+		close(rg.done)
 	}()
 }
 
-// Done is closed when all parts have ended.
-func (pa *parts) Done() <-chan struct{} { return pa.done }
+// Done returns a channel that is closed once all components have returned.
+func (rg *runGroup) Done() <-chan struct{} { return rg.done }
 
-// Err returns why the process ended by itself, or nil.
-func (pa *parts) Err() error {
-	pa.mu.Lock()
-	defer pa.mu.Unlock()
+// Err returns the first error of a component, or nil if none failed.
+func (rg *runGroup) Err() error {
+	rg.mu.Lock()
+	defer rg.mu.Unlock()
 
-	return pa.err
+	return rg.err
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,5 +1,6 @@
-// Package program runs the whole of a gateway or an agent: the process's parts in
-// run groups that stop together, in the order of a graceful shutdown.
+// Package program assembles and runs complete processes: gateways, agents and the nodes
+// that a platform starts. The components of a gateway or a node form a run group: if one
+// fails, all stop. A graceful shutdown stops them in order.
 package program
 
 import (
@@ -28,20 +29,23 @@
 
 const (
 	readHeaderTimeout = 5 * time.Second
-	idleTimeout       = 2 * time.Minute
-	handOverTimeout   = 3 * time.Second
-	headerFlood       = 8
+	idleTimeout       = 2 * time.Minute // of connections of callers and operators
+	// handOverTimeout bounds the transfer of leases and leadership when a gateway shuts down.
+	handOverTimeout = 3 * time.Second
+	// headerLimitFactor is how many times the configured limit of a header net/http accepts, so
+	// that the handlers can answer a header over the limit with a numbered error.
+	headerLimitFactor = 8
 )
 
 // Gateway is a running gateway process with its listeners.
 type Gateway struct {
-	*parts
-	se       settings.Gateway
-	gateway  *gateway.Gateway
-	callers  *http.Server
-	ops      *http.Server
-	callerLn net.Listener
-	opLn     net.Listener
+	*runGroup
+	settings         settings.Gateway
+	gateway          *gateway.Gateway
+	callerServer     *http.Server
+	operatorServer   *http.Server
+	callerListener   net.Listener
+	operatorListener net.Listener
 
 	cancel context.CancelFunc
 }
@@ -61,18 +65,18 @@
 		return nil, trace.Wrap(err)
 	}
 
-	pg := &Gateway{parts: newParts("gateway", lo), se: se, gateway: ga}
-	pg.kill = pg.Kill
-	if pg.callerLn, err = listen(se.CallerAddress, callerTLS); err != nil {
+	pg := &Gateway{runGroup: newRunGroup("gateway", lo), settings: se, gateway: ga}
+	pg.terminate = pg.Kill
+	if pg.callerListener, err = listen(se.CallerAddress, callerTLS); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	if pg.opLn, err = listen(se.OperatorAddress, callerTLS); err != nil {
-		_ = pg.callerLn.Close()
+	if pg.operatorListener, err = listen(se.OperatorAddress, callerTLS); err != nil {
+		_ = pg.callerListener.Close()
 
 		return nil, trace.Wrap(err)
 	}
-	pg.callers = newServer(handlers.NewCallers(ga), se.MaxHeaderBytes)
-	pg.ops = newServer(handlers.NewOperators(ga), se.MaxHeaderBytes)
+	pg.callerServer = newServer(handlers.NewCallers(ga), se.MaxHeaderBytes)
+	pg.operatorServer = newServer(handlers.NewOperators(ga), se.MaxHeaderBytes)
 	pg.start()
 
 	return pg, nil
@@ -105,65 +109,65 @@
 func newServer(h http.Handler, maxHeader int) *http.Server {
 	return &http.Server{
 		Handler: h, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout,
-		// Up to this size the handlers answer with a numbered error, beyond it the library does.
-		MaxHeaderBytes: headerFlood * maxHeader,
-		ErrorLog:       stdlog.New(io.Discard, "", 0), // broken connections are counted by their requests
+		MaxHeaderBytes: headerLimitFactor * maxHeader,
+		ErrorLog:       stdlog.New(io.Discard, "", 0), // failed connections are counted with their requests
 	}
 }
 
 func (pg *Gateway) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	pg.cancel = cancel
-	pg.run("callers", func() error { return pg.callers.Serve(pg.callerLn) })
-	pg.run("operators", func() error { return pg.ops.Serve(pg.opLn) })
+	pg.run("callers", func() error { return pg.callerServer.Serve(pg.callerListener) })
+	pg.run("operators", func() error { return pg.operatorServer.Serve(pg.operatorListener) })
 	pg.run("gateway", func() error { return pg.gateway.Run(ctx) })
-	pg.seal()
+	pg.closeWhenDone()
 	pg.log.WithFields(log.Fields{
-		"callers": pg.callerLn.Addr().String(), "operators": pg.opLn.Addr().String(), "peers": pg.gateway.PeerAddress(),
-	}).Info("gateway serves")
+		"callers": pg.callerListener.Addr().String(), "operators": pg.operatorListener.Addr().String(), "peers": pg.gateway.PeerAddress(),
+	}).Info("gateway is serving")
 }
 
-// Gateway returns the gateway itself.
+// Gateway returns the gateway that the process runs.
 func (pg *Gateway) Gateway() *gateway.Gateway { return pg.gateway }
 
-// Kill ends everything at once, as a crash would.
+// Kill terminates the process's components immediately, as a crash would.
 func (pg *Gateway) Kill() {
 	pg.cancel()
-	_ = pg.callers.Close()
-	_ = pg.ops.Close()
+	_ = pg.callerServer.Close()
+	_ = pg.operatorServer.Close()
 }
 
-// Shutdown ends gracefully: the health check fails first, work is taken until the
-// balancer has moved on, leases and the lead are handed over, what runs finishes.
+// Shutdown terminates gracefully. The health check fails first, and new requests are
+// accepted until the balancer has removed the gateway. Then leases and leadership are
+// transferred, and running requests finish within the drain time.
 func (pg *Gateway) Shutdown() {
 	pg.log.Info("shutdown begins")
 	pg.gateway.BeginShutdown()
-	time.Sleep(settings.Duration(pg.se.Times.BalancerLagMs))
+	time.Sleep(settings.Duration(pg.settings.Times.BalancerLagMs))
 
 	hctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 	pg.gateway.StopDuties(hctx)
 	cancel()
 
-	dctx, cancel := context.WithTimeout(context.Background(), settings.Duration(pg.se.Times.DrainMs))
+	dctx, cancel := context.WithTimeout(context.Background(), settings.Duration(pg.settings.Times.DrainMs))
 	defer cancel()
-	if err := pg.callers.Shutdown(dctx); err != nil {
-		pg.log.WithError(err).Warn("requests were still running at the end of the drain")
+	if err := pg.callerServer.Shutdown(dctx); err != nil {
+		pg.log.WithError(err).Warn("drain time expired while requests were still running")
 	}
 	pg.Kill()
 	<-pg.done
-	pg.log.Info("shutdown done")
+	pg.log.Info("shutdown complete")
 }
 
 // Agent is a running agent process.
 type Agent struct {
-	se     settings.Agent
-	log    log.Interface
-	agent  *agent.Agent
-	cancel context.CancelFunc
-	done   chan struct{}
+	settings settings.Agent
+	log      log.Interface
+	agent    *agent.Agent
+	cancel   context.CancelFunc
+	done     chan struct{}
 }
 
-// StartAgent starts an agent.
+// StartAgent starts the agent of a backend server.
 func StartAgent(se settings.Agent, lo log.Interface) (*Agent, error) {
 	_, _, peerClient, err := se.TLS.Configs()
 	if err != nil {
@@ -179,28 +183,28 @@
 		},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	pa := &Agent{se: se, log: lo, agent: ag, cancel: cancel, done: make(chan struct{})}
+	pa := &Agent{settings: se, log: lo, agent: ag, cancel: cancel, done: make(chan struct{})}
 	go func() {
 		defer close(pa.done)
 		ag.Run(ctx)
 	}()
-	lo.WithFields(log.Fields{"server": se.Server, "gateways": strings.Join(se.Gateways, " ")}).Info("agent serves")
+	lo.WithFields(log.Fields{"server": se.Server, "gateways": strings.Join(se.Gateways, " ")}).Info("agent is running")
 
 	return pa, nil
 }
 
-// Kill ends the agent at once, as a crash would.
+// Kill terminates the agent immediately, as a crash would.
 func (pa *Agent) Kill() {
 	pa.cancel()
 	<-pa.done
 }
 
-// Shutdown drains the backend server, then ends.
+// Shutdown drains the backend server, then terminates the agent.
 func (pa *Agent) Shutdown() {
-	pa.log.Info("drain begins")
-	ctx, cancel := context.WithTimeout(context.Background(), settings.Duration(pa.se.DrainMs))
+	pa.log.Info("draining the backend server")
+	ctx, cancel := context.WithTimeout(context.Background(), settings.Duration(pa.settings.DrainMs))
 	defer cancel()
 	pa.agent.Drain(ctx)
 	pa.Kill()
-	pa.log.Info("drain done")
+	pa.log.Info("agent stopped after the drain")
 }
