--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,5 +1,6 @@
-// Package experiment compares the product's policy with plain baselines: real
-// gateways and agents on loopback, small stand-ins, a fault script and fixed seeds.
+// Package experiment compares the product's scheduling policy with simple baselines.
+// It runs real gateways and agents on loopback against stand-ins of the external
+// systems, with a fault script and fixed seeds.
 package experiment
 
 import (
@@ -18,13 +19,13 @@
 	"github.com/tamarackbay/tamarackbay/pkg/client"
 )
 
-// Policy is one way to run the same workload.
+// Policy is a named scheduling policy that a workload runs under.
 type Policy struct {
 	Name   string
 	Policy settings.Policy
 }
 
-// Policies are the product's policy and the baselines.
+// Policies returns the product's policy, called current, and the baselines.
 func Policies() []Policy {
 	return []Policy{
 		{"current", settings.Policy{}},
@@ -42,42 +43,42 @@
 	Workload    string        // consortium or cedarwick
 	Duration    time.Duration // of one run
 	Repetitions int
-	Policies    []string // names; all where empty
+	Policies    []string // names of the policies to run; empty runs all
 	Out         io.Writer
 }
 
-// workload is the traffic of a deployment in miniature.
+// workload is a scaled-down version of the traffic of a deployment.
 type workload struct {
 	engines, services int
 	groups, perGroup  int
 	maxTokens         int
-	fair              int // workspaces that ask for their share
-	concurrency       int // requests at once of each of them
-	greedy            int // times that, of one more workspace
+	fair              int // workspaces with equal load
+	concurrency       int // concurrent requests of each of these workspaces
+	greedy            int // concurrency of the greedy workspace, as a multiple of the above
 	callers           int
 }
 
 var workloads = map[string]workload{
-	// Samples in groups are most of the work; lookups run beside them.
+	// Mostly rollout samples in groups, with lookups at the same time.
 	"consortium": {engines: 6, services: 3, groups: 8, perGroup: 8, maxTokens: 64, fair: 3, concurrency: 10, greedy: 10, callers: 6},
-	// Short suggestions, a few long drafts, previews beside them.
+	// Short suggestions and a few long drafts; lookups take the place of the previews.
 	"cedarwick": {engines: 5, services: 3, groups: 16, perGroup: 4, maxTokens: 96, fair: 3, concurrency: 8, greedy: 10, callers: 6},
 }
 
-// Outcome is what one run measured.
+// Outcome holds the measurements of one run.
 type Outcome struct {
 	Policy        string
-	Idle          float64 // seconds that the trainer waits for a step
+	Idle          float64 // seconds that the trainer waits per step
 	Steps         int
-	Worst         float64 // what the worst-served workspace got of its fair share
+	Worst         float64 // fraction of its fair share that the worst-served workspace received
 	LookupP99     float64 // ms
-	Goodput       float64 // completed requests and samples a second
-	Amplification float64 // runs on engines for each completed request and sample
-	Stale         float64 // share of samples one version behind at their delivery
-	Broken        int     // samples lost, doubled or too old, calls that ran twice
+	Goodput       float64 // completed requests and samples per second
+	Amplification float64 // engine runs per completed request or sample
+	Stale         float64 // fraction of samples that were behind the latest version on delivery
+	Broken        int     // violations: steps with lost samples, samples delivered twice or too stale, calls that ran twice
 }
 
-// Run runs every policy the same number of times, in turn.
+// Run runs the selected policies in turn, and repeats this cfg.Repetitions times.
 func Run(ctx context.Context, cfg Config) ([]Outcome, error) {
 	wl, ok := workloads[cfg.Workload]
 	if !ok {
@@ -92,9 +93,9 @@
 			}
 			oc, err := runOnce(ctx, wl, po, cfg.Duration)
 			if err != nil {
-				return nil, fmt.Errorf("experiment: %s, repetition %d: %w", po.Name, rep+1, err)
+				return nil, fmt.Errorf("experiment: policy %s, repetition %d: %w", po.Name, rep+1, err)
 			}
-			fmt.Fprintf(cfg.Out, "%-14s rep %d  idle %.2f s/step  worst %.0f%%  lookup p99 %.1f ms  goodput %.0f/s  amplification %.2f  stale %.0f%%  broken %d\n",
+			fmt.Fprintf(cfg.Out, "%-14s rep %d  idle %.2f s/step  worst share %.0f%%  lookup p99 %.1f ms  goodput %.0f/s  amplification %.2f  stale %.0f%%  broken %d\n",
 				oc.Policy, rep+1, oc.Idle, 100*oc.Worst, oc.LookupP99, oc.Goodput, oc.Amplification, 100*oc.Stale, oc.Broken)
 			out = append(out, oc)
 		}
@@ -103,6 +104,7 @@
 	return out, nil
 }
 
+// wanted reports whether name is selected; an empty list selects all names.
 func wanted(names []string, name string) bool {
 	for _, n := range names {
 		if n == name {
@@ -120,7 +122,7 @@
 	token map[string]string
 
 	mu        sync.Mutex
-	served    map[string]int // completions by workspace
+	served    map[string]int // completed requests by workspace
 	lookups   []time.Duration
 	idle      time.Duration
 	steps     int
@@ -143,7 +145,7 @@
 	for _, w := range names {
 		wo := declaration.Workspace{}
 		if w == trainerWorkspace {
-			wo.Weight = 4 // as in the examples of both deployments
+			wo.Weight = 4 // as in the example configurations of both deployments
 		}
 		wo.Defaults()
 		set.Workspaces[w] = wo
@@ -194,6 +196,7 @@
 	return tr.measure(ctx, po.Name, d)
 }
 
+// prepare issues the keys, starts the backend servers and waits until they are ready.
 func (tr *trial) prepare(ctx context.Context) error {
 	names := []string{trainerWorkspace, "greedy", "crew"}
 	for i := range tr.wl.fair {
@@ -226,6 +229,7 @@
 	return tr.de.WaitServers(ctx, "s", tr.wl.services, "")
 }
 
+// measure runs the load and the fault script for d.
 func (tr *trial) measure(ctx context.Context, policy string, d time.Duration) (Outcome, error) {
 	rctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -257,7 +261,7 @@
 	return tr.outcome(policy, d), nil
 }
 
-// load keeps n completions of a workspace running.
+// load keeps n completions of a workspace in flight.
 func (tr *trial) load(run func(func(context.Context)), workspace string, n int) {
 	for i := range n {
 		run(func(ctx context.Context) {
@@ -277,6 +281,7 @@
 	}
 }
 
+// lookup sends lookups one after the other and records their latencies.
 func (tr *trial) lookup(ctx context.Context, i int) {
 	cl := tr.de.Client(tr.token["crew"], i)
 	for k := 0; ctx.Err() == nil; k++ {
@@ -291,7 +296,7 @@
 	}
 }
 
-// train runs steps one after the other; the trainer is idle while it waits for samples.
+// train runs steps one after the other. The trainer is idle while it waits for samples.
 func (tr *trial) train(ctx context.Context) {
 	cl := tr.de.Client(tr.token[trainerWorkspace], 0)
 	for n := 0; ctx.Err() == nil; n++ {
@@ -327,13 +332,14 @@
 			})
 		}
 		if err != nil {
-			continue // cut by the end of the run
+			continue // the end of the run interrupted the step
 		}
 		tr.note(time.Since(at), seen, behind)
-		time.Sleep(100 * time.Millisecond) // the trainer works
+		time.Sleep(100 * time.Millisecond) // stands for the training itself
 	}
 }
 
+// oldest returns the number of the oldest weight version that generated part of s.
 func oldest(s client.Sample) int {
 	low := 0
 	for _, vr := range s.Versions {
@@ -353,6 +359,7 @@
 	tr.broken++
 }
 
+// note records the samples of a complete step, unless the run has ended.
 func (tr *trial) note(idle time.Duration, seen map[string]int, behind int) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -375,7 +382,7 @@
 	}
 }
 
-// faults brings about the same failures at the same parts of every run.
+// faults injects the same failures at the same fractions of every run.
 func (tr *trial) faults(ctx context.Context, d time.Duration) {
 	push := func() {
 		tr.mu.Lock()
@@ -402,7 +409,7 @@
 			i := (tr.de.Leader() + 3) % 3
 			tr.de.KillGateway(i)
 			time.Sleep(500 * time.Millisecond)
-			_ = tr.de.StartGateway(i) // the run goes on with two gateways otherwise
+			_ = tr.de.StartGateway(i) // if this fails, the run continues with two gateways
 		}},
 		{0.80, func() { tr.de.Engines()["engine-2"].Slow(20 * time.Millisecond) }},
 	}
@@ -427,7 +434,8 @@
 	} else {
 		oc.Idle = d.Seconds()
 	}
-	// With equal weights the fair share is the mean of all that ask for more.
+	// The weights are equal and each of these workspaces requests more than its
+	// share, so the fair share is the mean.
 	total, worst := 0, -1
 	for i := range tr.wl.fair {
 		n := tr.served[fmt.Sprint("fair", i)]
@@ -450,7 +458,7 @@
 	return oc
 }
 
-// doubled counts lookups that ran more than once, by the services' own records.
+// doubled counts the lookups that ran more than once according to the services' records.
 func (tr *trial) doubled() int {
 	runs := map[string]int{}
 	for _, sv := range tr.de.Services() {
--- a/internal/experiment/overload.go
+++ b/internal/experiment/overload.go
@@ -19,23 +19,24 @@
 	overServices = 3
 	overSlots    = 8
 	overDelay    = 20 * time.Millisecond
-	overCapacity = 1000 // previews a second, a little under what the slots can do
-	overLookups  = 100  // a second, beside the previews
-	overTimeout  = "500"
-	overInFlight = 4000 // bounds what the generator keeps open
+	overCapacity = 1000  // previews per second, slightly below what the slots can serve
+	overLookups  = 100   // lookups per second, at the same time as the previews
+	overTimeout  = "500" // ms
+	overInFlight = 4000  // bounds the open requests of the load generator
 )
 
-// Load is what one level of load was served.
+// Load holds the measurements at one level of load.
 type Load struct {
 	Name      string
-	Sent      float64 // previews a second
-	Goodput   float64 // previews answered a second
+	Sent      float64 // previews per second
+	Goodput   float64 // previews answered per second
 	LookupP50 float64 // ms
 	LookupP99 float64 // ms
-	Lost      int     // lookups that were not answered
+	Lost      int     // lookups that failed
 }
 
-// RunOverload serves lookups beside no previews, previews at capacity, and at twice it.
+// RunOverload measures lookups without previews, with previews at capacity, and with
+// previews at twice the capacity, each for d.
 func RunOverload(ctx context.Context, d time.Duration, out io.Writer) ([]Load, error) {
 	folder, err := os.MkdirTemp("", "tamarackbay-overload-")
 	if err != nil {
@@ -82,7 +83,7 @@
 	for _, level := range []struct {
 		name string
 		rate int
-	}{{"lookups alone", 0}, {"previews at capacity", overCapacity}, {"previews at twice it", 2 * overCapacity}} {
+	}{{"lookups only", 0}, {"previews 1x capacity", overCapacity}, {"previews 2x capacity", 2 * overCapacity}} {
 		lo := ol.run(ctx, level.name, level.rate, d)
 		fmt.Fprintf(out, "%-22s sent %.0f/s  goodput %.0f/s  lookup p50 %.1f ms  p99 %.1f ms  lost %d\n",
 			lo.Name, lo.Sent, lo.Goodput, lo.LookupP50, lo.LookupP99, lo.Lost)
@@ -92,13 +93,15 @@
 	return loads, nil
 }
 
+// overload sends the requests of RunOverload.
 type overload struct {
 	de    *deployment.Deployment
 	hc    *http.Client
 	token map[string]string
 }
 
-// run sends at fixed rates, whatever is answered, and without any resend.
+// run sends requests at fixed rates for d, independent of the responses (open loop)
+// and without retries.
 func (ol *overload) run(ctx context.Context, name string, rate int, d time.Duration) Load {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -146,6 +149,7 @@
 	}
 }
 
+// get sends request number n and reports whether it succeeded.
 func (ol *overload) get(ctx context.Context, n int, workspace, route string) bool {
 	u := ol.de.URLs()
 	rq, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("%s/r/%s/%d", u[n%len(u)], route, n), http.NoBody)
@@ -164,7 +168,7 @@
 	return err == nil && rs.StatusCode == http.StatusOK
 }
 
-// WriteOverload writes the levels as a table.
+// WriteOverload writes a Markdown table with one row per level of load.
 func WriteOverload(w io.Writer, loads []Load) {
 	fmt.Fprintln(w, "| load | previews sent /s | answered /s | lookup p50 ms | lookup p99 ms | lookups lost |\n|---|---|---|---|---|---|")
 	for _, lo := range loads {
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -11,7 +11,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// measure is one column of the table.
+// measure is a column of the table that WriteTable writes.
 type measure struct {
 	name  string
 	value func(oc Outcome) float64
@@ -27,7 +27,7 @@
 	{"broken", func(oc Outcome) float64 { return float64(oc.Broken) }},
 }
 
-// spread is the median of repetitions with their lowest and highest value.
+// spread holds the median, lowest and highest value of the repetitions.
 type spread struct{ low, median, high float64 }
 
 func spreadOf(vs []float64) spread {
@@ -36,6 +36,7 @@
 	return spread{vs[0], vs[len(vs)/2], vs[len(vs)-1]}
 }
 
+// byPolicy groups outcomes by policy; names keeps the order of first appearance.
 func byPolicy(ocs []Outcome) (names []string, groups map[string][]Outcome) {
 	groups = map[string][]Outcome{}
 	for _, oc := range ocs {
@@ -48,7 +49,7 @@
 	return names, groups
 }
 
-// WriteTable writes the medians with lowest and highest values as a table.
+// WriteTable writes a Markdown table of the median, lowest and highest values by policy.
 func WriteTable(w io.Writer, ocs []Outcome) {
 	names, groups := byPolicy(ocs)
 	fmt.Fprint(w, "| policy |")
@@ -74,12 +75,12 @@
 	}
 }
 
-// Plot writes a bar chart of trainer idle time and of the worst-served workspace.
+// Plot writes a bar chart of the trainer idle time and the share of the worst-served workspace.
 func Plot(path string, ocs []Outcome) error {
 	names, groups := byPolicy(ocs)
 	p := plot.New()
 	p.Title.Text = "Trainer idle time and worst-served workspace by policy"
-	p.Y.Label.Text = "idle, s a step x 10; worst share, %"
+	p.Y.Label.Text = "idle, s per step x 10; worst share, %"
 	const width = 14
 	for i, m := range []measure{
 		{"idle x 10", func(oc Outcome) float64 { return 10 * oc.Idle }}, measures[1],
--- a/internal/experiment/spending.go
+++ b/internal/experiment/spending.go
@@ -17,7 +17,7 @@
 	"github.com/tamarackbay/tamarackbay/pkg/client"
 )
 
-// FleetPolicy is one way to bound the fleet under the same load.
+// FleetPolicy is a named set of fleet bounds that the same load runs under.
 type FleetPolicy struct {
 	Name   string
 	Bounds declaration.Fleet
@@ -27,13 +27,14 @@
 	spendClass   = "engine"
 	spendStartup = 500 * time.Millisecond
 	spendSlots   = 4
-	spendHigh    = 24 // requests at once at the height of the day
+	spendHigh    = 24 // concurrent requests at the peak of the day
 	spendTokens  = 24
 	spendTick    = 100 * time.Millisecond
 )
 
-// FleetPolicies are the product's planner and two baselines: everything always on,
-// and a threshold that orders when slots are full and gives back at once.
+// FleetPolicies returns the settings of the product's planner and of two baselines:
+// all servers always on, and a threshold that orders a server when the slots are full
+// and returns it as soon as it is idle.
 func FleetPolicies() []FleetPolicy {
 	domains := []string{"a", "b", "c"}
 
@@ -44,24 +45,24 @@
 	}
 }
 
-// Spending is what one run of a day's curve cost and served.
+// Spending holds the cost and the served requests of one run of the daily load curve.
 type Spending struct {
 	Policy  string
-	Seconds float64 // server-seconds paid for
+	Seconds float64 // server-seconds billed
 	Served  int
 	Refused int
 	P50     float64 // ms
 	P99     float64 // ms
 }
 
-// RunSpending runs each fleet policy under a day's load curve compressed to d.
+// RunSpending runs each fleet policy under the load curve of a day, compressed to d.
 func RunSpending(ctx context.Context, d time.Duration, repetitions int, out io.Writer) ([]Spending, error) {
 	var all []Spending
 	for rep := range repetitions {
 		for _, fp := range FleetPolicies() {
 			sp, err := spendOnce(ctx, fp, d)
 			if err != nil {
-				return nil, fmt.Errorf("experiment: %s: %w", fp.Name, err)
+				return nil, fmt.Errorf("experiment: fleet policy %s: %w", fp.Name, err)
 			}
 			fmt.Fprintf(out, "%-10s rep %d  %.0f server-seconds  served %d  refused %d  p50 %.0f ms  p99 %.0f ms\n",
 				sp.Policy, rep+1, sp.Seconds, sp.Served, sp.Refused, sp.P50, sp.P99)
@@ -106,7 +107,7 @@
 	if err != nil {
 		return Spending{}, err
 	}
-	time.Sleep(2 * time.Second) // the lease is held and the minimum runs
+	time.Sleep(2 * time.Second) // until a controller holds the lease and the minimum fleet runs
 
 	before := de.Ordering.ServerSeconds(spendClass)
 	da := &day{de: de, token: token, length: d}
@@ -117,7 +118,8 @@
 	return sp, nil
 }
 
-// day is a load curve: a night with nothing, a morning, a height, an evening.
+// day generates the load curve of one day: none at night, then a rise to the peak
+// at midday and a fall.
 type day struct {
 	de     *deployment.Deployment
 	token  string
@@ -129,13 +131,14 @@
 	refused int
 }
 
-// wanted returns the requests that should run at once at a part of the day.
+// wanted returns the number of concurrent requests at a fraction of the day.
 func (da *day) wanted(part float64) int {
 	s := math.Sin(2*math.Pi*part - math.Pi/2) // lowest at midnight
 
 	return int(math.Round(max(0, spendHigh*(s+0.3)/1.3)))
 }
 
+// run keeps as many requests in flight as the curve requires, until the day ends.
 func (da *day) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	began := time.Now()
@@ -158,7 +161,7 @@
 	wg.Wait()
 }
 
-// request makes one completion; the client comes back when it is told to.
+// request makes one completion. The client retries after the delay that a refusal states.
 func (da *day) request(ctx context.Context, n int) {
 	cl := da.de.Client(da.token, n)
 	at := time.Now()
@@ -187,7 +190,7 @@
 	}
 }
 
-// WriteSpending writes the medians of the repetitions as a table.
+// WriteSpending writes a Markdown table of the median, lowest and highest values by fleet policy.
 func WriteSpending(w io.Writer, all []Spending) {
 	columns := []struct {
 		name  string
