--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -49,20 +49,20 @@
 
 // workload is a scaled-down version of the traffic of a deployment.
 type workload struct {
-	engines, services int
-	groups, perGroup  int
-	maxTokens         int
-	fair              int // workspaces with equal load
-	concurrency       int // concurrent requests of each of these workspaces
-	greedy            int // concurrency of the greedy workspace, as a multiple of the above
-	callers           int
+	engines, services       int
+	groups, samplesPerGroup int
+	maxTokens               int
+	fairWorkspaces          int // workspaces with equal load
+	concurrency             int // concurrent requests of each of these workspaces
+	greedyFactor            int // concurrency of the greedy workspace, as a multiple of the above
+	lookupCallers           int
 }
 
 var workloads = map[string]workload{
 	// Mostly rollout samples in groups, with lookups at the same time.
-	"consortium": {engines: 6, services: 3, groups: 8, perGroup: 8, maxTokens: 64, fair: 3, concurrency: 10, greedy: 10, callers: 6},
+	"consortium": {engines: 6, services: 3, groups: 8, samplesPerGroup: 8, maxTokens: 64, fairWorkspaces: 3, concurrency: 10, greedyFactor: 10, lookupCallers: 6},
 	// Short suggestions and a few long drafts; lookups take the place of the previews.
-	"cedarwick": {engines: 5, services: 3, groups: 16, perGroup: 4, maxTokens: 96, fair: 3, concurrency: 8, greedy: 10, callers: 6},
+	"cedarwick": {engines: 5, services: 3, groups: 16, samplesPerGroup: 4, maxTokens: 96, fairWorkspaces: 3, concurrency: 8, greedyFactor: 10, lookupCallers: 6},
 }
 
 // Outcome holds the measurements of one run.
@@ -88,7 +88,7 @@
 	var out []Outcome
 	for rep := range cfg.Repetitions {
 		for _, po := range Policies() {
-			if !wanted(cfg.Policies, po.Name) {
+			if !isSelected(cfg.Policies, po.Name) {
 				continue
 			}
 			oc, err := runOnce(ctx, wl, po, cfg.Duration)
@@ -104,8 +104,8 @@
 	return out, nil
 }
 
-// wanted reports whether name is selected; an empty list selects all names.
-func wanted(names []string, name string) bool {
+// isSelected reports whether name is selected; an empty list selects all names.
+func isSelected(names []string, name string) bool {
 	for _, n := range names {
 		if n == name {
 			return true
@@ -117,21 +117,21 @@
 
 // trial is one run of one policy.
 type trial struct {
-	wl    workload
-	de    *deployment.Deployment
-	token map[string]string
-
-	mu        sync.Mutex
-	served    map[string]int // completed requests by workspace
-	lookups   []time.Duration
-	idle      time.Duration
-	steps     int
-	samples   int
-	stale     int
-	broken    int
-	pushed    int
-	ended     bool
-	completed int
+	workload   workload
+	deployment *deployment.Deployment
+	tokens     map[string]string
+
+	mu            sync.Mutex
+	completedBy   map[string]int // completed requests by workspace
+	lookupTimes   []time.Duration
+	idleTime      time.Duration
+	steps         int
+	samples       int
+	staleSamples  int
+	violations    int
+	pushedVersion int
+	hasEnded      bool
+	completed     int
 }
 
 const trainerWorkspace = "trainer"
@@ -139,7 +139,7 @@
 func (wl workload) declarations() *declaration.Set {
 	set := declaration.NewSet()
 	names := []string{trainerWorkspace, "greedy", "crew"}
-	for i := range wl.fair {
+	for i := range wl.fairWorkspaces {
 		names = append(names, fmt.Sprint("fair", i))
 	}
 	for _, w := range names {
@@ -188,45 +188,45 @@
 	}
 	defer de.Close()
 
-	tr := &trial{wl: wl, de: de, token: map[string]string{}, served: map[string]int{}, pushed: 1}
-	if err := tr.prepare(ctx); err != nil {
+	tr := &trial{workload: wl, deployment: de, tokens: map[string]string{}, completedBy: map[string]int{}, pushedVersion: 1}
+	if err := tr.setUp(ctx); err != nil {
 		return Outcome{}, err
 	}
 
 	return tr.measure(ctx, po.Name, d)
 }
 
-// prepare issues the keys, starts the backend servers and waits until they are ready.
-func (tr *trial) prepare(ctx context.Context) error {
+// setUp issues the keys, starts the backend servers and waits until they are ready.
+func (tr *trial) setUp(ctx context.Context) error {
 	names := []string{trainerWorkspace, "greedy", "crew"}
-	for i := range tr.wl.fair {
+	for i := range tr.workload.fairWorkspaces {
 		names = append(names, fmt.Sprint("fair", i))
 	}
 	for _, w := range names {
-		_, token, err := tr.de.IssueKey(ctx, w)
+		_, token, err := tr.deployment.IssueKey(ctx, w)
 		if err != nil {
 			return err
 		}
-		tr.token[w] = token
+		tr.tokens[w] = token
 	}
 	domains := []string{"a", "b", "c"}
-	for i := range tr.wl.engines {
+	for i := range tr.workload.engines {
 		cl := declaration.Class{Model: "m", Slots: 6}
-		if err := tr.de.StartServer(fmt.Sprint("engine-", i), "engine", cl, domains[i%3], ""); err != nil {
+		if err := tr.deployment.StartServer(fmt.Sprint("engine-", i), "engine", cl, domains[i%3], ""); err != nil {
 			return err
 		}
 	}
-	for i := range tr.wl.services {
+	for i := range tr.workload.services {
 		cl := declaration.Class{Service: "s", Slots: 16}
-		if err := tr.de.StartServer(fmt.Sprint("service-", i), "service", cl, domains[i%3], ""); err != nil {
+		if err := tr.deployment.StartServer(fmt.Sprint("service-", i), "service", cl, domains[i%3], ""); err != nil {
 			return err
 		}
 	}
-	if err := tr.de.WaitServers(ctx, "m", tr.wl.engines, "v1"); err != nil {
+	if err := tr.deployment.WaitServers(ctx, "m", tr.workload.engines, "v1"); err != nil {
 		return err
 	}
 
-	return tr.de.WaitServers(ctx, "s", tr.wl.services, "")
+	return tr.deployment.WaitServers(ctx, "s", tr.workload.services, "")
 }
 
 // measure runs the load and the fault script for d.
@@ -241,38 +241,38 @@
 			f(rctx)
 		}()
 	}
-	for i := range tr.wl.fair {
-		tr.load(run, fmt.Sprint("fair", i), tr.wl.concurrency)
+	for i := range tr.workload.fairWorkspaces {
+		tr.runCompletions(run, fmt.Sprint("fair", i), tr.workload.concurrency)
 	}
-	tr.load(run, "greedy", tr.wl.concurrency*tr.wl.greedy)
-	for i := range tr.wl.callers {
-		run(func(ctx context.Context) { tr.lookup(ctx, i) })
+	tr.runCompletions(run, "greedy", tr.workload.concurrency*tr.workload.greedyFactor)
+	for i := range tr.workload.lookupCallers {
+		run(func(ctx context.Context) { tr.runLookups(ctx, i) })
 	}
-	run(tr.train)
-	run(func(ctx context.Context) { tr.faults(ctx, d) })
+	run(tr.runTrainer)
+	run(func(ctx context.Context) { tr.injectFaults(ctx, d) })
 
 	time.Sleep(d)
 	stop()
 	tr.mu.Lock()
-	tr.ended = true
+	tr.hasEnded = true
 	tr.mu.Unlock()
 	wg.Wait()
 
 	return tr.outcome(policy, d), nil
 }
 
-// load keeps n completions of a workspace in flight.
-func (tr *trial) load(run func(func(context.Context)), workspace string, n int) {
+// runCompletions keeps n completions of a workspace in flight.
+func (tr *trial) runCompletions(run func(func(context.Context)), workspace string, n int) {
 	for i := range n {
 		run(func(ctx context.Context) {
-			cl := tr.de.Client(tr.token[workspace], i)
+			cl := tr.deployment.Client(tr.tokens[workspace], i)
 			for k := 0; ctx.Err() == nil; k++ {
 				_, err := cl.Complete(ctx, client.CompletionRequest{
-					Model: "m", Prompt: fmt.Sprintf("%s asks %d of %d", workspace, k%5, i), MaxTokens: tr.wl.maxTokens, Seed: uint64(i*10_000 + k),
+					Model: "m", Prompt: fmt.Sprintf("%s asks %d of %d", workspace, k%5, i), MaxTokens: tr.workload.maxTokens, Seed: uint64(i*10_000 + k),
 				})
 				if err == nil {
 					tr.mu.Lock()
-					tr.served[workspace]++
+					tr.completedBy[workspace]++
 					tr.completed++
 					tr.mu.Unlock()
 				}
@@ -281,51 +281,51 @@
 	}
 }
 
-// lookup sends lookups one after the other and records their latencies.
-func (tr *trial) lookup(ctx context.Context, i int) {
-	cl := tr.de.Client(tr.token["crew"], i)
+// runLookups sends lookups one after the other and records their latencies.
+func (tr *trial) runLookups(ctx context.Context, i int) {
+	cl := tr.deployment.Client(tr.tokens["crew"], i)
 	for k := 0; ctx.Err() == nil; k++ {
 		key := fmt.Sprintf("lookup-%d-%d", i, k)
 		at := time.Now()
 		if _, err := cl.Call(ctx, "POST", "lookup", "/"+key, nil, key); err == nil {
 			tr.mu.Lock()
-			tr.lookups = append(tr.lookups, time.Since(at))
+			tr.lookupTimes = append(tr.lookupTimes, time.Since(at))
 			tr.mu.Unlock()
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// train runs steps one after the other. The trainer is idle while it waits for samples.
-func (tr *trial) train(ctx context.Context) {
-	cl := tr.de.Client(tr.token[trainerWorkspace], 0)
+// runTrainer runs steps one after the other. The trainer is idle while it waits for samples.
+func (tr *trial) runTrainer(ctx context.Context) {
+	cl := tr.deployment.Client(tr.tokens[trainerWorkspace], 0)
 	for n := 0; ctx.Err() == nil; n++ {
 		id := fmt.Sprintf("s%d", n)
 		st := client.Step{ID: id, Trainer: "t"}
-		for g := range tr.wl.groups {
-			st.Groups = append(st.Groups, client.Group{ID: fmt.Sprint("g", g), Prompt: fmt.Sprintf("%s prompt %d", id, g), Samples: tr.wl.perGroup, MaxTokens: tr.wl.maxTokens})
+		for g := range tr.workload.groups {
+			st.Groups = append(st.Groups, client.Group{ID: fmt.Sprint("g", g), Prompt: fmt.Sprintf("%s prompt %d", id, g), Samples: tr.workload.samplesPerGroup, MaxTokens: tr.workload.maxTokens})
 		}
 		at := time.Now()
 		seen := map[string]int{}
 		behind := 0
 		tr.mu.Lock()
-		latest := tr.pushed
+		latest := tr.pushedVersion
 		tr.mu.Unlock()
 		err := cl.OpenStep(ctx, st)
 		if err == nil {
 			err = cl.Samples(ctx, id, func(ss []client.Sample) error {
 				for _, s := range ss {
 					seen[s.ID]++
-					lag := latest - oldest(s)
+					lag := latest - oldestVersion(s)
 					if lag > 0 {
 						behind++
 					}
 					if lag > 1 {
-						tr.fail()
+						tr.countViolation()
 					}
 				}
 				tr.mu.Lock()
-				latest = tr.pushed
+				latest = tr.pushedVersion
 				tr.mu.Unlock()
 
 				return nil
@@ -334,13 +334,13 @@
 		if err != nil {
 			continue // the end of the run interrupted the step
 		}
-		tr.note(time.Since(at), seen, behind)
+		tr.recordStep(time.Since(at), seen, behind)
 		time.Sleep(100 * time.Millisecond) // stands for the training itself
 	}
 }
 
-// oldest returns the number of the oldest weight version that generated part of s.
-func oldest(s client.Sample) int {
+// oldestVersion returns the number of the oldest weight version that generated part of s.
+func oldestVersion(s client.Sample) int {
 	low := 0
 	for _, vr := range s.Versions {
 		var n int
@@ -352,72 +352,72 @@
 	return low
 }
 
-func (tr *trial) fail() {
+func (tr *trial) countViolation() {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 
-	tr.broken++
+	tr.violations++
 }
 
-// note records the samples of a complete step, unless the run has ended.
-func (tr *trial) note(idle time.Duration, seen map[string]int, behind int) {
+// recordStep records the samples of a complete step, unless the run has ended.
+func (tr *trial) recordStep(idle time.Duration, seen map[string]int, behind int) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 
-	if tr.ended {
+	if tr.hasEnded {
 		return
 	}
-	tr.idle += idle
+	tr.idleTime += idle
 	tr.steps++
 	tr.samples += len(seen)
-	tr.stale += behind
+	tr.staleSamples += behind
 	tr.completed += len(seen)
-	if len(seen) != tr.wl.groups*tr.wl.perGroup {
-		tr.broken++
+	if len(seen) != tr.workload.groups*tr.workload.samplesPerGroup {
+		tr.violations++
 	}
 	for _, n := range seen {
 		if n != 1 {
-			tr.broken++
+			tr.violations++
 		}
 	}
 }
 
-// faults injects the same failures at the same fractions of every run.
-func (tr *trial) faults(ctx context.Context, d time.Duration) {
+// injectFaults injects the same failures at the same fractions of every run.
+func (tr *trial) injectFaults(ctx context.Context, d time.Duration) {
 	push := func() {
 		tr.mu.Lock()
-		n := tr.pushed + 1
+		n := tr.pushedVersion + 1
 		tr.mu.Unlock()
-		cl := tr.de.Client(tr.token[trainerWorkspace], 1)
+		cl := tr.deployment.Client(tr.tokens[trainerWorkspace], 1)
 		if cl.PushVersion(ctx, "m", fmt.Sprint("v", n), "x") == nil {
 			tr.mu.Lock()
-			tr.pushed = n
+			tr.pushedVersion = n
 			tr.mu.Unlock()
 		}
 	}
 	script := []struct {
-		part float64
-		do   func()
+		fraction float64
+		inject   func()
 	}{
 		{0.15, push},
-		{0.30, func() { tr.de.Engines()["engine-0"].Crash() }},
+		{0.30, func() { tr.deployment.Engines()["engine-0"].Crash() }},
 		{0.45, func() {
-			tr.de.Engines()["engine-1"].FailSwaps(2)
+			tr.deployment.Engines()["engine-1"].FailSwaps(2)
 			push()
 		}},
 		{0.60, func() {
-			i := (tr.de.Leader() + 3) % 3
-			tr.de.KillGateway(i)
+			i := (tr.deployment.Leader() + 3) % 3
+			tr.deployment.KillGateway(i)
 			time.Sleep(500 * time.Millisecond)
-			_ = tr.de.StartGateway(i) // if this fails, the run continues with two gateways
+			_ = tr.deployment.StartGateway(i) // if this fails, the run continues with two gateways
 		}},
-		{0.80, func() { tr.de.Engines()["engine-2"].Slow(20 * time.Millisecond) }},
+		{0.80, func() { tr.deployment.Engines()["engine-2"].Slow(20 * time.Millisecond) }},
 	}
 	began := time.Now()
 	for _, s := range script {
 		select {
-		case <-time.After(time.Until(began.Add(time.Duration(s.part * float64(d))))):
-			s.do()
+		case <-time.After(time.Until(began.Add(time.Duration(s.fraction * float64(d))))):
+			s.inject()
 		case <-ctx.Done():
 			return
 		}
@@ -428,40 +428,40 @@
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 
-	oc := Outcome{Policy: policy, Steps: tr.steps, Broken: tr.broken + tr.doubled()}
+	oc := Outcome{Policy: policy, Steps: tr.steps, Broken: tr.violations + tr.repeatedLookups()}
 	if tr.steps > 0 {
-		oc.Idle = tr.idle.Seconds() / float64(tr.steps)
+		oc.Idle = tr.idleTime.Seconds() / float64(tr.steps)
 	} else {
 		oc.Idle = d.Seconds()
 	}
 	// The weights are equal and each of these workspaces requests more than its
 	// share, so the fair share is the mean.
 	total, worst := 0, -1
-	for i := range tr.wl.fair {
-		n := tr.served[fmt.Sprint("fair", i)]
+	for i := range tr.workload.fairWorkspaces {
+		n := tr.completedBy[fmt.Sprint("fair", i)]
 		total += n
 		if worst < 0 || n < worst {
 			worst = n
 		}
 	}
-	total += tr.served["greedy"]
-	oc.Worst = float64(worst) / max(1, float64(total)/float64(tr.wl.fair+1))
-	oc.LookupP99 = quantile.Ms(tr.lookups, 0.99)
+	total += tr.completedBy["greedy"]
+	oc.Worst = float64(worst) / max(1, float64(total)/float64(tr.workload.fairWorkspaces+1))
+	oc.LookupP99 = quantile.Ms(tr.lookupTimes, 0.99)
 	oc.Goodput = float64(tr.completed) / d.Seconds()
 	runs := 0
-	for _, en := range tr.de.AllEngines() {
+	for _, en := range tr.deployment.AllEngines() {
 		runs += len(en.Runs())
 	}
 	oc.Amplification = float64(runs) / float64(max(tr.completed, 1))
-	oc.Stale = float64(tr.stale) / float64(max(tr.samples, 1))
+	oc.Stale = float64(tr.staleSamples) / float64(max(tr.samples, 1))
 
 	return oc
 }
 
-// doubled counts the lookups that ran more than once according to the services' records.
-func (tr *trial) doubled() int {
+// repeatedLookups counts the lookups that ran more than once according to the services' records.
+func (tr *trial) repeatedLookups() int {
 	runs := map[string]int{}
-	for _, sv := range tr.de.Services() {
+	for _, sv := range tr.deployment.Services() {
 		for _, r := range sv.Runs() {
 			runs[r.Path]++
 		}
--- a/internal/experiment/overload.go
+++ b/internal/experiment/overload.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	overServices = 3
-	overSlots    = 8
-	overDelay    = 20 * time.Millisecond
-	overCapacity = 1000  // previews per second, slightly below what the slots can serve
-	overLookups  = 100   // lookups per second, at the same time as the previews
-	overTimeout  = "500" // ms
-	overInFlight = 4000  // bounds the open requests of the load generator
+	overloadServers     = 3
+	overloadSlots       = 8
+	overloadServiceTime = 20 * time.Millisecond
+	overloadCapacity    = 1000 // previews per second, slightly below what the slots can serve
+	overloadLookupRate  = 100  // lookups per second, at the same time as the previews
+	overloadTimeoutMs   = "500"
+	overloadMaxOpen     = 4000 // bounds the open requests of the load generator
 )
 
 // Load holds the measurements at one level of load.
@@ -56,26 +56,26 @@
 		set.Routes[n] = ro
 	}
 	de, err := deployment.Start(ctx, deployment.Config{
-		Gateways: 3, Folder: folder, Declarations: set, NoOrdering: true, NoUsage: true, ServiceDelay: overDelay,
+		Gateways: 3, Folder: folder, Declarations: set, NoOrdering: true, NoUsage: true, ServiceDelay: overloadServiceTime,
 		Tune: func(*settings.Gateway) {},
 	})
 	if err != nil {
 		return nil, err
 	}
 	defer de.Close()
-	ol := &overload{de: de, hc: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: overInFlight}}, token: map[string]string{}}
+	ol := &overload{deployment: de, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: overloadMaxOpen}}, tokens: map[string]string{}}
 	for w := range set.Workspaces {
-		if _, ol.token[w], err = de.IssueKey(ctx, w); err != nil {
+		if _, ol.tokens[w], err = de.IssueKey(ctx, w); err != nil {
 			return nil, err
 		}
 	}
-	for i := range overServices {
-		cl := declaration.Class{Service: "s", Slots: overSlots}
+	for i := range overloadServers {
+		cl := declaration.Class{Service: "s", Slots: overloadSlots}
 		if err := de.StartServer(fmt.Sprint("s", i), "c", cl, []string{"a", "b", "c"}[i], ""); err != nil {
 			return nil, err
 		}
 	}
-	if err := de.WaitServers(ctx, "s", overServices, ""); err != nil {
+	if err := de.WaitServers(ctx, "s", overloadServers, ""); err != nil {
 		return nil, err
 	}
 
@@ -83,8 +83,8 @@
 	for _, level := range []struct {
 		name string
 		rate int
-	}{{"lookups only", 0}, {"previews 1x capacity", overCapacity}, {"previews 2x capacity", 2 * overCapacity}} {
-		lo := ol.run(ctx, level.name, level.rate, d)
+	}{{"lookups only", 0}, {"previews 1x capacity", overloadCapacity}, {"previews 2x capacity", 2 * overloadCapacity}} {
+		lo := ol.runLevel(ctx, level.name, level.rate, d)
 		fmt.Fprintf(out, "%-22s sent %.0f/s  goodput %.0f/s  lookup p50 %.1f ms  p99 %.1f ms  lost %d\n",
 			lo.Name, lo.Sent, lo.Goodput, lo.LookupP50, lo.LookupP99, lo.Lost)
 		loads = append(loads, lo)
@@ -95,19 +95,19 @@
 
 // overload sends the requests of RunOverload.
 type overload struct {
-	de    *deployment.Deployment
-	hc    *http.Client
-	token map[string]string
+	deployment *deployment.Deployment
+	client     *http.Client
+	tokens     map[string]string
 }
 
-// run sends requests at fixed rates for d, independent of the responses (open loop)
+// runLevel sends requests at fixed rates for d, independent of the responses (open loop)
 // and without retries.
-func (ol *overload) run(ctx context.Context, name string, rate int, d time.Duration) Load {
+func (ol *overload) runLevel(ctx context.Context, name string, rate int, d time.Duration) Load {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var lookups []time.Duration
 	answered, lost, sent := 0, 0, 0
-	open := make(chan struct{}, overInFlight)
+	open := make(chan struct{}, overloadMaxOpen)
 	pace := func(perSecond int, send func(n int)) {
 		defer wg.Done()
 		began := time.Now()
@@ -123,7 +123,7 @@
 		}
 	}
 	wg.Add(2)
-	go pace(overLookups, func(n int) {
+	go pace(overloadLookupRate, func(n int) {
 		at := time.Now()
 		ok := ol.get(ctx, n, "crew", "lookup")
 		mu.Lock()
@@ -151,14 +151,14 @@
 
 // get sends request number n and reports whether it succeeded.
 func (ol *overload) get(ctx context.Context, n int, workspace, route string) bool {
-	u := ol.de.URLs()
+	u := ol.deployment.URLs()
 	rq, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("%s/r/%s/%d", u[n%len(u)], route, n), http.NoBody)
 	if err != nil {
 		return false
 	}
-	rq.Header.Set("Authorization", "Bearer "+ol.token[workspace])
-	rq.Header.Set("X-Timeout-Ms", overTimeout)
-	rs, err := ol.hc.Do(rq)
+	rq.Header.Set("Authorization", "Bearer "+ol.tokens[workspace])
+	rq.Header.Set("X-Timeout-Ms", overloadTimeoutMs)
+	rs, err := ol.client.Do(rq)
 	if err != nil {
 		return false
 	}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -11,13 +11,13 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// measure is a column of the table that WriteTable writes.
-type measure struct {
+// column is a quantity in the table that WriteTable writes.
+type column struct {
 	name  string
 	value func(oc Outcome) float64
 }
 
-var measures = []measure{
+var outcomeColumns = []column{
 	{"idle s/step", func(oc Outcome) float64 { return oc.Idle }},
 	{"worst share %", func(oc Outcome) float64 { return 100 * oc.Worst }},
 	{"lookup p99 ms", func(oc Outcome) float64 { return oc.LookupP99 }},
@@ -53,17 +53,17 @@
 func WriteTable(w io.Writer, ocs []Outcome) {
 	names, groups := byPolicy(ocs)
 	fmt.Fprint(w, "| policy |")
-	for _, m := range measures {
+	for _, m := range outcomeColumns {
 		fmt.Fprintf(w, " %s |", m.name)
 	}
 	fmt.Fprint(w, "\n|---|")
-	for range measures {
+	for range outcomeColumns {
 		fmt.Fprint(w, "---|")
 	}
 	fmt.Fprintln(w)
 	for _, n := range names {
 		fmt.Fprintf(w, "| %s |", n)
-		for _, m := range measures {
+		for _, m := range outcomeColumns {
 			var vs []float64
 			for _, oc := range groups[n] {
 				vs = append(vs, m.value(oc))
@@ -82,8 +82,8 @@
 	p.Title.Text = "Trainer idle time and worst-served workspace by policy"
 	p.Y.Label.Text = "idle, s per step x 10; worst share, %"
 	const width = 14
-	for i, m := range []measure{
-		{"idle x 10", func(oc Outcome) float64 { return 10 * oc.Idle }}, measures[1],
+	for i, m := range []column{
+		{"idle x 10", func(oc Outcome) float64 { return 10 * oc.Idle }}, outcomeColumns[1],
 	} {
 		var vs plotter.Values
 		for _, n := range names {
--- a/internal/experiment/spending.go
+++ b/internal/experiment/spending.go
@@ -24,12 +24,12 @@
 }
 
 const (
-	spendClass   = "engine"
-	spendStartup = 500 * time.Millisecond
-	spendSlots   = 4
-	spendHigh    = 24 // concurrent requests at the peak of the day
-	spendTokens  = 24
-	spendTick    = 100 * time.Millisecond
+	spendingClass     = "engine"
+	spendingStartup   = 500 * time.Millisecond
+	spendingSlots     = 4
+	spendingPeak      = 24 // concurrent requests at the peak of the day
+	spendingMaxTokens = 24
+	spendingTick      = 100 * time.Millisecond
 )
 
 // FleetPolicies returns the settings of the product's planner and of two baselines:
@@ -60,7 +60,7 @@
 	var all []Spending
 	for rep := range repetitions {
 		for _, fp := range FleetPolicies() {
-			sp, err := spendOnce(ctx, fp, d)
+			sp, err := runSpendingOnce(ctx, fp, d)
 			if err != nil {
 				return nil, fmt.Errorf("experiment: fleet policy %s: %w", fp.Name, err)
 			}
@@ -73,7 +73,7 @@
 	return all, nil
 }
 
-func spendOnce(ctx context.Context, fp FleetPolicy, d time.Duration) (Spending, error) {
+func runSpendingOnce(ctx context.Context, fp FleetPolicy, d time.Duration) (Spending, error) {
 	folder, err := os.MkdirTemp("", "tamarackbay-spending-")
 	if err != nil {
 		return Spending{}, err
@@ -92,10 +92,10 @@
 	ro := declaration.Route{Model: "m", Repeatable: true, TimeoutMs: 10_000}
 	ro.Defaults()
 	set.Routes["m"] = ro
-	set.Classes[spendClass] = declaration.Class{Model: "m", Slots: spendSlots, StartupMs: int(spendStartup.Milliseconds())}
-	set.Fleet[spendClass] = fp.Bounds
+	set.Classes[spendingClass] = declaration.Class{Model: "m", Slots: spendingSlots, StartupMs: int(spendingStartup.Milliseconds())}
+	set.Fleet[spendingClass] = fp.Bounds
 	de, err := deployment.Start(ctx, deployment.Config{
-		Gateways: 3, Folder: folder, Declarations: set, StoreLimit: 3, NoUsage: true, Startup: spendStartup,
+		Gateways: 3, Folder: folder, Declarations: set, StoreLimit: 3, NoUsage: true, Startup: spendingStartup,
 		Engine: fake.EngineConfig{Version: "v1", TokenTime: 5 * time.Millisecond},
 		Tune:   func(se *settings.Gateway) { se.Times.LeaseMs, se.Times.MaxCallMs = 1500, 500 },
 	})
@@ -109,41 +109,41 @@
 	}
 	time.Sleep(2 * time.Second) // until a controller holds the lease and the minimum fleet runs
 
-	before := de.Ordering.ServerSeconds(spendClass)
-	da := &day{de: de, token: token, length: d}
+	before := de.Ordering.ServerSeconds(spendingClass)
+	da := &dailyLoad{deployment: de, token: token, duration: d}
 	da.run(ctx)
-	sp := da.spending(fp.Name)
-	sp.Seconds = de.Ordering.ServerSeconds(spendClass) - before
+	sp := da.result(fp.Name)
+	sp.Seconds = de.Ordering.ServerSeconds(spendingClass) - before
 
 	return sp, nil
 }
 
-// day generates the load curve of one day: none at night, then a rise to the peak
+// dailyLoad generates the load curve of one day: none at night, then a rise to the peak
 // at midday and a fall.
-type day struct {
-	de     *deployment.Deployment
-	token  string
-	length time.Duration
-
-	mu      sync.Mutex
-	running int
-	times   []time.Duration
-	refused int
+type dailyLoad struct {
+	deployment *deployment.Deployment
+	token      string
+	duration   time.Duration
+
+	mu        sync.Mutex
+	running   int
+	latencies []time.Duration
+	refused   int
 }
 
-// wanted returns the number of concurrent requests at a fraction of the day.
-func (da *day) wanted(part float64) int {
-	s := math.Sin(2*math.Pi*part - math.Pi/2) // lowest at midnight
+// targetConcurrency returns the number of concurrent requests at a fraction of the day.
+func (da *dailyLoad) targetConcurrency(fraction float64) int {
+	s := math.Sin(2*math.Pi*fraction - math.Pi/2) // lowest at midnight
 
-	return int(math.Round(max(0, spendHigh*(s+0.3)/1.3)))
+	return int(math.Round(max(0, spendingPeak*(s+0.3)/1.3)))
 }
 
 // run keeps as many requests in flight as the curve requires, until the day ends.
-func (da *day) run(ctx context.Context) {
+func (da *dailyLoad) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	began := time.Now()
-	for n := 0; time.Since(began) < da.length; {
-		want := da.wanted(float64(time.Since(began)) / float64(da.length))
+	for n := 0; time.Since(began) < da.duration; {
+		want := da.targetConcurrency(float64(time.Since(began)) / float64(da.duration))
 		da.mu.Lock()
 		missing := want - da.running
 		da.running += max(missing, 0)
@@ -156,18 +156,18 @@
 				da.request(ctx, n)
 			}()
 		}
-		time.Sleep(spendTick)
+		time.Sleep(spendingTick)
 	}
 	wg.Wait()
 }
 
 // request makes one completion. The client retries after the delay that a refusal states.
-func (da *day) request(ctx context.Context, n int) {
-	cl := da.de.Client(da.token, n)
+func (da *dailyLoad) request(ctx context.Context, n int) {
+	cl := da.deployment.Client(da.token, n)
 	at := time.Now()
 	cctx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
-	_, err := cl.Complete(cctx, client.CompletionRequest{Model: "m", Prompt: fmt.Sprint("request ", n), MaxTokens: spendTokens, Seed: uint64(n)})
+	_, err := cl.Complete(cctx, client.CompletionRequest{Model: "m", Prompt: fmt.Sprint("request ", n), MaxTokens: spendingMaxTokens, Seed: uint64(n)})
 	da.mu.Lock()
 	defer da.mu.Unlock()
 
@@ -177,16 +177,16 @@
 
 		return
 	}
-	da.times = append(da.times, time.Since(at))
+	da.latencies = append(da.latencies, time.Since(at))
 }
 
-func (da *day) spending(policy string) Spending {
+func (da *dailyLoad) result(policy string) Spending {
 	da.mu.Lock()
 	defer da.mu.Unlock()
 
 	return Spending{
-		Policy: policy, Served: len(da.times), Refused: da.refused,
-		P50: quantile.Ms(da.times, 0.5), P99: quantile.Ms(da.times, 0.99),
+		Policy: policy, Served: len(da.latencies), Refused: da.refused,
+		P50: quantile.Ms(da.latencies, 0.5), P99: quantile.Ms(da.latencies, 0.99),
 	}
 }
 
