--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -7,7 +7,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// fit lays a line through the points by least squares.
+// fit computes the least-squares line through the points and its largest residual.
 func (sl *Slope) fit() {
 	xs, ys := make([]float64, len(sl.Points)), make([]float64, len(sl.Points))
 	for i, p := range sl.Points {
@@ -19,7 +19,7 @@
 	}
 }
 
-// At returns the line's value at x, never below 0.
+// At returns the value of the line at x, at least 0.
 func (sl Slope) At(x float64) float64 { return max(0, sl.Intercept+sl.Slope*x) }
 
 func mustJSON(v any) []byte {
--- a/internal/capacity/groups.go
+++ b/internal/capacity/groups.go
@@ -19,7 +19,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// Figure is one measured value that is no slope.
+// Figure is a single measured value, at one size only.
 type Figure struct {
 	Name  string  `json:"name"`
 	Unit  string  `json:"unit"`
@@ -33,7 +33,7 @@
 	restartSize = 100_000
 )
 
-// measureSync returns the time of one small write with a sync in folder.
+// measureSync returns the latencies of 300 writes of 4 KiB to a file in folder, each with a sync.
 func measureSync(folder string) ([]time.Duration, error) {
 	f, err := os.Create(filepath.Join(folder, "sync"))
 	if err != nil {
@@ -57,6 +57,8 @@
 	return out, nil
 }
 
+// measureCommits measures disk syncs, commits of three voters with many writers and with
+// one, and the cost of idle voters.
 func measureCommits() ([]Figure, error) {
 	folder, clean, err := tempFolder()
 	if err != nil {
@@ -97,10 +99,11 @@
 	return out, nil
 }
 
-// heartbeatBytes is what one heartbeat and its reply take, each in one frame of a raw stream.
+// heartbeatBytes computes the size of a heartbeat and its reply, each in one frame of a raw stream.
 func heartbeatBytes() Figure {
 	const framing = 4 + 12 // length prefix and yamux header
 	id := "gateway-1-0123456789abcdef"
+	// Kinds 5 and 6 are consensus.MessageAppend and consensus.MessageAppendReply.
 	ap, _ := proto.Marshal(&wire.ConsensusMessage{
 		Kind: 5, Group: 1, From: id, To: id, Term: 100, Index: 1 << 24, LogTerm: 100, Commit: 1 << 24, Round: 1 << 20,
 	})
@@ -111,7 +114,7 @@
 
 func ms(d time.Duration) float64 { return d.Seconds() * 1000 }
 
-// measureFailOver stops the leader and takes the time until the next commit.
+// measureFailOver returns the longest of 5 times from the stop of a leader to the next commit.
 func measureFailOver() (Figure, error) {
 	var worst time.Duration
 	for i := range 5 {
@@ -130,6 +133,8 @@
 	return Figure{"from the loss of a leader to the next commit, worst of 5", "s", worst.Seconds()}, nil
 }
 
+// failOver starts three voters, stops the leader and returns the time until the next commit.
+// base is the third octet of their loopback addresses.
 func failOver(folder string, base int) (time.Duration, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -170,10 +175,10 @@
 		}
 	}
 
-	return 0, fmt.Errorf("capacity: no leader")
+	return 0, fmt.Errorf("capacity: no voter is the leader of the group")
 }
 
-// measureRestart writes a log of many changes and takes the time to recover it.
+// measureRestart writes a log of many changes and measures the time to recover from it.
 func measureRestart() (Figure, error) {
 	folder, clean, err := tempFolder()
 	if err != nil {
@@ -198,13 +203,13 @@
 	}
 	d := time.Since(at)
 	if v := ma.Book().Version(); v != restartSize {
-		return Figure{}, fmt.Errorf("capacity: version %d after the restart, not %d", v, restartSize)
+		return Figure{}, fmt.Errorf("capacity: configuration version is %d after the restart, expected %d", v, restartSize)
 	}
 
 	return Figure{fmt.Sprintf("restart after %d changes", restartSize), "s", d.Seconds()}, st.Close()
 }
 
-// writeHistory stores a log of patches, with snapshots as a replica makes them.
+// writeHistory writes a log of restartSize patches, with periodic snapshots as a replica takes them.
 func writeHistory(folder string) error {
 	const snapshotEvery, batch = 20_000, 500
 	st, _, err := storage.Open(storage.OSFiles(), folder, 1)
@@ -244,8 +249,8 @@
 	return st.Close()
 }
 
-// measureFeed runs subscribers against three voters: the cost of each at rest, and
-// the time until a change is in force on all of them.
+// measureFeed runs subscribers against three voters. It measures the CPU and memory of
+// idle subscribers, and the time until a change is in force on all of them.
 func measureFeed() ([]Slope, error) {
 	folder, clean, err := tempFolder()
 	if err != nil {
@@ -286,6 +291,7 @@
 	return []Slope{idle, held, force}, nil
 }
 
+// subscribers are processes without a replica that follow the feed of the voters.
 type subscribers struct {
 	groups []*group.Group
 	stop   func()
@@ -325,6 +331,7 @@
 	})
 }
 
+// wait polls until ok holds for all subscribers.
 func (su *subscribers) wait(ok func(gr *group.Group) bool) error {
 	for range 20_000 {
 		all := true
@@ -337,16 +344,17 @@
 		time.Sleep(time.Millisecond)
 	}
 
-	return fmt.Errorf("capacity: subscribers did not follow")
+	return fmt.Errorf("capacity: timed out waiting for the subscribers of the feed")
 }
 
-// timeOfChange commits changes and returns the median time until all subscribers have each.
+// timeOfChange commits changes one after the other and returns the median time until a
+// change is in force on all subscribers.
 func (su *subscribers) timeOfChange(vo *voters, times int) (time.Duration, error) {
 	var ds []time.Duration
 	for i := range times {
 		ld := vo.leader()
 		if ld == nil {
-			return 0, fmt.Errorf("capacity: no leader")
+			return 0, fmt.Errorf("capacity: no voter is the leader of the group")
 		}
 		var an declaration.Answer
 		at := time.Now()
@@ -366,7 +374,8 @@
 	return quantile.Of(ds, 0.5), nil
 }
 
-// measurePartitions runs several groups at once, each with its own leader and log.
+// measurePartitions measures the total commit rate of several groups that run at the
+// same time, each with its own leader and log.
 func measurePartitions() (Slope, error) {
 	sl := Slope{Name: "commits of several groups at once", Per: "group", Unit: "1/s"}
 	for i, n := range []int{1, 2, 4, 7} {
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -1,5 +1,5 @@
-// Package capacity measures what each part costs at several sizes, fits a line,
-// and works out the sums at the size that the design is made for.
+// Package capacity measures the cost of each part at several sizes, fits a line to it,
+// and extrapolates to the size that the design targets.
 package capacity
 
 import (
@@ -24,7 +24,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// Point is one measurement at a size.
+// Point is the value Y measured at size X.
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
@@ -33,15 +33,15 @@
 // Slope is a quantity measured at several sizes, with the line through the points.
 type Slope struct {
 	Name      string  `json:"name"`
-	Per       string  `json:"per"`  // what X counts
-	Unit      string  `json:"unit"` // of Y
+	Per       string  `json:"per"`  // the item that X counts
+	Unit      string  `json:"unit"` // unit of Y
 	Points    []Point `json:"points"`
 	Intercept float64 `json:"intercept"`
 	Slope     float64 `json:"slope"`
 	Residual  float64 `json:"residual"` // largest distance of a point from the line, in units of Y
 }
 
-// cpuTime returns the processor time that this process has used.
+// cpuTime returns the user and system CPU time of this process.
 func cpuTime() time.Duration {
 	var ru syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &ru); err != nil {
@@ -51,7 +51,7 @@
 	return time.Duration(ru.Utime.Nano() + ru.Stime.Nano())
 }
 
-// heapBytes returns the live heap after a collection.
+// heapBytes returns the size of the live heap after a garbage collection.
 func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
@@ -61,7 +61,7 @@
 	return ms.HeapAlloc
 }
 
-// heapOf returns the bytes that stay live for what build returns.
+// heapOf returns the heap bytes that the result of build retains.
 func heapOf(build func() any) float64 {
 	before := heapBytes()
 	kept := build()
@@ -71,7 +71,7 @@
 	return float64(after) - float64(before)
 }
 
-// cpuOf returns the processor seconds of one of n runs of f.
+// cpuOf returns the mean CPU seconds of n runs of f.
 func cpuOf(n int, f func()) float64 {
 	before := cpuTime()
 	for range n {
@@ -96,6 +96,7 @@
 	return sl, nil
 }
 
+// op returns the operation that sets the object at path to v.
 func op(path string, v any) declaration.Op {
 	return declaration.Op{Path: path, Value: mustJSON(v)}
 }
@@ -224,6 +225,7 @@
 	return []Slope{steps, wins, pages, calls, counters, folds}, err
 }
 
+// filledSteps returns a ledger with one step of n samples that all have a winner.
 func filledSteps(n int) *step.Ledger {
 	le := step.NewLedger(nil)
 	st := step.Step{ID: "s", Workspace: "w", Model: "m", DeadlineMs: 1 << 50, Staleness: 1}
@@ -249,6 +251,7 @@
 	return le
 }
 
+// filledUsage returns a book with n counters, of 8 workspaces on each agent.
 func filledUsage(n int) *usage.Book {
 	bo := usage.NewBook(usage.Image{})
 	for i := range n {
@@ -317,7 +320,7 @@
 	}
 }
 
-// traffic counts the calls that were answered.
+// traffic counts the calls that the server handled.
 type traffic struct{ calls atomic.Int64 }
 
 func measureCalls() ([]Slope, error) {
@@ -378,8 +381,9 @@
 	return []Slope{cpu, sessions, loadBytes()}, err
 }
 
-// loadBytes counts what a load report and its reply take on the wire: the
-// messages, their frames, and yamux's 12 bytes for each of the 5 frames of a call.
+// loadBytes computes the bytes of a load report and its reply on the wire: the
+// messages, their frames, and a yamux header of 12 bytes for each of the 5 yamux
+// frames of a call.
 func loadBytes() Slope {
 	const yamuxFrames, yamuxHeader, lengthPrefix = 5, 12, 4
 	sl := Slope{Name: "bytes of a load report with its reply", Per: "cache event", Unit: "byte"}
--- a/internal/capacity/path.go
+++ b/internal/capacity/path.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	pathRate    = 1000 // requests a second of the latency measurement
+	pathRate    = 1000 // requests per second to each target while latencies are measured
 	pathTime    = 4 * time.Second
 	pathWorkers = 64
 )
 
-// measurePath compares calls through a gateway and an agent with calls of the
-// stand-in itself, in one run.
+// measurePath compares calls through a gateway and an agent with direct calls to the
+// stand-in of a service, in the same run.
 func measurePath() ([]Figure, error) {
 	folder, clean, err := tempFolder()
 	if err != nil {
@@ -80,6 +80,7 @@
 	return out, nil
 }
 
+// target is a URL that requests are measured against.
 type target struct {
 	hc    *http.Client
 	url   string
@@ -101,14 +102,15 @@
 	defer rs.Body.Close()
 	b, err := io.ReadAll(rs.Body)
 	if err == nil && rs.StatusCode != http.StatusOK {
-		err = fmt.Errorf("capacity: %s: status %d: %s", t.url, rs.StatusCode, b)
+		err = fmt.Errorf("capacity: GET %s: status %d: %s", t.url, rs.StatusCode, b)
 	}
 
 	return err
 }
 
-// paced sends requests to both targets in turn at a fixed rate, whatever the
-// answers, so that both meet the same moments of the machine.
+// paced sends requests at a fixed rate, independent of the responses (open loop), and
+// returns the latencies by target. Each tick sends one request to every target, so
+// that all targets are measured under the same load of the machine.
 func paced(ctx context.Context, targets ...target) ([][]time.Duration, error) {
 	var mu sync.Mutex
 	out := make([][]time.Duration, len(targets))
@@ -126,7 +128,7 @@
 		}
 		out[i] = append(out[i], d)
 	}
-	for _, phase := range []time.Duration{pathTime / 4, pathTime} { // the first warms up
+	for _, phase := range []time.Duration{pathTime / 4, pathTime} { // the first phase is a warm-up
 		for i := range out {
 			out[i] = nil
 		}
@@ -144,7 +146,8 @@
 	return out, first
 }
 
-// flood keeps a number of requests running and returns their rate and the CPU of one.
+// flood keeps pathWorkers requests in flight for pathTime. It returns the rate of
+// successful requests and the CPU seconds of one.
 func (t target) flood(ctx context.Context) (perSecond, cpu float64) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -23,14 +23,15 @@
 	return peer.Config{Hello: &wire.Hello{Name: address, Address: address, Protocol: peer.ProtocolVersion}, Mux: peer.Mux{}}
 }
 
-// Report is everything that was measured in one run.
+// Report holds all measurements of one run.
 type Report struct {
 	Cores   int      `json:"cores"`
 	Slopes  []Slope  `json:"slopes"`
 	Figures []Figure `json:"figures"`
 }
 
-// Measure runs all measurements, or the one called only; progress is written to out.
+// Measure runs all measurements, or if only is not empty the one of that name. It
+// writes its progress to out.
 func Measure(out io.Writer, only string) (*Report, error) {
 	re := &Report{Cores: runtime.NumCPU()}
 	for _, m := range []struct {
@@ -79,7 +80,7 @@
 	return re, nil
 }
 
-// one makes a measurement of one figure look like one of several.
+// one adapts a measurement of a single figure to the signature of those that return several.
 func one(f func() (Figure, error)) func() ([]Figure, error) {
 	return func() ([]Figure, error) {
 		fi, err := f()
@@ -88,7 +89,7 @@
 	}
 }
 
-// Save writes the report to a file.
+// Save writes the report to the file at path as JSON.
 func (re *Report) Save(path string) error {
 	b, err := json.MarshalIndent(re, "", " ")
 	if err != nil {
@@ -98,7 +99,7 @@
 	return os.WriteFile(path, append(b, '\n'), 0o644)
 }
 
-// Read returns the report of a file.
+// Read returns the report in the file at path.
 func Read(path string) (*Report, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -109,7 +110,8 @@
 	return &re, json.Unmarshal(b, &re)
 }
 
-// slope returns the slope called name; the page names only measured ones.
+// slope returns the slope of that name. It is an error if the report lacks it, for
+// instance since only part of the measurements ran.
 func (re *Report) slope(name string) (Slope, error) {
 	for _, sl := range re.Slopes {
 		if sl.Name == name {
@@ -117,9 +119,10 @@
 		}
 	}
 
-	return Slope{}, fmt.Errorf("capacity: no slope %q in the report", name)
+	return Slope{}, fmt.Errorf("capacity: the report has no slope %q", name)
 }
 
+// figure returns the value of the first figure whose name begins with name.
 func (re *Report) figure(name string) (float64, error) {
 	for _, f := range re.Figures {
 		if strings.HasPrefix(f.Name, name) {
@@ -127,13 +130,13 @@
 		}
 	}
 
-	return 0, fmt.Errorf("capacity: no figure %q in the report", name)
+	return 0, fmt.Errorf("capacity: the report has no figure whose name begins with %q", name)
 }
 
 //go:embed page.md.tmpl
 var pageTemplate string
 
-// WritePage writes docs/CAPACITY.md from the report.
+// WritePage renders the report as Markdown, the content of docs/CAPACITY.md.
 func (re *Report) WritePage(w io.Writer) error {
 	t, err := template.New("page").Funcs(template.FuncMap{
 		"at": func(name string, x float64) (float64, error) {
--- a/internal/capacity/voters.go
+++ b/internal/capacity/voters.go
@@ -19,7 +19,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// voters runs the voters of one group over loopback with disks in folder.
+// voters runs the voters of one group in this process, connected over loopback.
 type voters struct {
 	groups []*group.Group
 	stop   context.CancelFunc
@@ -27,6 +27,8 @@
 	lis    []*peer.Listener
 }
 
+// startVoters starts n voters with disks in folder and waits until they elect a leader.
+// base is the third octet of their loopback addresses.
 func startVoters(folder string, base, n int) (*voters, error) {
 	vo := &voters{}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -46,6 +48,7 @@
 	return vo, vo.waitLeader()
 }
 
+// add starts the voter at index i of the founders. With an empty folder it has no disk.
 func (vo *voters) add(ctx context.Context, folder string, fos []group.Founder, i int) error {
 	pc := peer.Config{Hello: &wire.Hello{Name: fos[i].Name, Address: fos[i].Address, Protocol: peer.ProtocolVersion}, Mux: peer.Mux{}}
 	dir := ""
@@ -81,6 +84,7 @@
 	return nil
 }
 
+// leader returns the current leader, nil if there is none.
 func (vo *voters) leader() *group.Group {
 	for _, gr := range vo.groups {
 		if gr.Status().Role == consensus.RoleLeader.String() {
@@ -99,7 +103,7 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 
-	return fmt.Errorf("capacity: no leader was elected")
+	return fmt.Errorf("capacity: the voters elected no leader in time")
 }
 
 func (vo *voters) close() {
@@ -110,7 +114,8 @@
 	vo.wg.Wait()
 }
 
-// commits runs writers for d against each group of vos and returns commits a second.
+// commits runs a number of concurrent writers against each group of vos for d. It returns the
+// total commits per second and the latencies of all commits.
 func commits(vos []*voters, writers int, d time.Duration) (perSecond float64, latencies []time.Duration) {
 	var n atomic.Int64
 	var mu sync.Mutex
@@ -144,7 +149,7 @@
 	return float64(n.Load()) / time.Since(began).Seconds(), latencies
 }
 
-// tempFolder is where disks of measurements live.
+// tempFolder creates a folder for the disks of a measurement. The returned function removes it.
 func tempFolder() (string, func(), error) {
 	f, err := os.MkdirTemp("", "tamarackbay-capacity-")
 
