--- a/internal/fake/engine.go
+++ b/internal/fake/engine.go
@@ -13,27 +13,27 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// CrashMark in a prompt makes a stand-in of an engine crash while it runs it.
+// CrashMark in a prompt makes the engine crash while it generates the answer.
 const CrashMark = "CRASH-THE-ENGINE"
 
-// EngineConfig describes a stand-in of a model engine.
+// EngineConfig configures an Engine.
 type EngineConfig struct {
 	Model         string
 	Version       string
 	Slots         int
-	TokenTime     time.Duration // one token of one request
-	PrefillTime   time.Duration // of a prompt that is not in the cache
-	SwapTime      time.Duration
-	CacheSize     int // prefixes
-	ChecksFencing bool
-	IsSilent      bool // chunks do not name their version
-	Downtime      time.Duration
-	Store         *WeightStore // asked for each load, nil for none
-	// Straggle makes one request in this many ten times slower, 0 for none.
+	TokenTime     time.Duration // time per token of each request
+	PrefillTime   time.Duration // time before the first token if the prompt is not in the cache
+	SwapTime      time.Duration // time to load a version
+	CacheSize     int           // capacity of the prefix cache, 0 for no cache
+	ChecksFencing bool          // refuse orders with a fencing number below the highest seen
+	IsSilent      bool          // omit the weight version from the chunks
+	Downtime      time.Duration // time between a crash and the restart
+	Store         *WeightStore  // grants a permit for each load, nil for loads without limit
+	// Straggle makes about one in this many requests ten times slower per token, 0 for none.
 	Straggle int
 }
 
-// Run is the record of one request on an engine.
+// Run records one request to an engine.
 type Run struct {
 	ID       string
 	Prompt   string
@@ -44,7 +44,7 @@
 	Versions []string
 }
 
-// GivenOrder is the record of an order.
+// GivenOrder records an order to load or activate a weight version.
 type GivenOrder struct {
 	ID      string
 	Kind    string
@@ -52,11 +52,11 @@
 	Giver   string
 	Fencing uint64
 	At      time.Time
-	Taken   bool
+	Taken   bool // false if refused because of its fencing number
 }
 
-// Engine is a stand-in of a model engine. The text of each token names the
-// version that wrote it, so that a sample can be checked against its own text.
+// Engine is a stand-in for a model engine. The text of each token contains the weight
+// version that generated it, so that checks can compare a sample with its text.
 type Engine struct {
 	server
 	cfg   EngineConfig
@@ -73,7 +73,7 @@
 	runs      map[string]*Run
 	orders    []GivenOrder
 	failSwaps int
-	cache     map[string]uint64 // prefix to its last use
+	cache     map[string]uint64 // cache key to time of last use, in Unix ns
 	cacheSeq  uint64
 	events    []cacheEvent
 	crashes   int
@@ -90,7 +90,7 @@
 	Evicted  bool   `json:"evicted"`
 }
 
-// NewEngine starts a stand-in on address.
+// NewEngine starts an engine on address.
 func NewEngine(address string, cfg EngineConfig) (*Engine, error) {
 	en := &Engine{
 		cfg: cfg, slots: make(chan struct{}, max(cfg.Slots, 1)), version: cfg.Version, loaded: cfg.Version,
@@ -117,7 +117,8 @@
 	CacheKey  string `json:"cache_key"`
 }
 
-// outputLength draws the length of an answer: most are short, some are long.
+// outputLength derives the number of tokens of an answer from a hash of the seed and
+// prompt. Most answers are short, some are long.
 func outputLength(rq *completionBody) int {
 	h := xxhash.Sum64String(fmt.Sprintf("%d/%s", rq.Seed, rq.Prompt))
 	u := float64(h%10_000) / 10_000
@@ -132,7 +133,7 @@
 		return
 	}
 	if rq.Model != en.cfg.Model || rq.MaxTokens < 1 {
-		writeJSON(w, http.StatusBadRequest, map[string]string{"error": "model or max_tokens"})
+		writeJSON(w, http.StatusBadRequest, map[string]string{"error": "the model is not served or max_tokens is below 1"})
 
 		return
 	}
@@ -214,7 +215,8 @@
 	fl.Flush()
 }
 
-// wait lets time pass unless the caller goes or the engine crashes.
+// wait sleeps for d. It returns false if the request was cancelled or the engine
+// crashed in the meantime.
 func wait(r *http.Request, down chan struct{}, d time.Duration) bool {
 	if d <= 0 {
 		return r.Context().Err() == nil
@@ -230,6 +232,7 @@
 	}
 }
 
+// emit writes one token as an event of the response stream.
 func (en *Engine) emit(w http.ResponseWriter, rq *completionBody, run *Run, finish string) bool {
 	en.mu.Lock()
 	v := en.version
@@ -256,7 +259,8 @@
 	return err == nil
 }
 
-// promptTokens are counted with the first token alone.
+// promptTokens returns the length of the prompt for token number 1 and 0 for the
+// others, so that the sum over all chunks counts the prompt once.
 func promptTokens(prompt string, n int) int {
 	if n > 1 {
 		return 0
@@ -265,6 +269,8 @@
 	return len(strings.Fields(prompt))
 }
 
+// touchCache adds key to the prefix cache and reports whether it was cached already. A
+// full cache evicts the least recently used key.
 func (en *Engine) touchCache(key string) bool {
 	if key == "" || en.cfg.CacheSize == 0 {
 		return false
@@ -292,6 +298,7 @@
 	return hit
 }
 
+// event records a change of the cache. Only the latest 500 to 1,000 events are retained.
 func (en *Engine) event(key string, evicted bool) {
 	en.cacheSeq++
 	en.events = append(en.events, cacheEvent{Sequence: en.cacheSeq, Key: key, Evicted: evicted})
@@ -359,6 +366,7 @@
 	writeJSON(w, status, map[string]string{"result": text})
 }
 
+// carryOut loads or activates a version. It returns the status and text of the response.
 func (en *Engine) carryOut(r *http.Request, kind, version string, fails bool) (int, string) {
 	if kind == "load" {
 		if en.cfg.Store != nil {
@@ -391,7 +399,8 @@
 	return http.StatusOK, "active"
 }
 
-// Crash ends the engine at once, with all it runs. It comes back after its downtime as a new instance.
+// Crash stops the engine and its requests at once. The engine restarts after the
+// configured downtime as a new instance with an empty cache.
 func (en *Engine) Crash() {
 	en.mu.Lock()
 	if en.state == "down" || en.isClosed {
@@ -411,17 +420,17 @@
 		en.instance++
 		en.state, en.down = "ready", make(chan struct{})
 		en.cache = map[string]uint64{}
-		en.cacheSeq++ // a gap: what the cache held is lost
+		en.cacheSeq++ // the gap in the sequence shows that the cache was lost
 		en.events = nil
 		closed := en.isClosed
 		en.mu.Unlock()
 		if !closed {
-			_ = en.start(en.Address()) // the address may be taken: the engine then stays lost
+			_ = en.start(en.Address()) // if another process took the address, the engine stays down
 		}
 	}()
 }
 
-// Close stops the engine for good.
+// Close stops the engine. It does not restart.
 func (en *Engine) Close() {
 	en.mu.Lock()
 	en.isClosed = true
@@ -429,7 +438,7 @@
 	en.server.Close()
 }
 
-// FailSwaps makes the next n orders fail.
+// FailSwaps makes the next n orders to load or activate a version fail.
 func (en *Engine) FailSwaps(n int) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -437,7 +446,7 @@
 	en.failSwaps = n
 }
 
-// Slow adds d to each token from now on.
+// Slow sets an additional time per token for requests that start from now on.
 func (en *Engine) Slow(d time.Duration) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -474,7 +483,7 @@
 	return en.tokens
 }
 
-// Version returns the version that is served.
+// Version returns the active weight version.
 func (en *Engine) Version() string {
 	en.mu.Lock()
 	defer en.mu.Unlock()
--- a/internal/fake/platform.go
+++ b/internal/fake/platform.go
@@ -12,7 +12,7 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// WeightStore is a stand-in of the rate-limited weight store.
+// WeightStore is a stand-in for the weight store, which limits concurrent fetches.
 type WeightStore struct {
 	server
 	limit int
@@ -23,7 +23,7 @@
 	refused int
 }
 
-// NewWeightStore starts a stand-in that serves limit fetches at once.
+// NewWeightStore starts a weight store on address that serves up to limit concurrent fetches.
 func NewWeightStore(address string, limit int) (*WeightStore, error) {
 	ws := &WeightStore{limit: limit}
 	r := chi.NewRouter()
@@ -37,7 +37,8 @@
 	return ws, ws.start(address)
 }
 
-// fetch takes one of the store's permits for an engine.
+// fetch takes a permit and returns a function that releases it, or returns false if the
+// limit is reached.
 func (ws *WeightStore) fetch(_, _ string) (func(), bool) {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
@@ -57,7 +58,7 @@
 	}, true
 }
 
-// Refused returns how many fetches were over the limit.
+// Refused returns the number of fetches refused because of the limit.
 func (ws *WeightStore) Refused() int {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
@@ -65,14 +66,14 @@
 	return ws.refused
 }
 
-// Scorer is a stand-in of a service that scores samples.
+// Scorer is a stand-in for the service that scores samples.
 type Scorer struct {
 	server
 	mu    sync.Mutex
 	count int
 }
 
-// NewScorer starts a stand-in whose score is drawn from the text.
+// NewScorer starts a scorer on address. Its scores are a hash of the text.
 func NewScorer(address string) (*Scorer, error) {
 	sc := &Scorer{}
 	r := chi.NewRouter()
@@ -91,7 +92,7 @@
 	return sc, sc.start(address)
 }
 
-// OrderRecord is the record of one call to the ordering interface.
+// OrderRecord records one call to the ordering interface.
 type OrderRecord struct {
 	ID            string    `json:"orderId"`
 	Action        string    `json:"action"`
@@ -104,7 +105,7 @@
 	Repeated      bool      `json:"-"`
 }
 
-// RunningServer is a backend server that the platform bills.
+// RunningServer is a backend server that the platform bills, from its start to its stop.
 type RunningServer struct {
 	Name          string    `json:"server"`
 	OrderID       string    `json:"orderId"`
@@ -114,7 +115,7 @@
 	Until         time.Time `json:"-"`
 }
 
-// Ordering is a stand-in of the interface that starts and stops backend servers.
+// Ordering is a stand-in for the interface that starts and stops backend servers.
 type Ordering struct {
 	server
 	start func(server, class, failureDomain, orderID string)
@@ -130,7 +131,8 @@
 	isDown   bool
 }
 
-// NewOrdering starts a stand-in that calls start and stop for each order carried out.
+// NewOrdering starts an ordering interface on address. It executes an order by calling
+// start or stop, once for each order ID.
 func NewOrdering(address string, start func(server, class, failureDomain, orderID string), stop func(server string)) (*Ordering, error) {
 	or := &Ordering{start: start, stop: stop, byOrder: map[string]string{}, servers: map[string]*RunningServer{}}
 	r := chi.NewRouter()
@@ -178,12 +180,14 @@
 	case down:
 		writeJSON(w, http.StatusServiceUnavailable, map[string]string{"error": "down"})
 	case drop:
-		panic(http.ErrAbortHandler) // the answer is lost
+		panic(http.ErrAbortHandler) // drops the connection, so that the response is lost
 	default:
 		writeJSON(w, http.StatusOK, map[string]string{"orderId": rec.ID, "state": "accepted", "server": name})
 	}
 }
 
+// carryOut updates the billed servers. It returns the name of the server, and the call
+// of start or stop that remains to be made without the lock.
 func (or *Ordering) carryOut(rec *OrderRecord) (string, func()) {
 	if rec.Action == "start" {
 		or.next++
@@ -205,7 +209,7 @@
 	return rec.Server, func() { or.stop(s.Name) }
 }
 
-// DropAnswers loses the answers to the next n orders, which are carried out.
+// DropAnswers drops the responses to the next n orders. The orders are executed.
 func (or *Ordering) DropAnswers(n int) {
 	or.mu.Lock()
 	defer or.mu.Unlock()
@@ -213,7 +217,8 @@
 	or.dropNext = n
 }
 
-// Down makes the interface refuse everything, or serve again.
+// Down makes the interface refuse orders with status 503 if isDown is true, and accept
+// them again if it is false. The list of servers is served in both cases.
 func (or *Ordering) Down(isDown bool) {
 	or.mu.Lock()
 	defer or.mu.Unlock()
@@ -221,7 +226,7 @@
 	or.isDown = isDown
 }
 
-// Records returns all calls.
+// Records returns the records of all calls.
 func (or *Ordering) Records() []OrderRecord {
 	or.mu.Lock()
 	defer or.mu.Unlock()
@@ -229,7 +234,7 @@
 	return append([]OrderRecord(nil), or.records...)
 }
 
-// Running returns what is billed now.
+// Running returns the backend servers that are billed now.
 func (or *Ordering) Running() []RunningServer {
 	or.mu.Lock()
 	defer or.mu.Unlock()
@@ -242,7 +247,7 @@
 	return out
 }
 
-// ServerSeconds returns the time that backend servers of a class were billed for.
+// ServerSeconds returns the total time in seconds that servers of a class were billed for.
 func (or *Ordering) ServerSeconds(class string) float64 {
 	or.mu.Lock()
 	defer or.mu.Unlock()
@@ -262,7 +267,7 @@
 	return sum
 }
 
-// ReportRecord is the record of one call to the usage interface.
+// ReportRecord records one call to the usage interface.
 type ReportRecord struct {
 	Window  uint64
 	Body    string
@@ -271,7 +276,7 @@
 	At      time.Time
 }
 
-// UsageSink is a stand-in of the interface that takes usage reports.
+// UsageSink is a stand-in for the interface that receives usage reports.
 type UsageSink struct {
 	server
 	mu      sync.Mutex
@@ -280,7 +285,7 @@
 	isDown  bool
 }
 
-// NewUsageSink starts a stand-in.
+// NewUsageSink starts a usage interface on address.
 func NewUsageSink(address string) (*UsageSink, error) {
 	us := &UsageSink{}
 	r := chi.NewRouter()
@@ -320,7 +325,7 @@
 	}
 }
 
-// DropAnswers loses the answers to the next n reports, which are taken.
+// DropAnswers drops the responses to the next n reports. The reports are recorded.
 func (us *UsageSink) DropAnswers(n int) {
 	us.mu.Lock()
 	defer us.mu.Unlock()
@@ -328,7 +333,8 @@
 	us.drop = n
 }
 
-// Down makes the interface refuse everything, or serve again.
+// Down makes the interface refuse all calls with status 503 if isDown is true, and serve
+// again if it is false.
 func (us *UsageSink) Down(isDown bool) {
 	us.mu.Lock()
 	defer us.mu.Unlock()
@@ -336,7 +342,7 @@
 	us.isDown = isDown
 }
 
-// Records returns all reports.
+// Records returns the records of all accepted reports.
 func (us *UsageSink) Records() []ReportRecord {
 	us.mu.Lock()
 	defer us.mu.Unlock()
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -1,6 +1,6 @@
-// Package fake holds small stand-ins of the systems at tamarackbay's outside
-// interfaces. Each keeps records of what really happened, which checks read
-// instead of the product's own counters.
+// Package fake provides small stand-ins for the external systems that tamarackbay
+// connects to. They keep their own records of what happened, so that checks don't rely
+// on the product's counters.
 package fake
 
 import (
@@ -15,7 +15,7 @@
 
 const shutdownTimeout = 200 * time.Millisecond
 
-// server is an HTTP server that can be cut off and started again on its address.
+// server is an HTTP server that can be stopped abruptly and restarted on the same address.
 type server struct {
 	handler http.Handler
 	mu      sync.Mutex
@@ -23,7 +23,7 @@
 	http    *http.Server
 }
 
-// start listens on address, an IP number with a port; port 0 takes a free one.
+// start listens on address, an IP number with a port. Port 0 selects a free port.
 func (se *server) start(address string) error {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -36,14 +36,14 @@
 	se.mu.Unlock()
 	go func() {
 		if err := hs.Serve(ln); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			panic(err) // a stand-in that cannot serve makes every check void
+			panic(err) // checks against a stand-in that does not serve are meaningless
 		}
 	}()
 
 	return nil
 }
 
-// Address returns where the stand-in listens.
+// Address returns the address that the stand-in listens on.
 func (se *server) Address() string {
 	se.mu.Lock()
 	defer se.mu.Unlock()
@@ -51,7 +51,7 @@
 	return se.address
 }
 
-// kill ends all connections at once.
+// kill closes the listener and all connections at once, without a graceful shutdown.
 func (se *server) kill() {
 	se.mu.Lock()
 	hs := se.http
@@ -61,7 +61,7 @@
 	}
 }
 
-// Close stops the stand-in.
+// Close stops the stand-in. Running requests have until shutdownTimeout to end.
 func (se *server) Close() {
 	se.mu.Lock()
 	hs := se.http
@@ -81,6 +81,7 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
+// readJSON decodes the body of r into v, or responds with status 400 and returns false.
 func readJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 1<<24)).Decode(v); err != nil {
 		writeJSON(w, http.StatusBadRequest, map[string]string{"error": err.Error()})
--- a/internal/fake/service.go
+++ b/internal/fake/service.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// ServiceRun is the record of one request to a plain service.
+// ServiceRun records one request to a plain service.
 type ServiceRun struct {
 	ID     string
 	Method string
@@ -19,7 +19,7 @@
 	Ended  bool
 }
 
-// Service is a stand-in of a plain service. It answers with what it was asked.
+// Service is a stand-in for a plain service. It echoes the request in its response.
 type Service struct {
 	server
 	delay time.Duration
@@ -28,15 +28,15 @@
 	runs []*ServiceRun
 }
 
-// Headers that make a stand-in of a plain service misbehave on one request.
+// Headers of a request that change how a Service responds to it.
 const (
-	HeaderCross = "X-Fake-Cross" // the answer names another request
-	HeaderShort = "X-Fake-Short" // the body is shorter than declared
-	HeaderDrop  = "X-Fake-Drop"  // the connection ends without an answer
-	HeaderDelay = "X-Fake-Delay" // a duration
+	HeaderCross = "X-Fake-Cross" // the response carries the ID of another request
+	HeaderShort = "X-Fake-Short" // the body is shorter than its Content-Length
+	HeaderDrop  = "X-Fake-Drop"  // the connection closes without a response
+	HeaderDelay = "X-Fake-Delay" // time until the response, in the syntax of time.ParseDuration
 )
 
-// NewService starts a stand-in on address.
+// NewService starts a service on address. It responds after delay.
 func NewService(address string, delay time.Duration) (*Service, error) {
 	se := &Service{delay: delay}
 	mux := http.NewServeMux()
@@ -92,14 +92,15 @@
 	se.mu.Unlock()
 }
 
-// Crash ends all connections and stays away for d.
+// Crash closes the listener and all connections, and restarts the service after d. It
+// returns after the restart.
 func (se *Service) Crash(d time.Duration) {
 	se.kill()
 	time.Sleep(d)
-	_ = se.start(se.Address()) // the address may be taken: the service then stays lost
+	_ = se.start(se.Address()) // if another process took the address, the service stays down
 }
 
-// Runs returns the records of all requests.
+// Runs returns the records of all requests in the order of their arrival.
 func (se *Service) Runs() []ServiceRun {
 	se.mu.Lock()
 	defer se.mu.Unlock()
