--- a/internal/capacity/groups.go
+++ b/internal/capacity/groups.go
@@ -27,10 +27,10 @@
 }
 
 const (
-	commitTime  = 3 * time.Second
-	writers     = 64
-	idleTime    = 3 * time.Second
-	restartSize = 100_000
+	commitDuration = 3 * time.Second
+	commitWriters  = 64
+	idleDuration   = 3 * time.Second
+	restartChanges = 100_000
 )
 
 // measureSync returns the latencies of 300 writes of 4 KiB to a file in folder, each with a sync.
@@ -81,27 +81,27 @@
 	defer vo.close()
 
 	before := cpuTime()
-	rate, lat := commits([]*voters{vo}, writers, commitTime)
+	rate, lat := measureCommitRate([]*voters{vo}, commitWriters, commitDuration)
 	cpu := (cpuTime() - before).Seconds()
 	out = append(out,
 		Figure{"commits a second, 3 voters, 64 writers", "1/s", rate},
 		Figure{"commit p50, 64 writers", "ms", quantile.Ms(lat, 0.5)},
 		Figure{"commit p99, 64 writers", "ms", quantile.Ms(lat, 0.99)},
-		Figure{"CPU of a commit, 3 voters and writers together", "us", cpu / (rate * commitTime.Seconds()) * 1e6},
+		Figure{"CPU of a commit, 3 voters and writers together", "us", cpu / (rate * commitDuration.Seconds()) * 1e6},
 	)
-	_, one := commits([]*voters{vo}, 1, time.Second)
+	_, one := measureCommitRate([]*voters{vo}, 1, time.Second)
 	out = append(out, Figure{"commit p50, 1 writer", "ms", quantile.Ms(one, 0.5)})
 
 	before = cpuTime()
-	time.Sleep(idleTime)
-	out = append(out, heartbeatBytes(), Figure{"CPU of an idle voter", "share of a core", (cpuTime() - before).Seconds() / idleTime.Seconds() / 3})
+	time.Sleep(idleDuration)
+	out = append(out, heartbeatBytes(), Figure{"CPU of an idle voter", "share of a core", (cpuTime() - before).Seconds() / idleDuration.Seconds() / 3})
 
 	return out, nil
 }
 
 // heartbeatBytes computes the size of a heartbeat and its reply, each in one frame of a raw stream.
 func heartbeatBytes() Figure {
-	const framing = 4 + 12 // length prefix and yamux header
+	const frameOverhead = 4 + 12 // length prefix and yamux header
 	id := "gateway-1-0123456789abcdef"
 	// Kinds 5 and 6 are consensus.MessageAppend and consensus.MessageAppendReply.
 	ap, _ := proto.Marshal(&wire.ConsensusMessage{
@@ -109,7 +109,7 @@
 	})
 	rep, _ := proto.Marshal(&wire.ConsensusMessage{Kind: 6, Group: 1, From: id, To: id, Term: 100, Index: 1 << 24, Round: 1 << 20})
 
-	return Figure{"bytes of a heartbeat with its reply", "byte", float64(len(ap) + len(rep) + 2*framing)}
+	return Figure{"bytes of a heartbeat with its reply", "byte", float64(len(ap) + len(rep) + 2*frameOverhead)}
 }
 
 func ms(d time.Duration) float64 { return d.Seconds() * 1000 }
@@ -122,7 +122,7 @@
 		if err != nil {
 			return Figure{}, err
 		}
-		d, err := failOver(folder, 20+i)
+		d, err := timeFailOver(folder, 20+i)
 		clean()
 		if err != nil {
 			return Figure{}, err
@@ -133,20 +133,20 @@
 	return Figure{"from the loss of a leader to the next commit, worst of 5", "s", worst.Seconds()}, nil
 }
 
-// failOver starts three voters, stops the leader and returns the time until the next commit.
-// base is the third octet of their loopback addresses.
-func failOver(folder string, base int) (time.Duration, error) {
+// timeFailOver starts three voters, stops the leader and returns the time until the next commit.
+// subnet is the third octet of their loopback addresses.
+func timeFailOver(folder string, subnet int) (time.Duration, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	vos := make([]*voters, 3)
 	var fos []group.Founder
 	for i := range 3 {
-		fos = append(fos, group.Founder{Name: fmt.Sprintf("v%d", i), Address: fmt.Sprintf("127.77.%d.%d:8082", base, i+1)})
+		fos = append(fos, group.Founder{Name: fmt.Sprintf("v%d", i), Address: fmt.Sprintf("127.77.%d.%d:8082", subnet, i+1)})
 	}
-	all := &voters{stop: func() {}}
+	all := &voters{cancel: func() {}}
 	for i := range 3 {
 		vctx, vcancel := context.WithCancel(ctx)
-		vos[i] = &voters{stop: vcancel}
+		vos[i] = &voters{cancel: vcancel}
 		if err := vos[i].add(vctx, folder, fos, i); err != nil {
 			return 0, err
 		}
@@ -186,7 +186,7 @@
 	}
 	defer clean()
 
-	if err := writeHistory(folder); err != nil {
+	if err := writeLog(folder); err != nil {
 		return Figure{}, err
 	}
 	at := time.Now()
@@ -202,15 +202,15 @@
 		ma.Apply(en.Index, en.Data)
 	}
 	d := time.Since(at)
-	if v := ma.Book().Version(); v != restartSize {
-		return Figure{}, fmt.Errorf("capacity: configuration version is %d after the restart, expected %d", v, restartSize)
+	if v := ma.Book().Version(); v != restartChanges {
+		return Figure{}, fmt.Errorf("capacity: configuration version is %d after the restart, expected %d", v, restartChanges)
 	}
 
-	return Figure{fmt.Sprintf("restart after %d changes", restartSize), "s", d.Seconds()}, st.Close()
+	return Figure{fmt.Sprintf("restart after %d changes", restartChanges), "s", d.Seconds()}, st.Close()
 }
 
-// writeHistory writes a log of restartSize patches, with periodic snapshots as a replica takes them.
-func writeHistory(folder string) error {
+// writeLog writes a log of restartChanges patches, with periodic snapshots as a replica takes them.
+func writeLog(folder string) error {
 	const snapshotEvery, batch = 20_000, 500
 	st, _, err := storage.Open(storage.OSFiles(), folder, 1)
 	if err != nil {
@@ -218,10 +218,10 @@
 	}
 	ma := machine.New()
 	var es []consensus.Entry
-	for i := uint64(1); i <= restartSize; i++ {
+	for i := uint64(1); i <= restartChanges; i++ {
 		c, err := machine.Encode(machine.KindPatch, declaration.Patch{
 			ID: fmt.Sprintf("patch-%d", i), Base: i - 1, Author: "operator",
-			Ops: []declaration.Op{op(fmt.Sprintf("workspaces/w%d", i%500), declaration.Workspace{Weight: 1 + float64(i%9), MaxQueued: 10, Home: "main"})},
+			Ops: []declaration.Op{setOp(fmt.Sprintf("workspaces/w%d", i%500), declaration.Workspace{Weight: 1 + float64(i%9), MaxQueued: 10, Home: "main"})},
 		})
 		if err != nil {
 			return err
@@ -235,7 +235,7 @@
 			}
 			es = nil
 		}
-		if i%snapshotEvery == 0 && i < restartSize {
+		if i%snapshotEvery == 0 && i < restartChanges {
 			data, err := ma.Snapshot()
 			if err != nil {
 				return err
@@ -275,9 +275,9 @@
 		}
 		held.Points = append(held.Points, Point{x, float64(heapBytes()) - float64(before)})
 		cpu := cpuTime()
-		time.Sleep(idleTime)
-		idle.Points = append(idle.Points, Point{x, (cpuTime() - cpu).Seconds() / idleTime.Seconds()})
-		d, err := su.timeOfChange(vo, 20)
+		time.Sleep(idleDuration)
+		idle.Points = append(idle.Points, Point{x, (cpuTime() - cpu).Seconds() / idleDuration.Seconds()})
+		d, err := su.medianChangeTime(vo, 20)
 		su.stop()
 		if err != nil {
 			return nil, err
@@ -297,12 +297,12 @@
 	stop   func()
 }
 
-func startSubscribers(vo *voters, base, n int) (*subscribers, error) {
+func startSubscribers(vo *voters, subnet, n int) (*subscribers, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	su := &subscribers{stop: func() { cancel(); wg.Wait() }}
 	for i := range n {
-		gr, err := newSubscriber(vo, fmt.Sprintf("127.78.%d.%d:8082", base, i+1), i)
+		gr, err := newSubscriber(vo, fmt.Sprintf("127.78.%d.%d:8082", subnet, i+1), i)
 		if err != nil {
 			su.stop()
 
@@ -316,13 +316,13 @@
 		}()
 	}
 
-	return su, su.wait(func(gr *group.Group) bool { return gr.Fresh() == nil })
+	return su, su.waitAll(func(gr *group.Group) bool { return gr.Fresh() == nil })
 }
 
 func newSubscriber(vo *voters, address string, i int) (*group.Group, error) {
-	ups := make([]string, len(vo.lis))
-	for j := range vo.lis {
-		ups[j] = vo.lis[(i+j)%len(vo.lis)].Address()
+	ups := make([]string, len(vo.listeners))
+	for j := range vo.listeners {
+		ups[j] = vo.listeners[(i+j)%len(vo.listeners)].Address()
 	}
 
 	return group.New(group.Config{
@@ -331,8 +331,8 @@
 	})
 }
 
-// wait polls until ok holds for all subscribers.
-func (su *subscribers) wait(ok func(gr *group.Group) bool) error {
+// waitAll polls until ok holds for all subscribers.
+func (su *subscribers) waitAll(ok func(gr *group.Group) bool) error {
 	for range 20_000 {
 		all := true
 		for _, gr := range su.groups {
@@ -347,9 +347,9 @@
 	return fmt.Errorf("capacity: timed out waiting for the subscribers of the feed")
 }
 
-// timeOfChange commits changes one after the other and returns the median time until a
+// medianChangeTime commits changes one after the other and returns the median time until a
 // change is in force on all subscribers.
-func (su *subscribers) timeOfChange(vo *voters, times int) (time.Duration, error) {
+func (su *subscribers) medianChangeTime(vo *voters, times int) (time.Duration, error) {
 	var ds []time.Duration
 	for i := range times {
 		ld := vo.leader()
@@ -360,12 +360,12 @@
 		at := time.Now()
 		err := ld.Propose(context.Background(), machine.KindPatch, declaration.Patch{
 			ID: fmt.Sprintf("p-%d-%d", len(su.groups), i), Base: ld.View().Version,
-			Ops: []declaration.Op{op("workspaces/w", declaration.Workspace{Weight: float64(1 + i), MaxQueued: 1, Home: "main"})},
+			Ops: []declaration.Op{setOp("workspaces/w", declaration.Workspace{Weight: float64(1 + i), MaxQueued: 1, Home: "main"})},
 		}, &an)
 		if err != nil {
 			return 0, err
 		}
-		if err := su.wait(func(gr *group.Group) bool { return gr.View().Version >= an.Version }); err != nil {
+		if err := su.waitAll(func(gr *group.Group) bool { return gr.View().Version >= an.Version }); err != nil {
 			return 0, err
 		}
 		ds = append(ds, time.Since(at))
@@ -390,7 +390,7 @@
 	return sl, nil
 }
 
-func partitionRate(base, n int) (float64, error) {
+func partitionRate(subnet, n int) (float64, error) {
 	var vos []*voters
 	defer func() {
 		for _, vo := range vos {
@@ -403,13 +403,13 @@
 			return 0, err
 		}
 		defer clean()
-		vo, err := startVoters(folder, base+g, 3)
+		vo, err := startVoters(folder, subnet+g, 3)
 		if err != nil {
 			return 0, err
 		}
 		vos = append(vos, vo)
 	}
-	rate, _ := commits(vos, writers, commitTime)
+	rate, _ := measureCommitRate(vos, commitWriters, commitDuration)
 
 	return rate, nil
 }
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -96,26 +96,26 @@
 	return sl, nil
 }
 
-// op returns the operation that sets the object at path to v.
-func op(path string, v any) declaration.Op {
+// setOp returns the operation that sets the object at path to v.
+func setOp(path string, v any) declaration.Op {
 	return declaration.Op{Path: path, Value: mustJSON(v)}
 }
 
 // configurationOps returns the declarations of n workspaces with a key and a route each.
 func configurationOps(n int) []declaration.Op {
-	ops := []declaration.Op{op("models/m", declaration.Model{StalenessBound: 1, SwapWave: 1, SwapMode: declaration.SwapContinue})}
+	ops := []declaration.Op{setOp("models/m", declaration.Model{StalenessBound: 1, SwapWave: 1, SwapMode: declaration.SwapContinue})}
 	for i := range n {
 		w := fmt.Sprintf("workspace-%05d", i)
 		ops = append(ops,
-			op("workspaces/"+w, declaration.Workspace{Weight: 1, MaxQueued: 100, Home: "main"}),
-			op("routes/route-"+w, declaration.Route{Model: "m", Class: declaration.ClassPreview, TimeoutMs: 1000, MaxBodyBytes: 1 << 20}),
-			op("keys/"+fmt.Sprintf("%016x", i), declaration.Key{Workspace: w, Hash: declaration.HashSecret(w)}))
+			setOp("workspaces/"+w, declaration.Workspace{Weight: 1, MaxQueued: 100, Home: "main"}),
+			setOp("routes/route-"+w, declaration.Route{Model: "m", Class: declaration.ClassPreview, TimeoutMs: 1000, MaxBodyBytes: 1 << 20}),
+			setOp("keys/"+fmt.Sprintf("%016x", i), declaration.Key{Workspace: w, Hash: declaration.HashSecret(w)}))
 	}
 
 	return ops
 }
 
-func newSet(n int) (*declaration.Set, error) {
+func newDeclarations(n int) (*declaration.Set, error) {
 	se := declaration.NewSet()
 
 	return se, se.Apply(configurationOps(n))
@@ -127,7 +127,7 @@
 		var err error
 		b := heapOf(func() any {
 			var se *declaration.Set
-			se, err = newSet(n)
+			se, err = newDeclarations(n)
 
 			return se
 		})
@@ -138,11 +138,11 @@
 		return nil, err
 	}
 	change, err := series("change applied on a node", "workspace with key and route", "second of CPU", sizes, func(n int) (float64, error) {
-		se, err := newSet(n)
+		se, err := newDeclarations(n)
 		if err != nil {
 			return 0, err
 		}
-		ops := []declaration.Op{op("workspaces/workspace-00001", declaration.Workspace{Weight: 2, MaxQueued: 100, Home: "main"})}
+		ops := []declaration.Op{setOp("workspaces/workspace-00001", declaration.Workspace{Weight: 2, MaxQueued: 100, Home: "main"})}
 
 		return cpuOf(50, func() { _ = se.Clone().Apply(ops) }), nil
 	})
@@ -166,14 +166,14 @@
 func measureLedgers() ([]Slope, error) {
 	sizes := []int{2000, 8000, 32000}
 	steps, err := series("step ledger held", "sample", "byte", sizes, func(n int) (float64, error) {
-		return heapOf(func() any { return filledSteps(n) }), nil
+		return heapOf(func() any { return newFilledSteps(n) }), nil
 	})
 	if err != nil {
 		return nil, err
 	}
 	wins, err := series("step ledger: winners committed 64 at once", "sample", "second of CPU", sizes, func(n int) (float64, error) {
 		before := cpuTime()
-		filledSteps(n)
+		newFilledSteps(n)
 
 		return (cpuTime() - before).Seconds(), nil
 	})
@@ -181,7 +181,7 @@
 		return nil, err
 	}
 	pages, err := series("step ledger: a page formed and acknowledged", "sample in the step", "second of CPU", sizes, func(n int) (float64, error) {
-		le := filledSteps(n)
+		le := newFilledSteps(n)
 		page := uint64(0)
 		rounds := min(8, n/256)
 
@@ -210,14 +210,14 @@
 		return nil, err
 	}
 	counters, err := series("usage counters held", "agent and workspace in a window", "byte", sizes, func(n int) (float64, error) {
-		return heapOf(func() any { return filledUsage(n) }), nil
+		return heapOf(func() any { return newFilledUsage(n) }), nil
 	})
 	if err != nil {
 		return nil, err
 	}
 	folds, err := series("usage counters folded", "agent and workspace in a window", "second of CPU", sizes, func(n int) (float64, error) {
 		before := cpuTime()
-		filledUsage(n)
+		newFilledUsage(n)
 
 		return (cpuTime() - before).Seconds(), nil
 	})
@@ -225,8 +225,8 @@
 	return []Slope{steps, wins, pages, calls, counters, folds}, err
 }
 
-// filledSteps returns a ledger with one step of n samples that all have a winner.
-func filledSteps(n int) *step.Ledger {
+// newFilledSteps returns a ledger with one step of n samples that all have a winner.
+func newFilledSteps(n int) *step.Ledger {
 	le := step.NewLedger(nil)
 	st := step.Step{ID: "s", Workspace: "w", Model: "m", DeadlineMs: 1 << 50, Staleness: 1}
 	for g := range n / 8 {
@@ -251,8 +251,8 @@
 	return le
 }
 
-// filledUsage returns a book with n counters, of 8 workspaces on each agent.
-func filledUsage(n int) *usage.Book {
+// newFilledUsage returns a book with n counters, of 8 workspaces on each agent.
+func newFilledUsage(n int) *usage.Book {
 	bo := usage.NewBook(usage.Image{})
 	for i := range n {
 		bo.Fold(usage.Fold{Counters: []usage.Counter{{
@@ -320,11 +320,11 @@
 	}
 }
 
-// traffic counts the calls that the server handled.
-type traffic struct{ calls atomic.Int64 }
+// callCounter counts the calls that the server handled.
+type callCounter struct{ calls atomic.Int64 }
 
 func measureCalls() ([]Slope, error) {
-	var tr traffic
+	var tr callCounter
 	mux := peer.Mux{"load": func(_ context.Context, st *peer.Stream) error {
 		tr.calls.Add(1)
 
--- a/internal/capacity/path.go
+++ b/internal/capacity/path.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	pathRate    = 1000 // requests per second to each target while latencies are measured
-	pathTime    = 4 * time.Second
-	pathWorkers = 64
+	pathRate     = 1000 // requests per second to each target while latencies are measured
+	pathDuration = 4 * time.Second
+	pathWorkers  = 64
 )
 
 // measurePath compares calls through a gateway and an agent with direct calls to the
@@ -61,7 +61,7 @@
 	direct := target{hc, "http://" + de.Services()["s-1"].Address() + "/x", ""}
 	through := target{hc, de.URLs()[0] + "/r/r/x", token}
 	var out []Figure
-	lat, err := paced(ctx, direct, through)
+	lat, err := sendPaced(ctx, direct, through)
 	if err != nil {
 		return nil, err
 	}
@@ -82,9 +82,9 @@
 
 // target is a URL that requests are measured against.
 type target struct {
-	hc    *http.Client
-	url   string
-	token string
+	client *http.Client
+	url    string
+	token  string
 }
 
 func (t target) get(ctx context.Context) error {
@@ -95,7 +95,7 @@
 	if t.token != "" {
 		rq.Header.Set("Authorization", "Bearer "+t.token)
 	}
-	rs, err := t.hc.Do(rq)
+	rs, err := t.client.Do(rq)
 	if err != nil {
 		return err
 	}
@@ -108,10 +108,10 @@
 	return err
 }
 
-// paced sends requests at a fixed rate, independent of the responses (open loop), and
+// sendPaced sends requests at a fixed rate, independent of the responses (open loop), and
 // returns the latencies by target. Each tick sends one request to every target, so
 // that all targets are measured under the same load of the machine.
-func paced(ctx context.Context, targets ...target) ([][]time.Duration, error) {
+func sendPaced(ctx context.Context, targets ...target) ([][]time.Duration, error) {
 	var mu sync.Mutex
 	out := make([][]time.Duration, len(targets))
 	var first error
@@ -128,7 +128,7 @@
 		}
 		out[i] = append(out[i], d)
 	}
-	for _, phase := range []time.Duration{pathTime / 4, pathTime} { // the first phase is a warm-up
+	for _, phase := range []time.Duration{pathDuration / 4, pathDuration} { // the first phase is a warm-up
 		for i := range out {
 			out[i] = nil
 		}
@@ -146,7 +146,7 @@
 	return out, first
 }
 
-// flood keeps pathWorkers requests in flight for pathTime. It returns the rate of
+// flood keeps pathWorkers requests in flight for pathDuration. It returns the rate of
 // successful requests and the CPU seconds of one.
 func (t target) flood(ctx context.Context) (perSecond, cpu float64) {
 	var wg sync.WaitGroup
@@ -158,7 +158,7 @@
 		go func() {
 			defer wg.Done()
 			own := 0
-			for time.Since(began) < pathTime {
+			for time.Since(began) < pathDuration {
 				if t.get(ctx) == nil {
 					own++
 				}
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -64,7 +64,7 @@
 		name string
 		run  func() ([]Figure, error)
 	}{
-		{"path", measurePath}, {"commits", measureCommits}, {"failOver", one(measureFailOver)}, {"restart", one(measureRestart)},
+		{"path", measurePath}, {"commits", measureCommits}, {"failOver", singleFigure(measureFailOver)}, {"restart", singleFigure(measureRestart)},
 	} {
 		if only != "" && only != m.name {
 			continue
@@ -80,8 +80,8 @@
 	return re, nil
 }
 
-// one adapts a measurement of a single figure to the signature of those that return several.
-func one(f func() (Figure, error)) func() ([]Figure, error) {
+// singleFigure adapts a measurement of a single figure to the signature of those that return several.
+func singleFigure(f func() (Figure, error)) func() ([]Figure, error) {
 	return func() ([]Figure, error) {
 		fi, err := f()
 
--- a/internal/capacity/voters.go
+++ b/internal/capacity/voters.go
@@ -21,21 +21,21 @@
 
 // voters runs the voters of one group in this process, connected over loopback.
 type voters struct {
-	groups []*group.Group
-	stop   context.CancelFunc
-	wg     sync.WaitGroup
-	lis    []*peer.Listener
+	groups    []*group.Group
+	cancel    context.CancelFunc
+	wg        sync.WaitGroup
+	listeners []*peer.Listener
 }
 
 // startVoters starts n voters with disks in folder and waits until they elect a leader.
-// base is the third octet of their loopback addresses.
-func startVoters(folder string, base, n int) (*voters, error) {
+// subnet is the third octet of their loopback addresses.
+func startVoters(folder string, subnet, n int) (*voters, error) {
 	vo := &voters{}
 	ctx, cancel := context.WithCancel(context.Background())
-	vo.stop = cancel
+	vo.cancel = cancel
 	var fos []group.Founder
 	for i := range n {
-		fos = append(fos, group.Founder{Name: fmt.Sprintf("v%d", i), Address: fmt.Sprintf("127.77.%d.%d:8082", base, i+1)})
+		fos = append(fos, group.Founder{Name: fmt.Sprintf("v%d", i), Address: fmt.Sprintf("127.77.%d.%d:8082", subnet, i+1)})
 	}
 	for i := range n {
 		if err := vo.add(ctx, folder, fos, i); err != nil {
@@ -70,7 +70,7 @@
 	if err != nil {
 		return err
 	}
-	vo.groups, vo.lis = append(vo.groups, gr), append(vo.lis, li)
+	vo.groups, vo.listeners = append(vo.groups, gr), append(vo.listeners, li)
 	vo.wg.Add(2)
 	go func() {
 		defer vo.wg.Done()
@@ -107,16 +107,16 @@
 }
 
 func (vo *voters) close() {
-	vo.stop()
-	for _, li := range vo.lis {
+	vo.cancel()
+	for _, li := range vo.listeners {
 		li.Close()
 	}
 	vo.wg.Wait()
 }
 
-// commits runs a number of concurrent writers against each group of vos for d. It returns the
-// total commits per second and the latencies of all commits.
-func commits(vos []*voters, writers int, d time.Duration) (perSecond float64, latencies []time.Duration) {
+// measureCommitRate runs that many concurrent writers against each group of vos for d.
+// It returns the commits per second of all groups and the latencies of all commits.
+func measureCommitRate(vos []*voters, writers int, d time.Duration) (perSecond float64, latencies []time.Duration) {
 	var n atomic.Int64
 	var mu sync.Mutex
 	var wg sync.WaitGroup
