--- a/internal/fake/engine.go
+++ b/internal/fake/engine.go
@@ -62,26 +62,26 @@
 	cfg   EngineConfig
 	slots chan struct{}
 
-	mu        sync.Mutex
-	instance  int
-	version   string
-	loaded    string
-	state     string
-	fencing   uint64
-	running   int
-	queued    int
-	runs      map[string]*Run
-	orders    []GivenOrder
-	failSwaps int
-	cache     map[string]uint64 // cache key to time of last use, in Unix ns
-	cacheSeq  uint64
-	events    []cacheEvent
-	crashes   int
-	down      chan struct{} // closed at a crash
-	tokens    uint64
-	count     int
-	late      time.Duration
-	isClosed  bool
+	mu             sync.Mutex
+	instance       int
+	version        string
+	loadedVersion  string
+	state          string
+	highestFencing uint64
+	running        int
+	queued         int
+	runs           map[string]*Run
+	orders         []GivenOrder
+	swapsToFail    int
+	cache          map[string]uint64 // cache key to time of last use, in Unix ns
+	cacheSequence  uint64
+	events         []cacheEvent
+	crashes        int
+	crashed        chan struct{} // closed at a crash
+	tokens         uint64
+	requestCount   int
+	extraTokenTime time.Duration
+	isClosed       bool
 }
 
 type cacheEvent struct {
@@ -93,14 +93,14 @@
 // NewEngine starts an engine on address.
 func NewEngine(address string, cfg EngineConfig) (*Engine, error) {
 	en := &Engine{
-		cfg: cfg, slots: make(chan struct{}, max(cfg.Slots, 1)), version: cfg.Version, loaded: cfg.Version,
-		state: "ready", runs: map[string]*Run{}, cache: map[string]uint64{}, down: make(chan struct{}), instance: 1,
+		cfg: cfg, slots: make(chan struct{}, max(cfg.Slots, 1)), version: cfg.Version, loadedVersion: cfg.Version,
+		state: "ready", runs: map[string]*Run{}, cache: map[string]uint64{}, crashed: make(chan struct{}), instance: 1,
 	}
 	r := chi.NewRouter()
 	r.Post("/v1/completions", en.complete)
 	r.Get("/v1/status", en.status)
-	r.Post("/v1/weights/load", func(w http.ResponseWriter, r *http.Request) { en.order(w, r, "load") })
-	r.Post("/v1/weights/activate", func(w http.ResponseWriter, r *http.Request) { en.order(w, r, "activate") })
+	r.Post("/v1/weights/load", func(w http.ResponseWriter, r *http.Request) { en.handleOrder(w, r, "load") })
+	r.Post("/v1/weights/activate", func(w http.ResponseWriter, r *http.Request) { en.handleOrder(w, r, "activate") })
 	r.Get("/v1/cache_events", en.cacheEvents)
 	r.Post("/v1/abort", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, struct{}{}) })
 	en.handler = r
@@ -140,7 +140,7 @@
 
 	en.mu.Lock()
 	en.queued++
-	down := en.down
+	down := en.crashed
 	en.mu.Unlock()
 	select {
 	case en.slots <- struct{}{}:
@@ -152,25 +152,25 @@
 
 		return
 	}
-	run := en.begin(&rq, r.Header)
-	defer en.finish(run)
+	run := en.beginRun(&rq, r.Header)
+	defer en.finishRun(run)
 	en.generate(w, r, &rq, run, down)
 }
 
-func (en *Engine) begin(rq *completionBody, h http.Header) *Run {
+func (en *Engine) beginRun(rq *completionBody, h http.Header) *Run {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 
 	en.queued--
 	en.running++
-	en.count++
+	en.requestCount++
 	run := &Run{ID: rq.ID, Prompt: rq.Prompt, Started: time.Now(), Headers: h.Clone()}
-	en.runs[fmt.Sprintf("%s#%d", rq.ID, en.count)] = run
+	en.runs[fmt.Sprintf("%s#%d", rq.ID, en.requestCount)] = run
 
 	return run
 }
 
-func (en *Engine) finish(run *Run) {
+func (en *Engine) finishRun(run *Run) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 
@@ -181,10 +181,10 @@
 func (en *Engine) generate(w http.ResponseWriter, r *http.Request, rq *completionBody, run *Run, down chan struct{}) {
 	pace := en.cfg.TokenTime
 	en.mu.Lock()
-	if en.cfg.Straggle > 0 && en.count%en.cfg.Straggle == 0 {
+	if en.cfg.Straggle > 0 && en.requestCount%en.cfg.Straggle == 0 {
 		pace *= 10
 	}
-	pace += en.late
+	pace += en.extraTokenTime
 	en.mu.Unlock()
 	if !en.touchCache(rq.CacheKey) {
 		wait(r, down, en.cfg.PrefillTime)
@@ -206,7 +206,7 @@
 		if i == n-1 {
 			finish = "stop"
 		}
-		if !en.emit(w, rq, run, finish) {
+		if !en.writeToken(w, rq, run, finish) {
 			return
 		}
 		fl.Flush()
@@ -232,8 +232,8 @@
 	}
 }
 
-// emit writes one token as an event of the response stream.
-func (en *Engine) emit(w http.ResponseWriter, rq *completionBody, run *Run, finish string) bool {
+// writeToken writes one token as an event of the response stream.
+func (en *Engine) writeToken(w http.ResponseWriter, rq *completionBody, run *Run, finish string) bool {
 	en.mu.Lock()
 	v := en.version
 	run.Tokens++
@@ -289,19 +289,19 @@
 				}
 			}
 			delete(en.cache, oldest)
-			en.event(oldest, true)
+			en.recordCacheEvent(oldest, true)
 		}
-		en.event(key, false)
+		en.recordCacheEvent(key, false)
 	}
 	en.cache[key] = uint64(time.Now().UnixNano())
 
 	return hit
 }
 
-// event records a change of the cache. Only the latest 500 to 1,000 events are retained.
-func (en *Engine) event(key string, evicted bool) {
-	en.cacheSeq++
-	en.events = append(en.events, cacheEvent{Sequence: en.cacheSeq, Key: key, Evicted: evicted})
+// recordCacheEvent records a change of the cache. Only the latest 500 to 1,000 events are retained.
+func (en *Engine) recordCacheEvent(key string, evicted bool) {
+	en.cacheSequence++
+	en.events = append(en.events, cacheEvent{Sequence: en.cacheSequence, Key: key, Evicted: evicted})
 	if len(en.events) > 1000 {
 		en.events = en.events[500:]
 	}
@@ -326,8 +326,8 @@
 	defer en.mu.Unlock()
 
 	writeJSON(w, http.StatusOK, map[string]any{
-		"instance": strconv.Itoa(en.instance), "state": en.state, "weight_version": en.version, "loaded_version": en.loaded,
-		"running": en.running, "queued": en.queued, "cache_sequence": en.cacheSeq,
+		"instance": strconv.Itoa(en.instance), "state": en.state, "weight_version": en.version, "loaded_version": en.loadedVersion,
+		"running": en.running, "queued": en.queued, "cache_sequence": en.cacheSequence,
 	})
 }
 
@@ -338,7 +338,7 @@
 	Giver   string `json:"giver"`
 }
 
-func (en *Engine) order(w http.ResponseWriter, r *http.Request, kind string) {
+func (en *Engine) handleOrder(w http.ResponseWriter, r *http.Request, kind string) {
 	var or orderBody
 	if !readJSON(w, r, &or) {
 		return
@@ -346,7 +346,7 @@
 
 	given := GivenOrder{ID: or.ID, Kind: kind, Version: or.Version, Giver: or.Giver, Fencing: or.Fencing, At: time.Now()}
 	en.mu.Lock()
-	if en.cfg.ChecksFencing && or.Fencing < en.fencing {
+	if en.cfg.ChecksFencing && or.Fencing < en.highestFencing {
 		en.orders = append(en.orders, given)
 		en.mu.Unlock()
 		writeJSON(w, http.StatusPreconditionFailed, map[string]string{"error": "the fencing number is too low"})
@@ -354,20 +354,20 @@
 		return
 	}
 	given.Taken = true
-	en.fencing = max(en.fencing, or.Fencing)
+	en.highestFencing = max(en.highestFencing, or.Fencing)
 	en.orders = append(en.orders, given)
-	fails := en.failSwaps > 0
+	fails := en.swapsToFail > 0
 	if fails {
-		en.failSwaps--
+		en.swapsToFail--
 	}
 	en.mu.Unlock()
 
-	status, text := en.carryOut(r, kind, or.Version, fails)
+	status, text := en.executeOrder(r, kind, or.Version, fails)
 	writeJSON(w, status, map[string]string{"result": text})
 }
 
-// carryOut loads or activates a version. It returns the status and text of the response.
-func (en *Engine) carryOut(r *http.Request, kind, version string, fails bool) (int, string) {
+// executeOrder loads or activates a version. It returns the status and text of the response.
+func (en *Engine) executeOrder(r *http.Request, kind, version string, fails bool) (int, string) {
 	if kind == "load" {
 		if en.cfg.Store != nil {
 			done, ok := en.cfg.Store.fetch(en.cfg.Model, version)
@@ -387,11 +387,11 @@
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	if kind == "load" {
-		en.loaded = version
+		en.loadedVersion = version
 
 		return http.StatusOK, "loaded"
 	}
-	if en.loaded != version {
+	if en.loadedVersion != version {
 		return http.StatusConflict, "not loaded"
 	}
 	en.version = version
@@ -410,7 +410,7 @@
 	}
 	en.state = "down"
 	en.crashes++
-	close(en.down)
+	close(en.crashed)
 	en.mu.Unlock()
 
 	go func() {
@@ -418,9 +418,9 @@
 		time.Sleep(en.cfg.Downtime)
 		en.mu.Lock()
 		en.instance++
-		en.state, en.down = "ready", make(chan struct{})
+		en.state, en.crashed = "ready", make(chan struct{})
 		en.cache = map[string]uint64{}
-		en.cacheSeq++ // the gap in the sequence shows that the cache was lost
+		en.cacheSequence++ // the gap in the sequence shows that the cache was lost
 		en.events = nil
 		closed := en.isClosed
 		en.mu.Unlock()
@@ -443,7 +443,7 @@
 	en.mu.Lock()
 	defer en.mu.Unlock()
 
-	en.failSwaps = n
+	en.swapsToFail = n
 }
 
 // Slow sets an additional time per token for requests that start from now on.
@@ -451,7 +451,7 @@
 	en.mu.Lock()
 	defer en.mu.Unlock()
 
-	en.late = d
+	en.extraTokenTime = d
 }
 
 // Runs returns the records of all requests.
--- a/internal/fake/platform.go
+++ b/internal/fake/platform.go
@@ -118,25 +118,25 @@
 // Ordering is a stand-in for the interface that starts and stops backend servers.
 type Ordering struct {
 	server
-	start func(server, class, failureDomain, orderID string)
-	stop  func(server string)
-
-	mu       sync.Mutex
-	records  []OrderRecord
-	byOrder  map[string]string
-	servers  map[string]*RunningServer
-	past     []RunningServer
-	next     int
-	dropNext int
-	isDown   bool
+	onStart func(server, class, failureDomain, orderID string)
+	onStop  func(server string)
+
+	mu             sync.Mutex
+	records        []OrderRecord
+	serverByOrder  map[string]string
+	servers        map[string]*RunningServer
+	stoppedServers []RunningServer
+	lastNumber     int
+	answersToDrop  int
+	isDown         bool
 }
 
 // NewOrdering starts an ordering interface on address. It executes an order by calling
 // start or stop, once for each order ID.
 func NewOrdering(address string, start func(server, class, failureDomain, orderID string), stop func(server string)) (*Ordering, error) {
-	or := &Ordering{start: start, stop: stop, byOrder: map[string]string{}, servers: map[string]*RunningServer{}}
+	or := &Ordering{onStart: start, onStop: stop, serverByOrder: map[string]string{}, servers: map[string]*RunningServer{}}
 	r := chi.NewRouter()
-	r.Post("/v1/orders", or.order)
+	r.Post("/v1/orders", or.handleOrder)
 	r.Get("/v1/servers", func(w http.ResponseWriter, _ *http.Request) {
 		or.mu.Lock()
 		defer or.mu.Unlock()
@@ -151,7 +151,7 @@
 	return or, or.server.start(address)
 }
 
-func (or *Ordering) order(w http.ResponseWriter, r *http.Request) {
+func (or *Ordering) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var rec OrderRecord
 	if !readJSON(w, r, &rec) {
 		return
@@ -159,18 +159,18 @@
 
 	or.mu.Lock()
 	rec.At = time.Now()
-	name, seen := or.byOrder[rec.ID]
+	name, seen := or.serverByOrder[rec.ID]
 	rec.Repeated = seen
 	or.records = append(or.records, rec)
 	down := or.isDown
-	drop := or.dropNext > 0
+	drop := or.answersToDrop > 0
 	if drop {
-		or.dropNext--
+		or.answersToDrop--
 	}
 	var act func()
 	if !seen && !down {
-		name, act = or.carryOut(&rec)
-		or.byOrder[rec.ID] = name
+		name, act = or.executeOrder(&rec)
+		or.serverByOrder[rec.ID] = name
 	}
 	or.mu.Unlock()
 	if act != nil {
@@ -186,16 +186,16 @@
 	}
 }
 
-// carryOut updates the billed servers. It returns the name of the server, and the call
+// executeOrder updates the billed servers. It returns the name of the server, and the call
 // of start or stop that remains to be made without the lock.
-func (or *Ordering) carryOut(rec *OrderRecord) (string, func()) {
+func (or *Ordering) executeOrder(rec *OrderRecord) (string, func()) {
 	if rec.Action == "start" {
-		or.next++
-		name := fmt.Sprintf("%s-%s-%d", rec.Class, rec.FailureDomain, or.next)
+		or.lastNumber++
+		name := fmt.Sprintf("%s-%s-%d", rec.Class, rec.FailureDomain, or.lastNumber)
 		or.servers[name] = &RunningServer{Name: name, OrderID: rec.ID, Class: rec.Class, FailureDomain: rec.FailureDomain, From: time.Now()}
 		c, d, id := rec.Class, rec.FailureDomain, rec.ID
 
-		return name, func() { or.start(name, c, d, id) }
+		return name, func() { or.onStart(name, c, d, id) }
 	}
 
 	s, ok := or.servers[rec.Server]
@@ -203,10 +203,10 @@
 		return rec.Server, nil
 	}
 	s.Until = time.Now()
-	or.past = append(or.past, *s)
+	or.stoppedServers = append(or.stoppedServers, *s)
 	delete(or.servers, rec.Server)
 
-	return rec.Server, func() { or.stop(s.Name) }
+	return rec.Server, func() { or.onStop(s.Name) }
 }
 
 // DropAnswers drops the responses to the next n orders. The orders are executed.
@@ -214,7 +214,7 @@
 	or.mu.Lock()
 	defer or.mu.Unlock()
 
-	or.dropNext = n
+	or.answersToDrop = n
 }
 
 // Down makes the interface refuse orders with status 503 if isDown is true, and accept
@@ -253,7 +253,7 @@
 	defer or.mu.Unlock()
 
 	sum := 0.0
-	for _, s := range or.past {
+	for _, s := range or.stoppedServers {
 		if s.Class == class {
 			sum += s.Until.Sub(s.From).Seconds()
 		}
@@ -279,10 +279,10 @@
 // UsageSink is a stand-in for the interface that receives usage reports.
 type UsageSink struct {
 	server
-	mu      sync.Mutex
-	records []ReportRecord
-	drop    int
-	isDown  bool
+	mu            sync.Mutex
+	records       []ReportRecord
+	answersToDrop int
+	isDown        bool
 }
 
 // NewUsageSink starts a usage interface on address.
@@ -310,9 +310,9 @@
 	if !down {
 		us.records = append(us.records, ReportRecord{Window: window, Body: string(b), Giver: r.Header.Get("X-Giver"), Fencing: fencing, At: time.Now()})
 	}
-	drop := us.drop > 0
+	drop := us.answersToDrop > 0
 	if drop {
-		us.drop--
+		us.answersToDrop--
 	}
 	us.mu.Unlock()
 	switch {
@@ -330,7 +330,7 @@
 	us.mu.Lock()
 	defer us.mu.Unlock()
 
-	us.drop = n
+	us.answersToDrop = n
 }
 
 // Down makes the interface refuse all calls with status 503 if isDown is true, and serve
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -17,10 +17,10 @@
 
 // server is an HTTP server that can be stopped abruptly and restarted on the same address.
 type server struct {
-	handler http.Handler
-	mu      sync.Mutex
-	address string
-	http    *http.Server
+	handler    http.Handler
+	mu         sync.Mutex
+	address    string
+	httpServer *http.Server
 }
 
 // start listens on address, an IP number with a port. Port 0 selects a free port.
@@ -32,7 +32,7 @@
 
 	hs := &http.Server{Handler: se.handler, ReadHeaderTimeout: 5 * time.Second}
 	se.mu.Lock()
-	se.address, se.http = ln.Addr().String(), hs
+	se.address, se.httpServer = ln.Addr().String(), hs
 	se.mu.Unlock()
 	go func() {
 		if err := hs.Serve(ln); err != nil && !errors.Is(err, http.ErrServerClosed) {
@@ -54,7 +54,7 @@
 // kill closes the listener and all connections at once, without a graceful shutdown.
 func (se *server) kill() {
 	se.mu.Lock()
-	hs := se.http
+	hs := se.httpServer
 	se.mu.Unlock()
 	if hs != nil {
 		_ = hs.Close()
@@ -64,7 +64,7 @@
 // Close stops the stand-in. Running requests have until shutdownTimeout to end.
 func (se *server) Close() {
 	se.mu.Lock()
-	hs := se.http
+	hs := se.httpServer
 	se.mu.Unlock()
 	if hs == nil {
 		return
--- a/internal/fake/service.go
+++ b/internal/fake/service.go
@@ -41,13 +41,13 @@
 	se := &Service{delay: delay}
 	mux := http.NewServeMux()
 	mux.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
-	mux.HandleFunc("/", se.serve)
+	mux.HandleFunc("/", se.echo)
 	se.handler = mux
 
 	return se, se.start(address)
 }
 
-func (se *Service) serve(w http.ResponseWriter, r *http.Request) {
+func (se *Service) echo(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
