--- a/internal/capacity/voters.go
+++ b/internal/capacity/voters.go
@@ -19,21 +19,23 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// voters runs the voters of one group over loopback with disks in folder.
+// voters runs the voters of one group in this process, connected over loopback.
 type voters struct {
-	groups []*group.Group
-	stop   context.CancelFunc
-	wg     sync.WaitGroup
-	lis    []*peer.Listener
+	groups    []*group.Group
+	cancel    context.CancelFunc
+	wg        sync.WaitGroup
+	listeners []*peer.Listener
 }
 
-func startVoters(folder string, base, n int) (*voters, error) {
+// startVoters starts n voters with disks in folder and waits until they elect a leader.
+// subnet is the third octet of their loopback addresses.
+func startVoters(folder string, subnet, n int) (*voters, error) {
 	vo := &voters{}
 	ctx, cancel := context.WithCancel(context.Background())
-	vo.stop = cancel
+	vo.cancel = cancel
 	var fos []group.Founder
 	for i := range n {
-		fos = append(fos, group.Founder{Name: fmt.Sprintf("v%d", i), Address: fmt.Sprintf("127.77.%d.%d:8082", base, i+1)})
+		fos = append(fos, group.Founder{Name: fmt.Sprintf("v%d", i), Address: fmt.Sprintf("127.77.%d.%d:8082", subnet, i+1)})
 	}
 	for i := range n {
 		if err := vo.add(ctx, folder, fos, i); err != nil {
@@ -46,6 +48,7 @@
 	return vo, vo.waitLeader()
 }
 
+// add starts the voter at index i of the founders. With an empty folder it has no disk.
 func (vo *voters) add(ctx context.Context, folder string, fos []group.Founder, i int) error {
 	pc := peer.Config{Hello: &wire.Hello{Name: fos[i].Name, Address: fos[i].Address, Protocol: peer.ProtocolVersion}, Mux: peer.Mux{}}
 	dir := ""
@@ -67,7 +70,7 @@
 	if err != nil {
 		return err
 	}
-	vo.groups, vo.lis = append(vo.groups, gr), append(vo.lis, li)
+	vo.groups, vo.listeners = append(vo.groups, gr), append(vo.listeners, li)
 	vo.wg.Add(2)
 	go func() {
 		defer vo.wg.Done()
@@ -81,6 +84,7 @@
 	return nil
 }
 
+// leader returns the current leader, nil if there is none.
 func (vo *voters) leader() *group.Group {
 	for _, gr := range vo.groups {
 		if gr.Status().Role == consensus.RoleLeader.String() {
@@ -99,19 +103,20 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 
-	return fmt.Errorf("capacity: no leader was elected")
+	return fmt.Errorf("capacity: the voters elected no leader in time")
 }
 
 func (vo *voters) close() {
-	vo.stop()
-	for _, li := range vo.lis {
+	vo.cancel()
+	for _, li := range vo.listeners {
 		li.Close()
 	}
 	vo.wg.Wait()
 }
 
-// commits runs writers for d against each group of vos and returns commits a second.
-func commits(vos []*voters, writers int, d time.Duration) (perSecond float64, latencies []time.Duration) {
+// measureCommitRate runs that many concurrent writers against each group of vos for d.
+// It returns the commits per second of all groups and the latencies of all commits.
+func measureCommitRate(vos []*voters, writers int, d time.Duration) (perSecond float64, latencies []time.Duration) {
 	var n atomic.Int64
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -144,7 +149,7 @@
 	return float64(n.Load()) / time.Since(began).Seconds(), latencies
 }
 
-// tempFolder is where disks of measurements live.
+// tempFolder creates a folder for the disks of a measurement. The returned function removes it.
 func tempFolder() (string, func(), error) {
 	f, err := os.MkdirTemp("", "tamarackbay-capacity-")
 
--- a/internal/experiment/overload.go
+++ b/internal/experiment/overload.go
@@ -16,26 +16,27 @@
 )
 
 const (
-	overServices = 3
-	overSlots    = 8
-	overDelay    = 20 * time.Millisecond
-	overCapacity = 1000 // previews a second, a little under what the slots can do
-	overLookups  = 100  // a second, beside the previews
-	overTimeout  = "500"
-	overInFlight = 4000 // bounds what the generator keeps open
+	overloadServers     = 3
+	overloadSlots       = 8
+	overloadServiceTime = 20 * time.Millisecond
+	overloadCapacity    = 1000 // previews per second, slightly below what the slots can serve
+	overloadLookupRate  = 100  // lookups per second, at the same time as the previews
+	overloadTimeoutMs   = "500"
+	overloadMaxOpen     = 4000 // bounds the open requests of the load generator
 )
 
-// Load is what one level of load was served.
+// Load holds the measurements at one level of load.
 type Load struct {
 	Name      string
-	Sent      float64 // previews a second
-	Goodput   float64 // previews answered a second
+	Sent      float64 // previews per second
+	Goodput   float64 // previews answered per second
 	LookupP50 float64 // ms
 	LookupP99 float64 // ms
-	Lost      int     // lookups that were not answered
+	Lost      int     // lookups that failed
 }
 
-// RunOverload serves lookups beside no previews, previews at capacity, and at twice it.
+// RunOverload measures lookups without previews, with previews at capacity, and with
+// previews at twice the capacity, each for d.
 func RunOverload(ctx context.Context, d time.Duration, out io.Writer) ([]Load, error) {
 	folder, err := os.MkdirTemp("", "tamarackbay-overload-")
 	if err != nil {
@@ -55,26 +56,26 @@
 		set.Routes[n] = ro
 	}
 	de, err := deployment.Start(ctx, deployment.Config{
-		Gateways: 3, Folder: folder, Declarations: set, NoOrdering: true, NoUsage: true, ServiceDelay: overDelay,
+		Gateways: 3, Folder: folder, Declarations: set, NoOrdering: true, NoUsage: true, ServiceDelay: overloadServiceTime,
 		Tune: func(*settings.Gateway) {},
 	})
 	if err != nil {
 		return nil, err
 	}
 	defer de.Close()
-	ol := &overload{de: de, hc: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: overInFlight}}, token: map[string]string{}}
+	ol := &overload{deployment: de, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: overloadMaxOpen}}, tokens: map[string]string{}}
 	for w := range set.Workspaces {
-		if _, ol.token[w], err = de.IssueKey(ctx, w); err != nil {
+		if _, ol.tokens[w], err = de.IssueKey(ctx, w); err != nil {
 			return nil, err
 		}
 	}
-	for i := range overServices {
-		cl := declaration.Class{Service: "s", Slots: overSlots}
+	for i := range overloadServers {
+		cl := declaration.Class{Service: "s", Slots: overloadSlots}
 		if err := de.StartServer(fmt.Sprint("s", i), "c", cl, []string{"a", "b", "c"}[i], ""); err != nil {
 			return nil, err
 		}
 	}
-	if err := de.WaitServers(ctx, "s", overServices, ""); err != nil {
+	if err := de.WaitServers(ctx, "s", overloadServers, ""); err != nil {
 		return nil, err
 	}
 
@@ -82,8 +83,8 @@
 	for _, level := range []struct {
 		name string
 		rate int
-	}{{"lookups alone", 0}, {"previews at capacity", overCapacity}, {"previews at twice it", 2 * overCapacity}} {
-		lo := ol.run(ctx, level.name, level.rate, d)
+	}{{"lookups only", 0}, {"previews 1x capacity", overloadCapacity}, {"previews 2x capacity", 2 * overloadCapacity}} {
+		lo := ol.runLevel(ctx, level.name, level.rate, d)
 		fmt.Fprintf(out, "%-22s sent %.0f/s  goodput %.0f/s  lookup p50 %.1f ms  p99 %.1f ms  lost %d\n",
 			lo.Name, lo.Sent, lo.Goodput, lo.LookupP50, lo.LookupP99, lo.Lost)
 		loads = append(loads, lo)
@@ -92,19 +93,21 @@
 	return loads, nil
 }
 
+// overload sends the requests of RunOverload.
 type overload struct {
-	de    *deployment.Deployment
-	hc    *http.Client
-	token map[string]string
+	deployment *deployment.Deployment
+	client     *http.Client
+	tokens     map[string]string
 }
 
-// run sends at fixed rates, whatever is answered, and without any resend.
-func (ol *overload) run(ctx context.Context, name string, rate int, d time.Duration) Load {
+// runLevel sends requests at fixed rates for d, independent of the responses (open loop)
+// and without retries.
+func (ol *overload) runLevel(ctx context.Context, name string, rate int, d time.Duration) Load {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var lookups []time.Duration
 	answered, lost, sent := 0, 0, 0
-	open := make(chan struct{}, overInFlight)
+	open := make(chan struct{}, overloadMaxOpen)
 	pace := func(perSecond int, send func(n int)) {
 		defer wg.Done()
 		began := time.Now()
@@ -120,7 +123,7 @@
 		}
 	}
 	wg.Add(2)
-	go pace(overLookups, func(n int) {
+	go pace(overloadLookupRate, func(n int) {
 		at := time.Now()
 		ok := ol.get(ctx, n, "crew", "lookup")
 		mu.Lock()
@@ -146,15 +149,16 @@
 	}
 }
 
+// get sends request number n and reports whether it succeeded.
 func (ol *overload) get(ctx context.Context, n int, workspace, route string) bool {
-	u := ol.de.URLs()
+	u := ol.deployment.URLs()
 	rq, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("%s/r/%s/%d", u[n%len(u)], route, n), http.NoBody)
 	if err != nil {
 		return false
 	}
-	rq.Header.Set("Authorization", "Bearer "+ol.token[workspace])
-	rq.Header.Set("X-Timeout-Ms", overTimeout)
-	rs, err := ol.hc.Do(rq)
+	rq.Header.Set("Authorization", "Bearer "+ol.tokens[workspace])
+	rq.Header.Set("X-Timeout-Ms", overloadTimeoutMs)
+	rs, err := ol.client.Do(rq)
 	if err != nil {
 		return false
 	}
@@ -164,7 +168,7 @@
 	return err == nil && rs.StatusCode == http.StatusOK
 }
 
-// WriteOverload writes the levels as a table.
+// WriteOverload writes a Markdown table with one row per level of load.
 func WriteOverload(w io.Writer, loads []Load) {
 	fmt.Fprintln(w, "| load | previews sent /s | answered /s | lookup p50 ms | lookup p99 ms | lookups lost |\n|---|---|---|---|---|---|")
 	for _, lo := range loads {
--- a/internal/fake/engine.go
+++ b/internal/fake/engine.go
@@ -13,27 +13,27 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// CrashMark in a prompt makes a stand-in of an engine crash while it runs it.
+// CrashMark in a prompt makes the engine crash while it generates the answer.
 const CrashMark = "CRASH-THE-ENGINE"
 
-// EngineConfig describes a stand-in of a model engine.
+// EngineConfig configures an Engine.
 type EngineConfig struct {
 	Model         string
 	Version       string
 	Slots         int
-	TokenTime     time.Duration // one token of one request
-	PrefillTime   time.Duration // of a prompt that is not in the cache
-	SwapTime      time.Duration
-	CacheSize     int // prefixes
-	ChecksFencing bool
-	IsSilent      bool // chunks do not name their version
-	Downtime      time.Duration
-	Store         *WeightStore // asked for each load, nil for none
-	// Straggle makes one request in this many ten times slower, 0 for none.
+	TokenTime     time.Duration // time per token of each request
+	PrefillTime   time.Duration // time before the first token if the prompt is not in the cache
+	SwapTime      time.Duration // time to load a version
+	CacheSize     int           // capacity of the prefix cache, 0 for no cache
+	ChecksFencing bool          // refuse orders with a fencing number below the highest seen
+	IsSilent      bool          // omit the weight version from the chunks
+	Downtime      time.Duration // time between a crash and the restart
+	Store         *WeightStore  // grants a permit for each load, nil for loads without limit
+	// Straggle makes about one in this many requests ten times slower per token, 0 for none.
 	Straggle int
 }
 
-// Run is the record of one request on an engine.
+// Run records one request to an engine.
 type Run struct {
 	ID       string
 	Prompt   string
@@ -44,7 +44,7 @@
 	Versions []string
 }
 
-// GivenOrder is the record of an order.
+// GivenOrder records an order to load or activate a weight version.
 type GivenOrder struct {
 	ID      string
 	Kind    string
@@ -52,36 +52,36 @@
 	Giver   string
 	Fencing uint64
 	At      time.Time
-	Taken   bool
+	Taken   bool // false if refused because of its fencing number
 }
 
-// Engine is a stand-in of a model engine. The text of each token names the
-// version that wrote it, so that a sample can be checked against its own text.
+// Engine is a stand-in for a model engine. The text of each token contains the weight
+// version that generated it, so that checks can compare a sample with its text.
 type Engine struct {
 	server
 	cfg   EngineConfig
 	slots chan struct{}
 
-	mu        sync.Mutex
-	instance  int
-	version   string
-	loaded    string
-	state     string
-	fencing   uint64
-	running   int
-	queued    int
-	runs      map[string]*Run
-	orders    []GivenOrder
-	failSwaps int
-	cache     map[string]uint64 // prefix to its last use
-	cacheSeq  uint64
-	events    []cacheEvent
-	crashes   int
-	down      chan struct{} // closed at a crash
-	tokens    uint64
-	count     int
-	late      time.Duration
-	isClosed  bool
+	mu             sync.Mutex
+	instance       int
+	version        string
+	loadedVersion  string
+	state          string
+	highestFencing uint64
+	running        int
+	queued         int
+	runs           map[string]*Run
+	orders         []GivenOrder
+	swapsToFail    int
+	cache          map[string]uint64 // cache key to time of last use, in Unix ns
+	cacheSequence  uint64
+	events         []cacheEvent
+	crashes        int
+	crashed        chan struct{} // closed at a crash
+	tokens         uint64
+	requestCount   int
+	extraTokenTime time.Duration
+	isClosed       bool
 }
 
 type cacheEvent struct {
@@ -90,17 +90,17 @@
 	Evicted  bool   `json:"evicted"`
 }
 
-// NewEngine starts a stand-in on address.
+// NewEngine starts an engine on address.
 func NewEngine(address string, cfg EngineConfig) (*Engine, error) {
 	en := &Engine{
-		cfg: cfg, slots: make(chan struct{}, max(cfg.Slots, 1)), version: cfg.Version, loaded: cfg.Version,
-		state: "ready", runs: map[string]*Run{}, cache: map[string]uint64{}, down: make(chan struct{}), instance: 1,
+		cfg: cfg, slots: make(chan struct{}, max(cfg.Slots, 1)), version: cfg.Version, loadedVersion: cfg.Version,
+		state: "ready", runs: map[string]*Run{}, cache: map[string]uint64{}, crashed: make(chan struct{}), instance: 1,
 	}
 	r := chi.NewRouter()
 	r.Post("/v1/completions", en.complete)
 	r.Get("/v1/status", en.status)
-	r.Post("/v1/weights/load", func(w http.ResponseWriter, r *http.Request) { en.order(w, r, "load") })
-	r.Post("/v1/weights/activate", func(w http.ResponseWriter, r *http.Request) { en.order(w, r, "activate") })
+	r.Post("/v1/weights/load", func(w http.ResponseWriter, r *http.Request) { en.handleOrder(w, r, "load") })
+	r.Post("/v1/weights/activate", func(w http.ResponseWriter, r *http.Request) { en.handleOrder(w, r, "activate") })
 	r.Get("/v1/cache_events", en.cacheEvents)
 	r.Post("/v1/abort", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, struct{}{}) })
 	en.handler = r
@@ -117,7 +117,8 @@
 	CacheKey  string `json:"cache_key"`
 }
 
-// outputLength draws the length of an answer: most are short, some are long.
+// outputLength derives the number of tokens of an answer from a hash of the seed and
+// prompt. Most answers are short, some are long.
 func outputLength(rq *completionBody) int {
 	h := xxhash.Sum64String(fmt.Sprintf("%d/%s", rq.Seed, rq.Prompt))
 	u := float64(h%10_000) / 10_000
@@ -132,14 +133,14 @@
 		return
 	}
 	if rq.Model != en.cfg.Model || rq.MaxTokens < 1 {
-		writeJSON(w, http.StatusBadRequest, map[string]string{"error": "model or max_tokens"})
+		writeJSON(w, http.StatusBadRequest, map[string]string{"error": "the model is not served or max_tokens is below 1"})
 
 		return
 	}
 
 	en.mu.Lock()
 	en.queued++
-	down := en.down
+	down := en.crashed
 	en.mu.Unlock()
 	select {
 	case en.slots <- struct{}{}:
@@ -151,25 +152,25 @@
 
 		return
 	}
-	run := en.begin(&rq, r.Header)
-	defer en.finish(run)
+	run := en.beginRun(&rq, r.Header)
+	defer en.finishRun(run)
 	en.generate(w, r, &rq, run, down)
 }
 
-func (en *Engine) begin(rq *completionBody, h http.Header) *Run {
+func (en *Engine) beginRun(rq *completionBody, h http.Header) *Run {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 
 	en.queued--
 	en.running++
-	en.count++
+	en.requestCount++
 	run := &Run{ID: rq.ID, Prompt: rq.Prompt, Started: time.Now(), Headers: h.Clone()}
-	en.runs[fmt.Sprintf("%s#%d", rq.ID, en.count)] = run
+	en.runs[fmt.Sprintf("%s#%d", rq.ID, en.requestCount)] = run
 
 	return run
 }
 
-func (en *Engine) finish(run *Run) {
+func (en *Engine) finishRun(run *Run) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 
@@ -180,10 +181,10 @@
 func (en *Engine) generate(w http.ResponseWriter, r *http.Request, rq *completionBody, run *Run, down chan struct{}) {
 	pace := en.cfg.TokenTime
 	en.mu.Lock()
-	if en.cfg.Straggle > 0 && en.count%en.cfg.Straggle == 0 {
+	if en.cfg.Straggle > 0 && en.requestCount%en.cfg.Straggle == 0 {
 		pace *= 10
 	}
-	pace += en.late
+	pace += en.extraTokenTime
 	en.mu.Unlock()
 	if !en.touchCache(rq.CacheKey) {
 		wait(r, down, en.cfg.PrefillTime)
@@ -205,7 +206,7 @@
 		if i == n-1 {
 			finish = "stop"
 		}
-		if !en.emit(w, rq, run, finish) {
+		if !en.writeToken(w, rq, run, finish) {
 			return
 		}
 		fl.Flush()
@@ -214,7 +215,8 @@
 	fl.Flush()
 }
 
-// wait lets time pass unless the caller goes or the engine crashes.
+// wait sleeps for d. It returns false if the request was cancelled or the engine
+// crashed in the meantime.
 func wait(r *http.Request, down chan struct{}, d time.Duration) bool {
 	if d <= 0 {
 		return r.Context().Err() == nil
@@ -230,7 +232,8 @@
 	}
 }
 
-func (en *Engine) emit(w http.ResponseWriter, rq *completionBody, run *Run, finish string) bool {
+// writeToken writes one token as an event of the response stream.
+func (en *Engine) writeToken(w http.ResponseWriter, rq *completionBody, run *Run, finish string) bool {
 	en.mu.Lock()
 	v := en.version
 	run.Tokens++
@@ -256,7 +259,8 @@
 	return err == nil
 }
 
-// promptTokens are counted with the first token alone.
+// promptTokens returns the length of the prompt for token number 1 and 0 for the
+// others, so that the sum over all chunks counts the prompt once.
 func promptTokens(prompt string, n int) int {
 	if n > 1 {
 		return 0
@@ -265,6 +269,8 @@
 	return len(strings.Fields(prompt))
 }
 
+// touchCache adds key to the prefix cache and reports whether it was cached already. A
+// full cache evicts the least recently used key.
 func (en *Engine) touchCache(key string) bool {
 	if key == "" || en.cfg.CacheSize == 0 {
 		return false
@@ -283,18 +289,19 @@
 				}
 			}
 			delete(en.cache, oldest)
-			en.event(oldest, true)
+			en.recordCacheEvent(oldest, true)
 		}
-		en.event(key, false)
+		en.recordCacheEvent(key, false)
 	}
 	en.cache[key] = uint64(time.Now().UnixNano())
 
 	return hit
 }
 
-func (en *Engine) event(key string, evicted bool) {
-	en.cacheSeq++
-	en.events = append(en.events, cacheEvent{Sequence: en.cacheSeq, Key: key, Evicted: evicted})
+// recordCacheEvent records a change of the cache. Only the latest 500 to 1,000 events are retained.
+func (en *Engine) recordCacheEvent(key string, evicted bool) {
+	en.cacheSequence++
+	en.events = append(en.events, cacheEvent{Sequence: en.cacheSequence, Key: key, Evicted: evicted})
 	if len(en.events) > 1000 {
 		en.events = en.events[500:]
 	}
@@ -319,8 +326,8 @@
 	defer en.mu.Unlock()
 
 	writeJSON(w, http.StatusOK, map[string]any{
-		"instance": strconv.Itoa(en.instance), "state": en.state, "weight_version": en.version, "loaded_version": en.loaded,
-		"running": en.running, "queued": en.queued, "cache_sequence": en.cacheSeq,
+		"instance": strconv.Itoa(en.instance), "state": en.state, "weight_version": en.version, "loaded_version": en.loadedVersion,
+		"running": en.running, "queued": en.queued, "cache_sequence": en.cacheSequence,
 	})
 }
 
@@ -331,7 +338,7 @@
 	Giver   string `json:"giver"`
 }
 
-func (en *Engine) order(w http.ResponseWriter, r *http.Request, kind string) {
+func (en *Engine) handleOrder(w http.ResponseWriter, r *http.Request, kind string) {
 	var or orderBody
 	if !readJSON(w, r, &or) {
 		return
@@ -339,7 +346,7 @@
 
 	given := GivenOrder{ID: or.ID, Kind: kind, Version: or.Version, Giver: or.Giver, Fencing: or.Fencing, At: time.Now()}
 	en.mu.Lock()
-	if en.cfg.ChecksFencing && or.Fencing < en.fencing {
+	if en.cfg.ChecksFencing && or.Fencing < en.highestFencing {
 		en.orders = append(en.orders, given)
 		en.mu.Unlock()
 		writeJSON(w, http.StatusPreconditionFailed, map[string]string{"error": "the fencing number is too low"})
@@ -347,19 +354,20 @@
 		return
 	}
 	given.Taken = true
-	en.fencing = max(en.fencing, or.Fencing)
+	en.highestFencing = max(en.highestFencing, or.Fencing)
 	en.orders = append(en.orders, given)
-	fails := en.failSwaps > 0
+	fails := en.swapsToFail > 0
 	if fails {
-		en.failSwaps--
+		en.swapsToFail--
 	}
 	en.mu.Unlock()
 
-	status, text := en.carryOut(r, kind, or.Version, fails)
+	status, text := en.executeOrder(r, kind, or.Version, fails)
 	writeJSON(w, status, map[string]string{"result": text})
 }
 
-func (en *Engine) carryOut(r *http.Request, kind, version string, fails bool) (int, string) {
+// executeOrder loads or activates a version. It returns the status and text of the response.
+func (en *Engine) executeOrder(r *http.Request, kind, version string, fails bool) (int, string) {
 	if kind == "load" {
 		if en.cfg.Store != nil {
 			done, ok := en.cfg.Store.fetch(en.cfg.Model, version)
@@ -379,11 +387,11 @@
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	if kind == "load" {
-		en.loaded = version
+		en.loadedVersion = version
 
 		return http.StatusOK, "loaded"
 	}
-	if en.loaded != version {
+	if en.loadedVersion != version {
 		return http.StatusConflict, "not loaded"
 	}
 	en.version = version
@@ -391,7 +399,8 @@
 	return http.StatusOK, "active"
 }
 
-// Crash ends the engine at once, with all it runs. It comes back after its downtime as a new instance.
+// Crash stops the engine and its requests at once. The engine restarts after the
+// configured downtime as a new instance with an empty cache.
 func (en *Engine) Crash() {
 	en.mu.Lock()
 	if en.state == "down" || en.isClosed {
@@ -401,7 +410,7 @@
 	}
 	en.state = "down"
 	en.crashes++
-	close(en.down)
+	close(en.crashed)
 	en.mu.Unlock()
 
 	go func() {
@@ -409,19 +418,19 @@
 		time.Sleep(en.cfg.Downtime)
 		en.mu.Lock()
 		en.instance++
-		en.state, en.down = "ready", make(chan struct{})
+		en.state, en.crashed = "ready", make(chan struct{})
 		en.cache = map[string]uint64{}
-		en.cacheSeq++ // a gap: what the cache held is lost
+		en.cacheSequence++ // the gap in the sequence shows that the cache was lost
 		en.events = nil
 		closed := en.isClosed
 		en.mu.Unlock()
 		if !closed {
-			_ = en.start(en.Address()) // the address may be taken: the engine then stays lost
+			_ = en.start(en.Address()) // if another process took the address, the engine stays down
 		}
 	}()
 }
 
-// Close stops the engine for good.
+// Close stops the engine. It does not restart.
 func (en *Engine) Close() {
 	en.mu.Lock()
 	en.isClosed = true
@@ -429,20 +438,20 @@
 	en.server.Close()
 }
 
-// FailSwaps makes the next n orders fail.
+// FailSwaps makes the next n orders to load or activate a version fail.
 func (en *Engine) FailSwaps(n int) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 
-	en.failSwaps = n
+	en.swapsToFail = n
 }
 
-// Slow adds d to each token from now on.
+// Slow sets an additional time per token for requests that start from now on.
 func (en *Engine) Slow(d time.Duration) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 
-	en.late = d
+	en.extraTokenTime = d
 }
 
 // Runs returns the records of all requests.
@@ -474,7 +483,7 @@
 	return en.tokens
 }
 
-// Version returns the version that is served.
+// Version returns the active weight version.
 func (en *Engine) Version() string {
 	en.mu.Lock()
 	defer en.mu.Unlock()
--- a/internal/fake/platform.go
+++ b/internal/fake/platform.go
@@ -12,7 +12,7 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// WeightStore is a stand-in of the rate-limited weight store.
+// WeightStore is a stand-in for the weight store, which limits concurrent fetches.
 type WeightStore struct {
 	server
 	limit int
@@ -23,7 +23,7 @@
 	refused int
 }
 
-// NewWeightStore starts a stand-in that serves limit fetches at once.
+// NewWeightStore starts a weight store on address that serves up to limit concurrent fetches.
 func NewWeightStore(address string, limit int) (*WeightStore, error) {
 	ws := &WeightStore{limit: limit}
 	r := chi.NewRouter()
@@ -37,7 +37,8 @@
 	return ws, ws.start(address)
 }
 
-// fetch takes one of the store's permits for an engine.
+// fetch takes a permit and returns a function that releases it, or returns false if the
+// limit is reached.
 func (ws *WeightStore) fetch(_, _ string) (func(), bool) {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
@@ -57,7 +58,7 @@
 	}, true
 }
 
-// Refused returns how many fetches were over the limit.
+// Refused returns the number of fetches refused because of the limit.
 func (ws *WeightStore) Refused() int {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
@@ -65,14 +66,14 @@
 	return ws.refused
 }
 
-// Scorer is a stand-in of a service that scores samples.
+// Scorer is a stand-in for the service that scores samples.
 type Scorer struct {
 	server
 	mu    sync.Mutex
 	count int
 }
 
-// NewScorer starts a stand-in whose score is drawn from the text.
+// NewScorer starts a scorer on address. Its scores are a hash of the text.
 func NewScorer(address string) (*Scorer, error) {
 	sc := &Scorer{}
 	r := chi.NewRouter()
@@ -91,7 +92,7 @@
 	return sc, sc.start(address)
 }
 
-// OrderRecord is the record of one call to the ordering interface.
+// OrderRecord records one call to the ordering interface.
 type OrderRecord struct {
 	ID            string    `json:"orderId"`
 	Action        string    `json:"action"`
@@ -104,7 +105,7 @@
 	Repeated      bool      `json:"-"`
 }
 
-// RunningServer is a backend server that the platform bills.
+// RunningServer is a backend server that the platform bills, from its start to its stop.
 type RunningServer struct {
 	Name          string    `json:"server"`
 	OrderID       string    `json:"orderId"`
@@ -114,27 +115,28 @@
 	Until         time.Time `json:"-"`
 }
 
-// Ordering is a stand-in of the interface that starts and stops backend servers.
+// Ordering is a stand-in for the interface that starts and stops backend servers.
 type Ordering struct {
 	server
-	start func(server, class, failureDomain, orderID string)
-	stop  func(server string)
-
-	mu       sync.Mutex
-	records  []OrderRecord
-	byOrder  map[string]string
-	servers  map[string]*RunningServer
-	past     []RunningServer
-	next     int
-	dropNext int
-	isDown   bool
+	onStart func(server, class, failureDomain, orderID string)
+	onStop  func(server string)
+
+	mu             sync.Mutex
+	records        []OrderRecord
+	serverByOrder  map[string]string
+	servers        map[string]*RunningServer
+	stoppedServers []RunningServer
+	lastNumber     int
+	answersToDrop  int
+	isDown         bool
 }
 
-// NewOrdering starts a stand-in that calls start and stop for each order carried out.
+// NewOrdering starts an ordering interface on address. It executes an order by calling
+// start or stop, once for each order ID.
 func NewOrdering(address string, start func(server, class, failureDomain, orderID string), stop func(server string)) (*Ordering, error) {
-	or := &Ordering{start: start, stop: stop, byOrder: map[string]string{}, servers: map[string]*RunningServer{}}
+	or := &Ordering{onStart: start, onStop: stop, serverByOrder: map[string]string{}, servers: map[string]*RunningServer{}}
 	r := chi.NewRouter()
-	r.Post("/v1/orders", or.order)
+	r.Post("/v1/orders", or.handleOrder)
 	r.Get("/v1/servers", func(w http.ResponseWriter, _ *http.Request) {
 		or.mu.Lock()
 		defer or.mu.Unlock()
@@ -149,7 +151,7 @@
 	return or, or.server.start(address)
 }
 
-func (or *Ordering) order(w http.ResponseWriter, r *http.Request) {
+func (or *Ordering) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var rec OrderRecord
 	if !readJSON(w, r, &rec) {
 		return
@@ -157,18 +159,18 @@
 
 	or.mu.Lock()
 	rec.At = time.Now()
-	name, seen := or.byOrder[rec.ID]
+	name, seen := or.serverByOrder[rec.ID]
 	rec.Repeated = seen
 	or.records = append(or.records, rec)
 	down := or.isDown
-	drop := or.dropNext > 0
+	drop := or.answersToDrop > 0
 	if drop {
-		or.dropNext--
+		or.answersToDrop--
 	}
 	var act func()
 	if !seen && !down {
-		name, act = or.carryOut(&rec)
-		or.byOrder[rec.ID] = name
+		name, act = or.executeOrder(&rec)
+		or.serverByOrder[rec.ID] = name
 	}
 	or.mu.Unlock()
 	if act != nil {
@@ -178,20 +180,22 @@
 	case down:
 		writeJSON(w, http.StatusServiceUnavailable, map[string]string{"error": "down"})
 	case drop:
-		panic(http.ErrAbortHandler) // the answer is lost
+		panic(http.ErrAbortHandler) // drops the connection, so that the response is lost
 	default:
 		writeJSON(w, http.StatusOK, map[string]string{"orderId": rec.ID, "state": "accepted", "server": name})
 	}
 }
 
-func (or *Ordering) carryOut(rec *OrderRecord) (string, func()) {
+// executeOrder updates the billed servers. It returns the name of the server, and the call
+// of start or stop that remains to be made without the lock.
+func (or *Ordering) executeOrder(rec *OrderRecord) (string, func()) {
 	if rec.Action == "start" {
-		or.next++
-		name := fmt.Sprintf("%s-%s-%d", rec.Class, rec.FailureDomain, or.next)
+		or.lastNumber++
+		name := fmt.Sprintf("%s-%s-%d", rec.Class, rec.FailureDomain, or.lastNumber)
 		or.servers[name] = &RunningServer{Name: name, OrderID: rec.ID, Class: rec.Class, FailureDomain: rec.FailureDomain, From: time.Now()}
 		c, d, id := rec.Class, rec.FailureDomain, rec.ID
 
-		return name, func() { or.start(name, c, d, id) }
+		return name, func() { or.onStart(name, c, d, id) }
 	}
 
 	s, ok := or.servers[rec.Server]
@@ -199,21 +203,22 @@
 		return rec.Server, nil
 	}
 	s.Until = time.Now()
-	or.past = append(or.past, *s)
+	or.stoppedServers = append(or.stoppedServers, *s)
 	delete(or.servers, rec.Server)
 
-	return rec.Server, func() { or.stop(s.Name) }
+	return rec.Server, func() { or.onStop(s.Name) }
 }
 
-// DropAnswers loses the answers to the next n orders, which are carried out.
+// DropAnswers drops the responses to the next n orders. The orders are executed.
 func (or *Ordering) DropAnswers(n int) {
 	or.mu.Lock()
 	defer or.mu.Unlock()
 
-	or.dropNext = n
+	or.answersToDrop = n
 }
 
-// Down makes the interface refuse everything, or serve again.
+// Down makes the interface refuse orders with status 503 if isDown is true, and accept
+// them again if it is false. The list of servers is served in both cases.
 func (or *Ordering) Down(isDown bool) {
 	or.mu.Lock()
 	defer or.mu.Unlock()
@@ -221,7 +226,7 @@
 	or.isDown = isDown
 }
 
-// Records returns all calls.
+// Records returns the records of all calls.
 func (or *Ordering) Records() []OrderRecord {
 	or.mu.Lock()
 	defer or.mu.Unlock()
@@ -229,7 +234,7 @@
 	return append([]OrderRecord(nil), or.records...)
 }
 
-// Running returns what is billed now.
+// Running returns the backend servers that are billed now.
 func (or *Ordering) Running() []RunningServer {
 	or.mu.Lock()
 	defer or.mu.Unlock()
@@ -242,13 +247,13 @@
 	return out
 }
 
-// ServerSeconds returns the time that backend servers of a class were billed for.
+// ServerSeconds returns the total time in seconds that servers of a class were billed for.
 func (or *Ordering) ServerSeconds(class string) float64 {
 	or.mu.Lock()
 	defer or.mu.Unlock()
 
 	sum := 0.0
-	for _, s := range or.past {
+	for _, s := range or.stoppedServers {
 		if s.Class == class {
 			sum += s.Until.Sub(s.From).Seconds()
 		}
@@ -262,7 +267,7 @@
 	return sum
 }
 
-// ReportRecord is the record of one call to the usage interface.
+// ReportRecord records one call to the usage interface.
 type ReportRecord struct {
 	Window  uint64
 	Body    string
@@ -271,16 +276,16 @@
 	At      time.Time
 }
 
-// UsageSink is a stand-in of the interface that takes usage reports.
+// UsageSink is a stand-in for the interface that receives usage reports.
 type UsageSink struct {
 	server
-	mu      sync.Mutex
-	records []ReportRecord
-	drop    int
-	isDown  bool
+	mu            sync.Mutex
+	records       []ReportRecord
+	answersToDrop int
+	isDown        bool
 }
 
-// NewUsageSink starts a stand-in.
+// NewUsageSink starts a usage interface on address.
 func NewUsageSink(address string) (*UsageSink, error) {
 	us := &UsageSink{}
 	r := chi.NewRouter()
@@ -305,9 +310,9 @@
 	if !down {
 		us.records = append(us.records, ReportRecord{Window: window, Body: string(b), Giver: r.Header.Get("X-Giver"), Fencing: fencing, At: time.Now()})
 	}
-	drop := us.drop > 0
+	drop := us.answersToDrop > 0
 	if drop {
-		us.drop--
+		us.answersToDrop--
 	}
 	us.mu.Unlock()
 	switch {
@@ -320,15 +325,16 @@
 	}
 }
 
-// DropAnswers loses the answers to the next n reports, which are taken.
+// DropAnswers drops the responses to the next n reports. The reports are recorded.
 func (us *UsageSink) DropAnswers(n int) {
 	us.mu.Lock()
 	defer us.mu.Unlock()
 
-	us.drop = n
+	us.answersToDrop = n
 }
 
-// Down makes the interface refuse everything, or serve again.
+// Down makes the interface refuse all calls with status 503 if isDown is true, and serve
+// again if it is false.
 func (us *UsageSink) Down(isDown bool) {
 	us.mu.Lock()
 	defer us.mu.Unlock()
@@ -336,7 +342,7 @@
 	us.isDown = isDown
 }
 
-// Records returns all reports.
+// Records returns the records of all accepted reports.
 func (us *UsageSink) Records() []ReportRecord {
 	us.mu.Lock()
 	defer us.mu.Unlock()
