--- a/cmd/tamarackbay/node.go
+++ b/cmd/tamarackbay/node.go
@@ -20,8 +20,9 @@
 
 The platform passes the path of the settings file in the environment. A gateway
 serves clients at the edge, a controller holds configuration, weight versions and
-leases, a store holds batch jobs and runs their items. SIGTERM terminates the process
-gracefully, SIGHUP reloads the settings. Logs are JSON lines on standard output.
+leases, a store holds batch jobs and dispatches their items to backend servers.
+SIGTERM terminates the process gracefully, SIGHUP reloads the settings. Logs are JSON
+lines on standard output.
 
 Example:
   tamarackbay node gateway`
