--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -21,8 +21,8 @@
 
 // Policy is a named scheduling policy that a workload runs under.
 type Policy struct {
-	Name   string
-	Policy settings.Policy
+	Name     string
+	Settings settings.Policy
 }
 
 // Policies returns the product's policy, called current, and the baselines.
@@ -67,15 +67,15 @@
 
 // Outcome holds the measurements of one run.
 type Outcome struct {
-	Policy        string
-	Idle          float64 // seconds that the trainer waits per step
-	Steps         int
-	Worst         float64 // fraction of its fair share that the worst-served workspace received
-	LookupP99     float64 // ms
-	Goodput       float64 // completed requests and samples per second
-	Amplification float64 // engine runs per completed request or sample
-	Stale         float64 // fraction of samples that were behind the latest version on delivery
-	Broken        int     // violations: steps with lost samples, samples delivered twice or too stale, calls that ran twice
+	Policy             string
+	IdleSecondsPerStep float64 // seconds that the trainer waits per step
+	Steps              int
+	WorstShare         float64 // fraction of its fair share that the worst-served workspace received
+	LookupP99          float64 // ms
+	Goodput            float64 // completed requests and samples per second
+	Amplification      float64 // engine runs per completed request or sample
+	StaleShare         float64 // fraction of samples that were behind the latest version on delivery
+	Violations         int     // steps with lost samples, samples delivered twice or too stale, calls that ran twice
 }
 
 // Run runs the selected policies in turn, and repeats this cfg.Repetitions times.
@@ -96,7 +96,7 @@
 				return nil, fmt.Errorf("experiment: policy %s, repetition %d: %w", po.Name, rep+1, err)
 			}
 			fmt.Fprintf(cfg.Out, "%-14s rep %d  idle %.2f s/step  worst share %.0f%%  lookup p99 %.1f ms  goodput %.0f/s  amplification %.2f  stale %.0f%%  broken %d\n",
-				oc.Policy, rep+1, oc.Idle, 100*oc.Worst, oc.LookupP99, oc.Goodput, oc.Amplification, 100*oc.Stale, oc.Broken)
+				oc.Policy, rep+1, oc.IdleSecondsPerStep, 100*oc.WorstShare, oc.LookupP99, oc.Goodput, oc.Amplification, 100*oc.StaleShare, oc.Violations)
 			out = append(out, oc)
 		}
 	}
@@ -181,7 +181,7 @@
 			Version: "v1", TokenTime: 3 * time.Millisecond, PrefillTime: 15 * time.Millisecond, SwapTime: 150 * time.Millisecond,
 			CacheSize: 32, Downtime: 800 * time.Millisecond, Straggle: 61,
 		},
-		Tune: func(se *settings.Gateway) { se.Policy = po.Policy },
+		Tune: func(se *settings.Gateway) { se.Policy = po.Settings },
 	})
 	if err != nil {
 		return Outcome{}, err
@@ -428,11 +428,11 @@
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 
-	oc := Outcome{Policy: policy, Steps: tr.steps, Broken: tr.violations + tr.repeatedLookups()}
+	oc := Outcome{Policy: policy, Steps: tr.steps, Violations: tr.violations + tr.repeatedLookups()}
 	if tr.steps > 0 {
-		oc.Idle = tr.idleTime.Seconds() / float64(tr.steps)
+		oc.IdleSecondsPerStep = tr.idleTime.Seconds() / float64(tr.steps)
 	} else {
-		oc.Idle = d.Seconds()
+		oc.IdleSecondsPerStep = d.Seconds()
 	}
 	// The weights are equal and each of these workspaces requests more than its
 	// share, so the fair share is the mean.
@@ -445,7 +445,7 @@
 		}
 	}
 	total += tr.completedBy["greedy"]
-	oc.Worst = float64(worst) / max(1, float64(total)/float64(tr.workload.fairWorkspaces+1))
+	oc.WorstShare = float64(worst) / max(1, float64(total)/float64(tr.workload.fairWorkspaces+1))
 	oc.LookupP99 = quantile.Ms(tr.lookupTimes, 0.99)
 	oc.Goodput = float64(tr.completed) / d.Seconds()
 	runs := 0
@@ -453,7 +453,7 @@
 		runs += len(en.Runs())
 	}
 	oc.Amplification = float64(runs) / float64(max(tr.completed, 1))
-	oc.Stale = float64(tr.staleSamples) / float64(max(tr.samples, 1))
+	oc.StaleShare = float64(tr.staleSamples) / float64(max(tr.samples, 1))
 
 	return oc
 }
--- a/internal/experiment/overload.go
+++ b/internal/experiment/overload.go
@@ -25,19 +25,19 @@
 	overloadMaxOpen     = 4000 // bounds the open requests of the load generator
 )
 
-// Load holds the measurements at one level of load.
-type Load struct {
-	Name      string
-	Sent      float64 // previews per second
-	Goodput   float64 // previews answered per second
-	LookupP50 float64 // ms
-	LookupP99 float64 // ms
-	Lost      int     // lookups that failed
+// OverloadResult holds the measurements at one level of load.
+type OverloadResult struct {
+	Name          string
+	Sent          float64 // previews per second
+	Goodput       float64 // previews answered per second
+	LookupP50     float64 // ms
+	LookupP99     float64 // ms
+	FailedLookups int
 }
 
 // RunOverload measures lookups without previews, with previews at capacity, and with
 // previews at twice the capacity, each for d.
-func RunOverload(ctx context.Context, d time.Duration, out io.Writer) ([]Load, error) {
+func RunOverload(ctx context.Context, d time.Duration, out io.Writer) ([]OverloadResult, error) {
 	folder, err := os.MkdirTemp("", "tamarackbay-overload-")
 	if err != nil {
 		return nil, err
@@ -79,14 +79,14 @@
 		return nil, err
 	}
 
-	var loads []Load
+	var loads []OverloadResult
 	for _, level := range []struct {
 		name string
 		rate int
 	}{{"lookups only", 0}, {"previews 1x capacity", overloadCapacity}, {"previews 2x capacity", 2 * overloadCapacity}} {
 		lo := ol.runLevel(ctx, level.name, level.rate, d)
 		fmt.Fprintf(out, "%-22s sent %.0f/s  goodput %.0f/s  lookup p50 %.1f ms  p99 %.1f ms  lost %d\n",
-			lo.Name, lo.Sent, lo.Goodput, lo.LookupP50, lo.LookupP99, lo.Lost)
+			lo.Name, lo.Sent, lo.Goodput, lo.LookupP50, lo.LookupP99, lo.FailedLookups)
 		loads = append(loads, lo)
 	}
 
@@ -102,7 +102,7 @@
 
 // runLevel sends requests at fixed rates for d, independent of the responses (open loop)
 // and without retries.
-func (ol *overload) runLevel(ctx context.Context, name string, rate int, d time.Duration) Load {
+func (ol *overload) runLevel(ctx context.Context, name string, rate int, d time.Duration) OverloadResult {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var lookups []time.Duration
@@ -143,8 +143,8 @@
 	})
 	wg.Wait()
 
-	return Load{
-		Name: name, Sent: float64(sent) / d.Seconds(), Goodput: float64(answered) / d.Seconds(), Lost: lost,
+	return OverloadResult{
+		Name: name, Sent: float64(sent) / d.Seconds(), Goodput: float64(answered) / d.Seconds(), FailedLookups: lost,
 		LookupP50: quantile.Ms(lookups, 0.5), LookupP99: quantile.Ms(lookups, 0.99),
 	}
 }
@@ -169,9 +169,9 @@
 }
 
 // WriteOverload writes a Markdown table with one row per level of load.
-func WriteOverload(w io.Writer, loads []Load) {
+func WriteOverload(w io.Writer, loads []OverloadResult) {
 	fmt.Fprintln(w, "| load | previews sent /s | answered /s | lookup p50 ms | lookup p99 ms | lookups lost |\n|---|---|---|---|---|---|")
 	for _, lo := range loads {
-		fmt.Fprintf(w, "| %s | %.0f | %.0f | %.1f | %.1f | %d |\n", lo.Name, lo.Sent, lo.Goodput, lo.LookupP50, lo.LookupP99, lo.Lost)
+		fmt.Fprintf(w, "| %s | %.0f | %.0f | %.1f | %.1f | %d |\n", lo.Name, lo.Sent, lo.Goodput, lo.LookupP50, lo.LookupP99, lo.FailedLookups)
 	}
 }
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -18,13 +18,13 @@
 }
 
 var outcomeColumns = []column{
-	{"idle s/step", func(oc Outcome) float64 { return oc.Idle }},
-	{"worst share %", func(oc Outcome) float64 { return 100 * oc.Worst }},
+	{"idle s/step", func(oc Outcome) float64 { return oc.IdleSecondsPerStep }},
+	{"worst share %", func(oc Outcome) float64 { return 100 * oc.WorstShare }},
 	{"lookup p99 ms", func(oc Outcome) float64 { return oc.LookupP99 }},
 	{"goodput /s", func(oc Outcome) float64 { return oc.Goodput }},
 	{"amplification", func(oc Outcome) float64 { return oc.Amplification }},
-	{"stale %", func(oc Outcome) float64 { return 100 * oc.Stale }},
-	{"broken", func(oc Outcome) float64 { return float64(oc.Broken) }},
+	{"stale %", func(oc Outcome) float64 { return 100 * oc.StaleShare }},
+	{"broken", func(oc Outcome) float64 { return float64(oc.Violations) }},
 }
 
 // spread holds the median, lowest and highest value of the repetitions.
@@ -83,7 +83,7 @@
 	p.Y.Label.Text = "idle, s per step x 10; worst share, %"
 	const width = 14
 	for i, m := range []column{
-		{"idle x 10", func(oc Outcome) float64 { return 10 * oc.Idle }}, outcomeColumns[1],
+		{"idle x 10", func(oc Outcome) float64 { return 10 * oc.IdleSecondsPerStep }}, outcomeColumns[1],
 	} {
 		var vs plotter.Values
 		for _, n := range names {
--- a/internal/experiment/spending.go
+++ b/internal/experiment/spending.go
@@ -19,8 +19,8 @@
 
 // FleetPolicy is a named set of fleet bounds that the same load runs under.
 type FleetPolicy struct {
-	Name   string
-	Bounds declaration.Fleet
+	Name  string
+	Fleet declaration.Fleet
 }
 
 const (
@@ -45,19 +45,19 @@
 	}
 }
 
-// Spending holds the cost and the served requests of one run of the daily load curve.
-type Spending struct {
-	Policy  string
-	Seconds float64 // server-seconds billed
-	Served  int
-	Refused int
-	P50     float64 // ms
-	P99     float64 // ms
+// SpendingResult holds the cost and the served requests of one run of the daily load curve.
+type SpendingResult struct {
+	Policy        string
+	ServerSeconds float64 // billed
+	Served        int
+	Refused       int
+	P50           float64 // ms
+	P99           float64 // ms
 }
 
 // RunSpending runs each fleet policy under the load curve of a day, compressed to d.
-func RunSpending(ctx context.Context, d time.Duration, repetitions int, out io.Writer) ([]Spending, error) {
-	var all []Spending
+func RunSpending(ctx context.Context, d time.Duration, repetitions int, out io.Writer) ([]SpendingResult, error) {
+	var all []SpendingResult
 	for rep := range repetitions {
 		for _, fp := range FleetPolicies() {
 			sp, err := runSpendingOnce(ctx, fp, d)
@@ -65,7 +65,7 @@
 				return nil, fmt.Errorf("experiment: fleet policy %s: %w", fp.Name, err)
 			}
 			fmt.Fprintf(out, "%-10s rep %d  %.0f server-seconds  served %d  refused %d  p50 %.0f ms  p99 %.0f ms\n",
-				sp.Policy, rep+1, sp.Seconds, sp.Served, sp.Refused, sp.P50, sp.P99)
+				sp.Policy, rep+1, sp.ServerSeconds, sp.Served, sp.Refused, sp.P50, sp.P99)
 			all = append(all, sp)
 		}
 	}
@@ -73,10 +73,10 @@
 	return all, nil
 }
 
-func runSpendingOnce(ctx context.Context, fp FleetPolicy, d time.Duration) (Spending, error) {
+func runSpendingOnce(ctx context.Context, fp FleetPolicy, d time.Duration) (SpendingResult, error) {
 	folder, err := os.MkdirTemp("", "tamarackbay-spending-")
 	if err != nil {
-		return Spending{}, err
+		return SpendingResult{}, err
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
 	ctx, cancel := context.WithTimeout(ctx, d+time.Minute)
@@ -93,19 +93,19 @@
 	ro.Defaults()
 	set.Routes["m"] = ro
 	set.Classes[spendingClass] = declaration.Class{Model: "m", Slots: spendingSlots, StartupMs: int(spendingStartup.Milliseconds())}
-	set.Fleet[spendingClass] = fp.Bounds
+	set.Fleet[spendingClass] = fp.Fleet
 	de, err := deployment.Start(ctx, deployment.Config{
 		Gateways: 3, Folder: folder, Declarations: set, StoreLimit: 3, NoUsage: true, Startup: spendingStartup,
 		Engine: fake.EngineConfig{Version: "v1", TokenTime: 5 * time.Millisecond},
 		Tune:   func(se *settings.Gateway) { se.Times.LeaseMs, se.Times.MaxCallMs = 1500, 500 },
 	})
 	if err != nil {
-		return Spending{}, err
+		return SpendingResult{}, err
 	}
 	defer de.Close()
 	_, token, err := de.IssueKey(ctx, "w")
 	if err != nil {
-		return Spending{}, err
+		return SpendingResult{}, err
 	}
 	time.Sleep(2 * time.Second) // until a controller holds the lease and the minimum fleet runs
 
@@ -113,7 +113,7 @@
 	da := &dailyLoad{deployment: de, token: token, duration: d}
 	da.run(ctx)
 	sp := da.result(fp.Name)
-	sp.Seconds = de.Ordering.ServerSeconds(spendingClass) - before
+	sp.ServerSeconds = de.Ordering.ServerSeconds(spendingClass) - before
 
 	return sp, nil
 }
@@ -180,27 +180,27 @@
 	da.latencies = append(da.latencies, time.Since(at))
 }
 
-func (da *dailyLoad) result(policy string) Spending {
+func (da *dailyLoad) result(policy string) SpendingResult {
 	da.mu.Lock()
 	defer da.mu.Unlock()
 
-	return Spending{
+	return SpendingResult{
 		Policy: policy, Served: len(da.latencies), Refused: da.refused,
 		P50: quantile.Ms(da.latencies, 0.5), P99: quantile.Ms(da.latencies, 0.99),
 	}
 }
 
 // WriteSpending writes a Markdown table of the median, lowest and highest values by fleet policy.
-func WriteSpending(w io.Writer, all []Spending) {
+func WriteSpending(w io.Writer, all []SpendingResult) {
 	columns := []struct {
 		name  string
-		value func(sp Spending) float64
+		value func(sp SpendingResult) float64
 	}{
-		{"server-seconds", func(sp Spending) float64 { return sp.Seconds }},
-		{"served", func(sp Spending) float64 { return float64(sp.Served) }},
-		{"refused", func(sp Spending) float64 { return float64(sp.Refused) }},
-		{"p50 ms", func(sp Spending) float64 { return sp.P50 }},
-		{"p99 ms", func(sp Spending) float64 { return sp.P99 }},
+		{"server-seconds", func(sp SpendingResult) float64 { return sp.ServerSeconds }},
+		{"served", func(sp SpendingResult) float64 { return float64(sp.Served) }},
+		{"refused", func(sp SpendingResult) float64 { return float64(sp.Refused) }},
+		{"p50 ms", func(sp SpendingResult) float64 { return sp.P50 }},
+		{"p99 ms", func(sp SpendingResult) float64 { return sp.P99 }},
 	}
 	fmt.Fprint(w, "| fleet |")
 	for _, c := range columns {
