--- a/cmd/tamarackbay/capacity.go
+++ b/cmd/tamarackbay/capacity.go
@@ -35,7 +35,7 @@
 			return re.Save(*to)
 		}},
 		{page, func() error {
-			re, err := capacity.Read(*from)
+			re, err := capacity.ReadReport(*from)
 			if err != nil {
 				return err
 			}
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -99,8 +99,8 @@
 	return os.WriteFile(path, append(b, '\n'), 0o644)
 }
 
-// Read returns the report in the file at path.
-func Read(path string) (*Report, error) {
+// ReadReport returns the report in the file at path.
+func ReadReport(path string) (*Report, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
