--- a/cmd/tamarackbay/ctl.go
+++ b/cmd/tamarackbay/ctl.go
@@ -54,7 +54,7 @@
 }
 
 // add registers a subcommand that calls the gateways.
-func (cc *ctlCommands) add(c *kingpin.CmdClause, run func(ctx context.Context, ct *ctl.Ctl) error) {
+func (cc *ctlCommands) add(c *kingpin.CmdClause, run func(ctx context.Context, ct *ctl.Client) error) {
 	cc.commands = append(cc.commands, command{c, func() error {
 		ctx, cancel := context.WithTimeout(context.Background(), ctlTimeout)
 		defer cancel()
@@ -66,16 +66,16 @@
 func (cc *ctlCommands) addFolder() {
 	validate := cc.clause.Command("validate", "Check the declarations of a folder.")
 	vf := validate.Flag("folder", "Folder of declarations.").Required().ExistingDir()
-	cc.add(validate, func(_ context.Context, ct *ctl.Ctl) error { return ct.Validate(*vf) })
+	cc.add(validate, func(_ context.Context, ct *ctl.Client) error { return ct.Validate(*vf) })
 
 	diff := cc.clause.Command("diff", "Show what apply would change; the exit code is 4 if there are changes.")
 	df := diff.Flag("folder", "Folder of declarations.").Required().ExistingDir()
-	cc.add(diff, func(ctx context.Context, ct *ctl.Ctl) error { return ct.Diff(ctx, *df) })
+	cc.add(diff, func(ctx context.Context, ct *ctl.Client) error { return ct.Diff(ctx, *df) })
 
 	apply := cc.clause.Command("apply", "Make the configuration equal to a folder; applying it again changes nothing.")
 	af := apply.Flag("folder", "Folder of declarations.").Required().ExistingDir()
 	base := apply.Flag("base", "Configuration version that the folder was made against; apply is refused at any other.").Uint64()
-	cc.add(apply, func(ctx context.Context, ct *ctl.Ctl) error { return ct.Apply(ctx, *af, *base) })
+	cc.add(apply, func(ctx context.Context, ct *ctl.Client) error { return ct.Apply(ctx, *af, *base) })
 }
 
 func (cc *ctlCommands) addKeys() {
@@ -84,70 +84,74 @@
 	workspace := issue.Arg("workspace", "Workspace that the key acts for.").Required().String()
 	note := issue.Flag("note", "Note that is shown with the key.").String()
 	ttl := issue.Flag("ttl", "How long the key is valid; unlimited by default.").Duration()
-	cc.add(issue, func(ctx context.Context, ct *ctl.Ctl) error {
+	cc.add(issue, func(ctx context.Context, ct *ctl.Client) error {
 		in := map[string]any{"workspace": *workspace, "note": *note}
 		if *ttl > 0 {
 			in["expiresMs"] = time.Now().Add(*ttl).UnixMilli()
 		}
 
-		return ct.Show(ctx, http.MethodPost, "/v1/keys", in)
+		return ct.CallAndPrint(ctx, http.MethodPost, "/v1/keys", in)
 	})
 
 	withdraw := key.Command("withdraw", "Withdraw a key; running requests that use it are terminated.")
 	id := withdraw.Arg("id", "ID of the key.").Required().String()
-	cc.add(withdraw, func(ctx context.Context, ct *ctl.Ctl) error {
-		return ct.Show(ctx, http.MethodPost, "/v1/keys/"+url.PathEscape(*id)+"/withdraw", nil)
+	cc.add(withdraw, func(ctx context.Context, ct *ctl.Client) error {
+		return ct.CallAndPrint(ctx, http.MethodPost, "/v1/keys/"+url.PathEscape(*id)+"/withdraw", nil)
 	})
 }
 
 func (cc *ctlCommands) addMembers() {
 	member := cc.clause.Command("member", "Show and change the replicas of the group.")
-	cc.add(member.Command("list", "List the replicas."), func(ctx context.Context, ct *ctl.Ctl) error {
-		return ct.Show(ctx, http.MethodGet, "/v1/members", nil)
+	cc.add(member.Command("list", "List the replicas."), func(ctx context.Context, ct *ctl.Client) error {
+		return ct.CallAndPrint(ctx, http.MethodGet, "/v1/members", nil)
 	})
 	for action, help := range map[string]string{"promote": "Make a learner a voter.", "remove": "Remove a replica."} {
 		c := member.Command(action, help)
 		id := c.Arg("replica", "ID of the replica.").Required().String()
-		cc.add(c, func(ctx context.Context, ct *ctl.Ctl) error {
-			return ct.Show(ctx, http.MethodPost, "/v1/members/"+url.PathEscape(*id)+"/"+action, nil)
+		cc.add(c, func(ctx context.Context, ct *ctl.Client) error {
+			return ct.CallAndPrint(ctx, http.MethodPost, "/v1/members/"+url.PathEscape(*id)+"/"+action, nil)
 		})
 	}
 }
 
 func (cc *ctlCommands) addQuarantine() {
 	q := cc.clause.Command("quarantine", "Show and release requests that crashed backend servers.")
-	cc.add(q.Command("list", "List the fingerprints of quarantined requests."), func(ctx context.Context, ct *ctl.Ctl) error {
-		return ct.Show(ctx, http.MethodGet, "/v1/quarantine", nil)
+	cc.add(q.Command("list", "List the fingerprints of quarantined requests."), func(ctx context.Context, ct *ctl.Client) error {
+		return ct.CallAndPrint(ctx, http.MethodGet, "/v1/quarantine", nil)
 	})
 	release := q.Command("release", "Release a fingerprint, so that its requests may run again.")
 	fp := release.Arg("fingerprint", "Fingerprint to release.").Required().String()
-	cc.add(release, func(ctx context.Context, ct *ctl.Ctl) error {
-		return ct.Show(ctx, http.MethodPost, "/v1/quarantine/"+url.PathEscape(*fp)+"/release", nil)
+	cc.add(release, func(ctx context.Context, ct *ctl.Client) error {
+		return ct.CallAndPrint(ctx, http.MethodPost, "/v1/quarantine/"+url.PathEscape(*fp)+"/release", nil)
 	})
 }
 
 func (cc *ctlCommands) addQueries() {
 	get := cc.clause.Command("get", "Show the configuration or one object.")
 	path := get.Arg("path", "Path of one object, such as routes/preview.").String()
-	cc.add(get, func(ctx context.Context, ct *ctl.Ctl) error {
+	cc.add(get, func(ctx context.Context, ct *ctl.Client) error {
 		p := "/v1/configuration"
 		if *path != "" {
 			p += "?path=" + url.QueryEscape(*path)
 		}
 
-		return ct.Show(ctx, http.MethodGet, p, nil)
+		return ct.CallAndPrint(ctx, http.MethodGet, p, nil)
 	})
 
 	history := cc.clause.Command("history", "Show the changes of the configuration with their authors, newest first.")
 	n := history.Flag("n", "Number of changes to show.").Default("20").Int()
-	cc.add(history, func(ctx context.Context, ct *ctl.Ctl) error {
-		return ct.Show(ctx, http.MethodGet, "/v1/history?n="+strconv.Itoa(*n), nil)
+	cc.add(history, func(ctx context.Context, ct *ctl.Client) error {
+		return ct.CallAndPrint(ctx, http.MethodGet, "/v1/history?n="+strconv.Itoa(*n), nil)
 	})
 
 	cc.add(cc.clause.Command("status", "Show the state of a gateway, its replica, leases and backend servers."),
-		func(ctx context.Context, ct *ctl.Ctl) error { return ct.Show(ctx, http.MethodGet, "/v1/status", nil) })
+		func(ctx context.Context, ct *ctl.Client) error {
+			return ct.CallAndPrint(ctx, http.MethodGet, "/v1/status", nil)
+		})
 	cc.add(cc.clause.Command("explain", "Show why the fleet has its size."),
-		func(ctx context.Context, ct *ctl.Ctl) error { return ct.Show(ctx, http.MethodGet, "/v1/explain", nil) })
+		func(ctx context.Context, ct *ctl.Client) error {
+			return ct.CallAndPrint(ctx, http.MethodGet, "/v1/explain", nil)
+		})
 }
 
 func (cc *ctlCommands) addHash() {
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -42,23 +42,23 @@
 	Out      io.Writer
 }
 
-// Ctl runs the operators' commands.
-type Ctl struct {
+// Client runs the operators' commands.
+type Client struct {
 	cfg Config
 }
 
-// New returns a Ctl. Without an HTTP client in cfg it uses one with a timeout of 30 s.
-func New(cfg Config) *Ctl {
+// New returns a Client. Without an HTTP client in cfg it uses one with a timeout of 30 s.
+func New(cfg Config) *Client {
 	if cfg.HTTP == nil {
 		cfg.HTTP = &http.Client{Timeout: 30 * time.Second}
 	}
 
-	return &Ctl{cfg: cfg}
+	return &Client{cfg: cfg}
 }
 
 // call tries the gateways in order until one responds without a server error. Retrying is
 // safe because every call is idempotent.
-func (ct *Ctl) call(ctx context.Context, method, path string, in, out any) error {
+func (ct *Client) call(ctx context.Context, method, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return err
@@ -77,7 +77,7 @@
 	return last
 }
 
-func (ct *Ctl) callOne(ctx context.Context, method, url string, body []byte, out any) error {
+func (ct *Client) callOne(ctx context.Context, method, url string, body []byte, out any) error {
 	rq, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return err
@@ -113,7 +113,7 @@
 	Set     *declaration.Set `json:"declarations"`
 }
 
-func (ct *Ctl) configuration(ctx context.Context) (configuration, error) {
+func (ct *Client) configuration(ctx context.Context) (configuration, error) {
 	cf := configuration{Set: declaration.NewSet()}
 	err := ct.call(ctx, http.MethodGet, "/v1/configuration", nil, &cf)
 
@@ -121,7 +121,7 @@
 }
 
 // Validate checks the declarations of a folder.
-func (ct *Ctl) Validate(folder string) error {
+func (ct *Client) Validate(folder string) error {
 	set, err := declaration.ReadFolder(os.DirFS(folder), ".")
 	if err != nil {
 		return err
@@ -137,7 +137,7 @@
 
 // diff returns the operations that make the configuration equal to the folder, and the
 // version of the configuration that they start from.
-func (ct *Ctl) diff(ctx context.Context, folder string) ([]declaration.Op, uint64, error) {
+func (ct *Client) diff(ctx context.Context, folder string) ([]declaration.Op, uint64, error) {
 	set, err := declaration.ReadFolder(os.DirFS(folder), ".")
 	if err != nil {
 		return nil, 0, err
@@ -166,7 +166,7 @@
 	}
 }
 
-func (ct *Ctl) print(ops []declaration.Op) {
+func (ct *Client) print(ops []declaration.Op) {
 	for _, op := range ops {
 		if len(op.Value) == 0 {
 			fmt.Fprintf(ct.cfg.Out, "- %s\n", op.Path)
@@ -177,7 +177,7 @@
 }
 
 // Diff prints what Apply would change. It returns ErrDiffers if there are changes.
-func (ct *Ctl) Diff(ctx context.Context, folder string) error {
+func (ct *Client) Diff(ctx context.Context, folder string) error {
 	ops, version, err := ct.diff(ctx, folder)
 	if err != nil {
 		return err
@@ -193,7 +193,7 @@
 
 // Apply makes the configuration equal to the folder. Base, if not 0, is the version that
 // the folder was made against: the gateways refuse the patch if the current one differs.
-func (ct *Ctl) Apply(ctx context.Context, folder string, base uint64) error {
+func (ct *Client) Apply(ctx context.Context, folder string, base uint64) error {
 	ops, version, err := ct.diff(ctx, folder)
 	if err != nil {
 		return err
@@ -229,8 +229,8 @@
 	return "apply-" + hex.EncodeToString(h.Sum(nil)[:12])
 }
 
-// Show calls the operators' interface and prints the response as indented JSON.
-func (ct *Ctl) Show(ctx context.Context, method, path string, in any) error {
+// CallAndPrint calls the operators' interface and prints the response as indented JSON.
+func (ct *Client) CallAndPrint(ctx context.Context, method, path string, in any) error {
 	var out json.RawMessage
 	if err := ct.call(ctx, method, path, in, &out); err != nil {
 		return err
