--- a/internal/program/node.go
+++ b/internal/program/node.go
@@ -361,8 +361,8 @@
 	nd.controllers.Store(&no.Controllers)
 }
 
-// Leads reports whether the process's replica is the leader of its group.
-func (nd *Node) Leads() bool { return nd.isLeader() }
+// IsLeader reports whether the process's replica is the leader of its group.
+func (nd *Node) IsLeader() bool { return nd.isLeader() }
 
 // Kill terminates the process's components immediately, as a crash would.
 func (nd *Node) Kill() {
