--- a/cmd/tamarackbay/demo.go
+++ b/cmd/tamarackbay/demo.go
@@ -30,7 +30,7 @@
 
 	return []command{{c, func() error {
 		if *name == "platform" {
-			return demo.RunNodes(context.Background(), os.Stdout)
+			return demo.RunPlatform(context.Background(), os.Stdout)
 		}
 
 		return demo.Run(context.Background(), demo.Config{Deployment: *name, Out: os.Stdout})
--- a/internal/demo/nodes.go
+++ b/internal/demo/nodes.go
@@ -42,10 +42,10 @@
 	wg      sync.WaitGroup
 }
 
-// RunNodes starts three controllers, three stores and a gateway on loopback addresses
+// RunPlatform starts three controllers, three stores and a gateway on loopback addresses
 // against a stand-in for the platform, serves lookups and batch jobs while the
 // configuration and the weights change, and checks what the stand-in received.
-func RunNodes(ctx context.Context, out io.Writer) error {
+func RunPlatform(ctx context.Context, out io.Writer) error {
 	folder, err := os.MkdirTemp("", "tamarackbay-demo-")
 	if err != nil {
 		return err
