--- a/internal/endtoend/call_test.go
+++ b/internal/endtoend/call_test.go
@@ -17,22 +17,23 @@
 )
 
 var _ = Describe("a request that may not be repeated", func() {
-	// Each case breaks the path at one step and sends the request again through another gateway.
+	// Each case injects a fault at one point of the request path and sends the request again
+	// through another gateway.
 	cases := []struct {
-		name     string
-		during   func(st *stage, i int) // 150 ms after the request was sent to gateway i, while it runs
-		headers  []string
-		wantRuns int
-		want     []int // codes that the resend may get, 0 for the recorded answer
+		name      string
+		inject    func(st *setup, i int) // 150 ms after the request was sent to gateway i, while it runs
+		headers   []string
+		wantRuns  int
+		wantCodes []int // codes that the resend may get, 0 for the recorded answer
 	}{
 		{"whose answer arrives", nil, nil, 1, []int{0}},
-		{"whose gateway is killed while it runs", func(st *stage, i int) { st.KillGateway(i) }, nil, 1, []int{int(result.CallOutcomeUnknown)}},
-		{"while the leader is killed", func(st *stage, i int) {
+		{"whose gateway is killed while it runs", func(st *setup, i int) { st.KillGateway(i) }, nil, 1, []int{int(result.CallOutcomeUnknown)}},
+		{"while the leader is killed", func(st *setup, i int) {
 			if ld := st.Leader(); ld != i {
 				st.KillGateway(ld)
 			}
 		}, nil, 1, []int{0}},
-		{"whose agents are killed", func(st *stage, _ int) {
+		{"whose agents are killed", func(st *setup, _ int) {
 			for n := range 2 {
 				st.KillServer(fmt.Sprintf("service-%d", n))
 			}
@@ -43,7 +44,7 @@
 	}
 	for n, tc := range cases {
 		It("runs at most once: "+tc.name, func() {
-			st := newStage(stageConfig{services: 2})
+			st := newSetup(setupConfig{services: 2})
 			i := st.follower()
 			key := fmt.Sprintf("case-%d", n)
 			headers := append([]string{"Idempotency-Key", key, fake.HeaderDelay, "400ms"}, tc.headers...)
@@ -52,7 +53,7 @@
 				defer GinkgoRecover()
 				done <- st.send(i, "alpha", http.MethodPost, "/r/once/"+key, "visit", headers...)
 			}()
-			if tc.during != nil {
+			if tc.inject != nil {
 				Expect(st.eventually(func() error {
 					if st.runs(key) == 0 {
 						return fmt.Errorf("not begun")
@@ -60,7 +61,7 @@
 
 					return nil
 				})).To(Succeed())
-				tc.during(st, i)
+				tc.inject(st, i)
 			}
 			first := <-done
 
@@ -76,7 +77,7 @@
 
 				return nil
 			})).To(Succeed())
-			Expect(tc.want).To(ContainElement(again.Error.Code), "%+v after %+v", again, first)
+			Expect(tc.wantCodes).To(ContainElement(again.Error.Code), "%+v after %+v", again, first)
 			if again.Error.Code == 0 {
 				Expect(again.header.Get("X-Replayed")).To(Equal("true"))
 				if first.err == nil && first.status == http.StatusOK {
@@ -91,7 +92,7 @@
 	}
 
 	It("runs once for many callers that send it at the same time through all gateways", func() {
-		st := newStage(stageConfig{services: 2})
+		st := newSetup(setupConfig{services: 2})
 		var wg sync.WaitGroup
 		for n := range 30 {
 			wg.Add(1)
@@ -111,7 +112,7 @@
 	})
 
 	It("may be sent again after a refusal that says it has not run", func() {
-		st := newStage(stageConfig{})
+		st := newSetup(setupConfig{})
 		first := st.send(0, "alpha", http.MethodPost, "/r/once/later", "x", "Idempotency-Key", "later")
 		Expect(first.Error.Code).To(Equal(int(result.NoBackendServer)))
 		Expect(first.Error.Execution).To(Equal("notRun"))
@@ -126,7 +127,7 @@
 
 var _ = Describe("a refusal", func() {
 	It("that says not run is true, through crashes of services, agents and a gateway", func() {
-		st := newStage(stageConfig{services: 3, configure: func(cfg *deployment.Config) {
+		st := newSetup(setupConfig{services: 3, configure: func(cfg *deployment.Config) {
 			beta := cfg.Declarations.Workspaces["beta"]
 			beta.MaxInFlight = 3
 			cfg.Declarations.Workspaces["beta"] = beta
@@ -203,7 +204,7 @@
 		{"a method that is not taken", "alpha", "GET", "/v1/completions", "", nil, result.MethodNotAllowed},
 	}
 	It("carries a numbered code for each kind of bad input", func() {
-		st := newStage(stageConfig{services: 1, tune: func(se *settings.Gateway) { se.Times.BodyMs = 300 }})
+		st := newSetup(setupConfig{services: 1, tune: func(se *settings.Gateway) { se.Times.BodyMs = 300 }})
 		open := st.send(0, "alpha", "POST", "/v1/steps", `{"id":"bad","trainer":"t","groups":[{"id":"g","prompt":"p","samples":1,"maxTokens":4}]}`)
 		Expect(open.status).To(Equal(http.StatusOK), "%+v", open)
 		for _, tc := range bad {
@@ -213,7 +214,7 @@
 			Expect(an.status).To(Equal(result.Lookup(tc.want).Status), tc.name)
 			Expect(an.Error.Execution).To(Equal("notRun"), tc.name)
 		}
-		slow := st.rawRequest(0, "POST /r/repeat/slow HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "+st.token["alpha"]+"\r\nContent-Length: 10\r\n\r\nhalf")
+		slow := st.sendRaw(0, "POST /r/repeat/slow HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "+st.token["alpha"]+"\r\nContent-Length: 10\r\n\r\nhalf")
 		Expect(slow).To(ContainSubstring(`"name":"bodyTooSlow"`))
 		Expect(st.runs("slow")).To(BeZero())
 		Expect(st.send(0, "none", "GET", "/r/open/x", "").status).To(Equal(http.StatusOK), "an open route needs no key")
--- a/internal/endtoend/drain_test.go
+++ b/internal/endtoend/drain_test.go
@@ -19,10 +19,10 @@
 	"github.com/tamarackbay/tamarackbay/pkg/client"
 )
 
-// streamLoad keeps streams running through all gateways until stop is called,
+// startStreamLoad keeps streams running through all gateways until stop is called,
 // which returns the number of whole streams and the errors.
-func (st *stage) streamLoad(workers int) (stop func() (int64, []error)) {
-	var whole atomic.Int64
+func (st *setup) startStreamLoad(workers int) (stop func() (int64, []error)) {
+	var completed atomic.Int64
 	var mu sync.Mutex
 	var errs []error
 	done := make(chan struct{})
@@ -40,7 +40,7 @@
 				}
 				_, err := cl.Stream(st.ctx, client.CompletionRequest{Model: "m", Prompt: fmt.Sprintf("%d %d", w, n), MaxTokens: 64}, func(string) {})
 				if err == nil {
-					whole.Add(1)
+					completed.Add(1)
 				} else {
 					mu.Lock()
 					errs = append(errs, err)
@@ -54,30 +54,30 @@
 		close(done)
 		wg.Wait()
 
-		return whole.Load(), errs
+		return completed.Load(), errs
 	}
 }
 
 var _ = Describe("a graceful shutdown", func() {
 	It("of agents under streaming load cuts no request and takes no new work", func() {
-		st := newStage(stageConfig{engines: 3, engine: fake.EngineConfig{TokenTime: 5 * time.Millisecond}})
-		stop := st.streamLoad(9)
+		st := newSetup(setupConfig{engines: 3, engine: fake.EngineConfig{TokenTime: 5 * time.Millisecond}})
+		stop := st.startStreamLoad(9)
 		time.Sleep(200 * time.Millisecond)
 		engine := st.Engines()["engine-0"]
 		pa := st.Agent("engine-0")
-		left := make(chan struct{})
+		stopped := make(chan struct{})
 		go func() {
 			pa.Shutdown()
-			close(left)
+			close(stopped)
 		}()
-		const noNewWork = 2 * time.Second
-		time.Sleep(noNewWork)
+		const newWorkGrace = 2 * time.Second
+		time.Sleep(newWorkGrace)
 		runs := len(engine.Runs())
-		Eventually(left, 10*time.Second).Should(BeClosed())
+		Eventually(stopped, 10*time.Second).Should(BeClosed())
 		time.Sleep(500 * time.Millisecond)
-		whole, errs := stop()
+		completed, errs := stop()
 		Expect(errs).To(BeEmpty())
-		Expect(whole).To(BeNumerically(">", 20))
+		Expect(completed).To(BeNumerically(">", 20))
 		Expect(len(engine.Runs())).To(Equal(runs), "no new work from 2 s after the drain began")
 		for _, r := range engine.Runs() {
 			Expect(r.Ended).To(BeTrue())
@@ -85,10 +85,10 @@
 	})
 
 	It("of a gateway under streaming load cuts no request", func() {
-		st := newStage(stageConfig{engines: 3, engine: fake.EngineConfig{TokenTime: 5 * time.Millisecond}})
+		st := newSetup(setupConfig{engines: 3, engine: fake.EngineConfig{TokenTime: 5 * time.Millisecond}})
 		leader := st.Leader()
 		u := st.URLs()[leader]
-		var whole, refused atomic.Int64
+		var completed, refused atomic.Int64
 		var cut sync.Map
 		var wg sync.WaitGroup
 		done := make(chan struct{})
@@ -107,7 +107,7 @@
 					_, err := cl.Stream(st.ctx, client.CompletionRequest{Model: "m", Prompt: fmt.Sprintf("g%d %d", w, n), MaxTokens: 64}, func(string) {})
 					switch {
 					case err == nil:
-						whole.Add(1)
+						completed.Add(1)
 					case strings.Contains(err.Error(), "connection refused"):
 						refused.Add(1)
 						time.Sleep(10 * time.Millisecond)
@@ -129,7 +129,7 @@
 
 			return false
 		})
-		Expect(whole.Load()).To(BeNumerically(">", 5))
+		Expect(completed.Load()).To(BeNumerically(">", 5))
 		Expect(st.Gateway(leader).Err()).NotTo(HaveOccurred())
 		next := -1
 		Eventually(func() int { next = st.Leader(); return next }, 2*time.Second).Should(BeNumerically(">=", 0), "the lead was handed over")
@@ -137,9 +137,9 @@
 	})
 })
 
-// fleetStage orders its backend servers through the ordering interface.
-func fleetStage(tune func(cfg *deployment.Config)) *stage {
-	return newStage(stageConfig{configure: func(cfg *deployment.Config) {
+// newFleetSetup orders its backend servers through the ordering interface.
+func newFleetSetup(tune func(cfg *deployment.Config)) *setup {
+	return newSetup(setupConfig{configure: func(cfg *deployment.Config) {
 		cfg.NoOrdering, cfg.NoUsage = false, false
 		cfg.Startup = 50 * time.Millisecond
 		cfg.Declarations.Classes["service"] = declaration.Class{Service: "s", Slots: 4, StartupMs: 300}
@@ -153,8 +153,8 @@
 	}})
 }
 
-// checkGivers looks for two processes that gave orders in turns.
-func (st *stage) checkGivers() {
+// checkFencing looks for two processes that gave orders in turns.
+func (st *setup) checkFencing() {
 	var top uint64
 	giver := map[uint64]string{}
 	for _, r := range st.Ordering.Records() {
@@ -172,7 +172,7 @@
 	}
 }
 
-func (st *stage) running(n int) func() error {
+func (st *setup) checkRunning(n int) func() error {
 	return func() error {
 		if r := len(st.Ordering.Running()); r != n {
 			return fmt.Errorf("%d backend servers run, not %d", r, n)
@@ -184,24 +184,24 @@
 
 var _ = Describe("the fleet", func() {
 	It("orders what is needed once, through lost answers, an outage and changes of the leader", func() {
-		st := fleetStage(nil)
+		st := newFleetSetup(nil)
 		Expect(st.WaitServers(st.ctx, "s", 3, "")).To(Succeed())
 		st.Ordering.DropAnswers(2)
 		st.KillServer(st.Ordering.Running()[0].Name) // lost without a word: it is replaced and given back
 		Expect(st.eventually(func() error {
-			lost := 0
+			stops := 0
 			for _, r := range st.Ordering.Records() {
 				if r.Action == "stop" {
-					lost++
+					stops++
 				}
 			}
-			if lost == 0 {
+			if stops == 0 {
 				return fmt.Errorf("the lost backend server is still paid for")
 			}
 
 			return st.WaitServers(st.ctx, "s", 3, "")
 		})).To(Succeed())
-		Expect(st.eventually(st.running(3))).To(Succeed())
+		Expect(st.eventually(st.checkRunning(3))).To(Succeed())
 
 		st.Ordering.Down(true)
 		ld := st.Leader()
@@ -226,12 +226,12 @@
 				}
 			}()
 		}
-		Expect(st.eventually(st.running(6))).To(Succeed(), "the load wants the maximum")
+		Expect(st.eventually(st.checkRunning(6))).To(Succeed(), "the load wants the maximum")
 		Expect(st.WaitServers(st.ctx, "s", 6, "")).To(Succeed())
 		close(stop)
 		wg.Wait()
-		Expect(st.eventually(st.running(3))).To(Succeed(), "what is not needed is given back")
-		st.checkGivers()
+		Expect(st.eventually(st.checkRunning(3))).To(Succeed(), "what is not needed is given back")
+		st.checkFencing()
 		byOrder := map[string]int{}
 		for _, r := range st.Ordering.Records() {
 			if r.Action == "start" && !r.Repeated {
@@ -244,13 +244,13 @@
 	})
 
 	It("goes to nothing when idle and comes back for the first request", func() {
-		st := fleetStage(func(cfg *deployment.Config) {
+		st := newFleetSetup(func(cfg *deployment.Config) {
 			fl := cfg.Declarations.Fleet["service"]
 			fl.MinPerDomain = 0
 			cfg.Declarations.Fleet["service"] = fl
 		})
 		for range 2 {
-			Expect(st.eventually(st.running(0))).To(Succeed())
+			Expect(st.eventually(st.checkRunning(0))).To(Succeed())
 			Expect(st.eventually(func() error {
 				if an := st.send(1, "alpha", "GET", "/r/repeat/first", ""); an.status != http.StatusOK {
 					Expect(an.Error.Name).To(Equal("noBackendServer"))
@@ -261,20 +261,20 @@
 				return nil
 			})).To(Succeed())
 		}
-		st.checkGivers()
+		st.checkFencing()
 	})
 
 	engines := []struct {
-		name   string
-		checks bool
+		name          string
+		checksFencing bool
 	}{{"that ignore fencing numbers", false}, {"that check fencing numbers", true}}
 	for _, tc := range engines {
 		It("is ordered by one process at a time while leaders are killed, with engines "+tc.name, func() {
-			st := fleetStage(func(cfg *deployment.Config) {
+			st := newFleetSetup(func(cfg *deployment.Config) {
 				cfg.Declarations.Models["m"] = declaration.Model{StalenessBound: 1, SwapWave: 2, SwapMode: "continue"}
 			})
 			class := engineClass
-			class.ChecksFencing = tc.checks
+			class.ChecksFencing = tc.checksFencing
 			Expect(st.StartServer("engine-x", "engine", class, "a", "")).To(Succeed())
 			Expect(st.WaitServers(st.ctx, "m", 1, "v1")).To(Succeed())
 			for n := range 4 {
@@ -286,7 +286,7 @@
 				Expect(st.StartGateway(ld)).To(Succeed())
 				Expect(st.WaitServers(st.ctx, "m", 1, fmt.Sprintf("v%d", n+2))).To(Succeed())
 			}
-			st.checkGivers()
+			st.checkFencing()
 			var top uint64
 			for _, o := range st.Engines()["engine-x"].Orders() {
 				Expect(o.Fencing).To(BeNumerically(">=", top), "an order of an earlier holder reached the engine")
@@ -298,7 +298,7 @@
 
 var _ = Describe("usage", func() {
 	It("is reported once a window with the same bytes, and adds up to what the engines made", func() {
-		st := fleetStage(func(cfg *deployment.Config) { cfg.Engine.TokenTime = time.Millisecond })
+		st := newFleetSetup(func(cfg *deployment.Config) { cfg.Engine.TokenTime = time.Millisecond })
 		Expect(st.StartServer("engine-x", "engine", engineClass, "a", "")).To(Succeed())
 		Expect(st.WaitServers(st.ctx, "m", 1, "v1")).To(Succeed())
 		cl := st.Client(st.token["alpha"], 0)
@@ -344,6 +344,6 @@
 		}
 		Eventually(total, 15*time.Second, 50*time.Millisecond).Should(Equal(made))
 		Consistently(total, time.Second).Should(Equal(made))
-		st.checkGivers()
+		st.checkFencing()
 	})
 })
--- a/internal/endtoend/group_test.go
+++ b/internal/endtoend/group_test.go
@@ -20,8 +20,8 @@
 	"github.com/tamarackbay/tamarackbay/internal/settings"
 )
 
-// operate calls the operators' interface of one gateway, once.
-func (st *stage) operate(i int, method, path string, in any) (answer, error) {
+// sendOperatorRequest calls the operators' interface of one gateway, once.
+func (st *setup) sendOperatorRequest(i int, method, path string, in any) (answer, error) {
 	b, err := json.Marshal(in)
 	Expect(err).NotTo(HaveOccurred())
 	rq, err := http.NewRequestWithContext(st.ctx, method, "http://"+st.Settings(i).OperatorAddress+path, strings.NewReader(string(b)))
@@ -48,9 +48,9 @@
 	}}
 }
 
-// version returns the configuration version as gateway i reads it.
-func (st *stage) version(i int) (uint64, float64, error) {
-	an, err := st.operate(i, http.MethodGet, "/v1/configuration", nil)
+// readConfiguration returns the configuration readConfiguration as gateway i reads it.
+func (st *setup) readConfiguration(i int) (uint64, float64, error) {
+	an, err := st.sendOperatorRequest(i, http.MethodGet, "/v1/configuration", nil)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -68,11 +68,11 @@
 	return cf.Version, cf.Set.Workspaces["alpha"].Weight, nil
 }
 
-func (st *stage) mustVersion(i int) uint64 {
+func (st *setup) currentVersion(i int) uint64 {
 	var v uint64
 	Expect(st.eventually(func() error {
 		var err error
-		v, _, err = st.version(i)
+		v, _, err = st.readConfiguration(i)
 
 		return err
 	})).To(Succeed())
@@ -82,9 +82,9 @@
 
 var _ = Describe("the numbered configuration", func() {
 	It("accepts one of many patches that race under one version number", func() {
-		st := newStage(stageConfig{})
+		st := newSetup(setupConfig{})
 		for round := range 10 {
-			base := st.mustVersion(0)
+			base := st.currentVersion(0)
 			var accepted, refused atomic.Int32
 			var wg sync.WaitGroup
 			for n := range 12 {
@@ -92,7 +92,7 @@
 				go func() {
 					defer wg.Done()
 					defer GinkgoRecover()
-					an, err := st.operate(n%3, http.MethodPost, "/v1/patches", weightPatch(fmt.Sprintf("race-%d-%d", round, n), base, float64(n+1)))
+					an, err := st.sendOperatorRequest(n%3, http.MethodPost, "/v1/patches", weightPatch(fmt.Sprintf("race-%d-%d", round, n), base, float64(n+1)))
 					Expect(err).NotTo(HaveOccurred())
 					if an.status == http.StatusOK {
 						accepted.Add(1)
@@ -106,46 +106,46 @@
 			wg.Wait()
 			Expect(accepted.Load()).To(Equal(int32(1)))
 			Expect(refused.Load()).To(Equal(int32(11)))
-			Expect(st.mustVersion(1)).To(Equal(base + 1))
+			Expect(st.currentVersion(1)).To(Equal(base + 1))
 		}
 	})
 
 	It("gives a resent patch its first answer, through another gateway and after a restart of all", func() {
-		st := newStage(stageConfig{})
-		base := st.mustVersion(0)
+		st := newSetup(setupConfig{})
+		base := st.currentVersion(0)
 		pa := weightPatch("resent", base, 3)
-		first, err := st.operate(0, http.MethodPost, "/v1/patches", pa)
+		first, err := st.sendOperatorRequest(0, http.MethodPost, "/v1/patches", pa)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(first.status).To(Equal(http.StatusOK))
 		refusedPatch := weightPatch("refused", base, 4)
-		refused, err := st.operate(0, http.MethodPost, "/v1/patches", refusedPatch)
+		refused, err := st.sendOperatorRequest(0, http.MethodPost, "/v1/patches", refusedPatch)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(refused.Error.Code).To(Equal(int(result.PatchVersionOld)))
 		for range 300 { // hundreds of changes lie between
-			base = st.mustVersion(1)
-			an, err := st.operate(1, http.MethodPost, "/v1/patches", weightPatch(fmt.Sprintf("between-%d", base), base, 1+rand.Float64()))
+			base = st.currentVersion(1)
+			an, err := st.sendOperatorRequest(1, http.MethodPost, "/v1/patches", weightPatch(fmt.Sprintf("between-%d", base), base, 1+rand.Float64()))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(an.status).To(Equal(http.StatusOK), an.body)
 		}
-		last := st.mustVersion(2)
+		last := st.currentVersion(2)
 		for i := range 3 {
 			st.KillGateway(i)
 		}
 		for i := range 3 {
 			Expect(st.StartGateway(i)).To(Succeed())
 		}
-		Expect(st.mustVersion(2)).To(Equal(last), "nothing reverts over a restart")
-		again, err := st.operate(2, http.MethodPost, "/v1/patches", pa)
+		Expect(st.currentVersion(2)).To(Equal(last), "nothing reverts over a restart")
+		again, err := st.sendOperatorRequest(2, http.MethodPost, "/v1/patches", pa)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(again.body).To(Equal(first.body))
-		again, err = st.operate(2, http.MethodPost, "/v1/patches", refusedPatch)
+		again, err = st.sendOperatorRequest(2, http.MethodPost, "/v1/patches", refusedPatch)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(again.body).To(Equal(refused.body))
-		Expect(st.mustVersion(0)).To(Equal(last))
+		Expect(st.currentVersion(0)).To(Equal(last))
 	})
 
 	It("is linearizable for racing operators through kills and restarts of gateways", func() {
-		st := newStage(stageConfig{})
+		st := newSetup(setupConfig{})
 		history := &history{}
 		stop := make(chan struct{})
 		var wg sync.WaitGroup
@@ -160,7 +160,7 @@
 					case <-stop:
 						return
 					default:
-						st.operation(history, c, n, rnd)
+						st.readAndPatch(history, c, n, rnd)
 					}
 				}
 			}()
@@ -278,11 +278,11 @@
 	return ok, unknown
 }
 
-// operation makes one read or one patch and notes it.
-func (st *stage) operation(hi *history, c, n int, rnd *rand.Rand) {
+// readAndPatch makes one read or one patch and notes it.
+func (st *setup) readAndPatch(hi *history, c, n int, rnd *rand.Rand) {
 	i := rnd.IntN(3)
 	call := time.Now().UnixNano()
-	v, w, err := st.version(i)
+	v, w, err := st.readConfiguration(i)
 	if err != nil {
 		return // a read that failed tells nothing
 	}
@@ -292,7 +292,7 @@
 
 	in := registerInput{base: v, weight: float64(1+c) + float64(n%900)/1000}
 	call = time.Now().UnixNano()
-	an, err := st.operate(rnd.IntN(3), http.MethodPost, "/v1/patches", weightPatch(fmt.Sprintf("h-%d-%d", c, n), v, in.weight))
+	an, err := st.sendOperatorRequest(rnd.IntN(3), http.MethodPost, "/v1/patches", weightPatch(fmt.Sprintf("h-%d-%d", c, n), v, in.weight))
 	out := registerOutput{}
 	end := time.Now().UnixNano()
 	switch {
@@ -308,9 +308,9 @@
 
 var _ = Describe("a gateway whose disk was emptied", func() {
 	It("joins as a new replica, takes the old one's place, and a second loss right after loses nothing", func() {
-		st := newStage(stageConfig{})
-		base := st.mustVersion(0)
-		_, err := st.operate(0, http.MethodPost, "/v1/patches", weightPatch("kept", base, 7))
+		st := newSetup(setupConfig{})
+		base := st.currentVersion(0)
+		_, err := st.sendOperatorRequest(0, http.MethodPost, "/v1/patches", weightPatch("kept", base, 7))
 		Expect(err).NotTo(HaveOccurred())
 		first := st.follower()
 		old := st.Gateway(first).Gateway().Group().Status().Replica
@@ -331,14 +331,14 @@
 
 		second := (first + 1) % 3
 		st.KillGateway(second)
-		v := st.mustVersion(first)
+		v := st.currentVersion(first)
 		Expect(v).To(BeNumerically(">=", base+1))
-		_, w, err := st.version(first)
+		_, w, err := st.readConfiguration(first)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(w).To(Equal(7.0))
 		var an answer
 		Expect(st.eventually(func() error {
-			an, err = st.operate(first, http.MethodPost, "/v1/patches", weightPatch("after the second loss", v, 8))
+			an, err = st.sendOperatorRequest(first, http.MethodPost, "/v1/patches", weightPatch("after the second loss", v, 8))
 
 			return err
 		})).To(Succeed())
@@ -346,28 +346,28 @@
 	})
 
 	It("refuses to start beside another cluster, under another name, or on an address in use", func() {
-		st := newStage(stageConfig{})
-		other := newStage(stageConfig{})
+		st := newSetup(setupConfig{})
+		other := newSetup(setupConfig{})
 		// The folder of the other cluster stands where this one's was.
 		st.KillGateway(0)
 		other.KillGateway(0)
 		se := *st.Settings(0)
 		se.DataFolder = other.Settings(0).DataFolder
-		Expect(st.startWith(se)).To(MatchError(ContainSubstring("dataFolderForeign")))
+		Expect(st.startWithSettings(se)).To(MatchError(ContainSubstring("dataFolderForeign")))
 		se = *st.Settings(0)
 		se.Name = "someone-else"
 		se.Founders = nil
 		se.Founders = append(se.Founders, settings.Founder{Name: "someone-else", Address: se.PeerAddress})
-		Expect(st.startWith(se)).To(MatchError(ContainSubstring("dataFolderForeign")))
+		Expect(st.startWithSettings(se)).To(MatchError(ContainSubstring("dataFolderForeign")))
 		se = *st.Settings(0)
 		se.CallerAddress = st.Settings(1).CallerAddress
-		Expect(st.startWith(se)).To(MatchError(ContainSubstring("addressInUse")))
+		Expect(st.startWithSettings(se)).To(MatchError(ContainSubstring("addressInUse")))
 	})
 })
 
 var _ = Describe("a gateway without a disk", func() {
 	It("follows the configuration, forwards commands and serves callers", func() {
-		st := newStage(stageConfig{services: 1, tune: func(se *settings.Gateway) {
+		st := newSetup(setupConfig{services: 1, tune: func(se *settings.Gateway) {
 			// One founder alone, a relay that follows it, and a gateway that follows the relay.
 			relay := se.Founders[1].Address
 			se.Founders = se.Founders[:1]
--- a/internal/endtoend/key_test.go
+++ b/internal/endtoend/key_test.go
@@ -23,12 +23,12 @@
 	"github.com/tamarackbay/tamarackbay/internal/settings"
 )
 
-const longStream = `{"model":"m","prompt":"stream","max_tokens":4000,"stream":true}`
+const longStreamBody = `{"model":"m","prompt":"stream","max_tokens":4000,"stream":true}`
 
-// stream opens a long stream at gateway i and returns a channel that gets its
+// openStream opens a long openStream at gateway i and returns a channel that gets its
 // last lines when it ends.
-func (st *stage) stream(i int, workspace string) <-chan []string {
-	rq, err := http.NewRequestWithContext(st.ctx, http.MethodPost, st.URLs()[i]+"/v1/completions", strings.NewReader(longStream))
+func (st *setup) openStream(i int, workspace string) <-chan []string {
+	rq, err := http.NewRequestWithContext(st.ctx, http.MethodPost, st.URLs()[i]+"/v1/completions", strings.NewReader(longStreamBody))
 	Expect(err).NotTo(HaveOccurred())
 	rq.Header.Set("Authorization", "Bearer "+st.token[workspace])
 	rs, err := http.DefaultClient.Do(rq)
@@ -52,23 +52,23 @@
 	return ended
 }
 
-var slowTokens = fake.EngineConfig{TokenTime: 20 * time.Millisecond}
+var slowEngine = fake.EngineConfig{TokenTime: 20 * time.Millisecond}
 
 var _ = Describe("a withdrawn key", func() {
-	const bound = 2 * time.Second // the promise is seconds; the issue says 2 s on a connected process
+	const withdrawalBound = 2 * time.Second // the promise is seconds; the issue says 2 s on a connected process
 
 	It("ends the running streams of its holder on every gateway and leaves others alone", func() {
-		st := newStage(stageConfig{engines: 2, services: 1, engine: slowTokens})
+		st := newSetup(setupConfig{engines: 2, services: 1, engine: slowEngine})
 		var ended []<-chan []string
 		for i := range 3 {
-			ended = append(ended, st.stream(i, "alpha"))
+			ended = append(ended, st.openStream(i, "alpha"))
 		}
-		other := st.stream(0, "beta")
+		other := st.openStream(0, "beta")
 		began := time.Now()
 		Expect(st.Operate(st.ctx, "POST", "/v1/keys/"+st.keyID["alpha"]+"/withdraw", nil, nil)).To(Succeed())
 		for i, ch := range ended {
 			var lines []string
-			Eventually(ch, bound).Should(Receive(&lines), "gateway %d", i)
+			Eventually(ch, withdrawalBound).Should(Receive(&lines), "gateway %d", i)
 			all := strings.Join(lines, "\n")
 			Expect(all).To(ContainSubstring(`"name":"withdrawnKey"`))
 			Expect(all).NotTo(ContainSubstring("[DONE]"))
@@ -86,7 +86,7 @@
 	}{{"then a gateway is lost", false}, {"after a gateway was lost", true}}
 	for _, tc := range orders {
 		It("stays withdrawn when it is withdrawn "+tc.name+" and the gateway comes back", func() {
-			st := newStage(stageConfig{services: 1})
+			st := newSetup(setupConfig{services: 1})
 			lost := st.Leader()
 			Expect(lost).To(BeNumerically(">=", 0))
 			withdraw := func() {
@@ -115,11 +115,11 @@
 	}
 
 	It("ends within the freshness bound on a gateway that is cut off from the group", func() {
-		st := newStage(stageConfig{engines: 1, engine: slowTokens, tune: func(se *settings.Gateway) {
+		st := newSetup(setupConfig{engines: 1, engine: slowEngine, tune: func(se *settings.Gateway) {
 			se.Times.FreshnessMs = 1500
 		}})
 		i := st.follower()
-		ended := st.stream(i, "alpha")
+		ended := st.openStream(i, "alpha")
 		for o := range 3 {
 			if o != i {
 				st.KillGateway(o) // nobody is left to tell it anything
@@ -127,7 +127,7 @@
 		}
 		cut := time.Now()
 		var lines []string
-		Eventually(ended, 1500*time.Millisecond+bound).Should(Receive(&lines))
+		Eventually(ended, 1500*time.Millisecond+withdrawalBound).Should(Receive(&lines))
 		GinkgoWriter.Println("cut off stream ended after", time.Since(cut))
 		Expect(strings.Join(lines, "\n")).To(ContainSubstring(`"name":"staleProcess"`))
 		an := st.send(i, "alpha", "GET", "/r/repeat/x", "")
@@ -155,14 +155,14 @@
 	It("is seen by no backend server, log, metric, error or file, wherever a caller puts it", func() {
 		logs := &lockedBuffer{}
 		folder := ""
-		st := newStage(stageConfig{engines: 1, services: 1, configure: func(cfg *deployment.Config) {
+		st := newSetup(setupConfig{engines: 1, services: 1, configure: func(cfg *deployment.Config) {
 			cfg.Log = &log.Logger{Handler: json.New(logs), Level: log.DebugLevel}
 			folder = cfg.Folder
 		}})
 		token := st.token["alpha"]
 		_, secret, ok := declaration.ParseToken(token)
 		Expect(ok).To(BeTrue())
-		tries := []struct {
+		requests := []struct {
 			path, body string
 			headers    []string
 			want       int
@@ -177,7 +177,7 @@
 			{"/v1/completions", `{"model":"m","prompt":"hello","max_tokens":4}`, nil, 200},
 		}
 		var answers strings.Builder
-		for _, tc := range tries {
+		for _, tc := range requests {
 			an := st.send(0, "alpha", http.MethodPost, tc.path, tc.body, tc.headers...)
 			Expect(an.status).To(Equal(tc.want), "%s: %+v", tc.path, an)
 			fmt.Fprintln(&answers, an.header, an.Error)
@@ -222,14 +222,14 @@
 	})
 
 	It("cannot be smuggled or injected past the gateway", func() {
-		st := newStage(stageConfig{services: 1})
+		st := newSetup(setupConfig{services: 1})
 		raw := []string{
 			"POST /r/repeat/a HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + st.token["alpha"] + "\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /r/alpha/smuggled HTTP/1.1\r\nHost: x\r\n\r\n",
 			"GET /r/repeat/b HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + st.token["beta"] + "\r\nX-Workspace: alpha\r\nX-A: 1\r\n X-Folded: alpha\r\n\r\n",
 			"GET /r/repeat/%0d%0aX-Injected:%201 HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + st.token["beta"] + "\r\n\r\n",
 		}
 		for _, r := range raw {
-			st.rawRequest(0, r)
+			st.sendRaw(0, r)
 		}
 		for _, sv := range st.Services() {
 			for _, r := range sv.Runs() {
--- a/internal/endtoend/ledger_test.go
+++ b/internal/endtoend/ledger_test.go
@@ -27,21 +27,21 @@
 	unknown bool
 }
 
-// pages is the state of a step as its trainers may see it.
-type pages struct {
+// ledgerState is the state of a step as its trainers may see it.
+type ledgerState struct {
 	formed uint64 // the last page that has its content
 	acked  uint64
 	body   string // of page formed, unformed content is not known yet
 }
 
-const notSeen = "formed by a fetch whose answer was lost"
+const unknownBody = "formed by a fetch whose answer was lost"
 
 // ledgerModel says that each page has one content, the next one comes after the
 // acknowledgement, and an acknowledged page never comes again.
 var ledgerModel = (&porcupine.NondeterministicModel{
-	Init: func() []any { return []any{pages{}} },
+	Init: func() []any { return []any{ledgerState{}} },
 	Step: func(state, input, output any) []any {
-		st, in, out := state.(pages), input.(pageInput), output.(pageOutput)
+		st, in, out := state.(ledgerState), input.(pageInput), output.(pageOutput)
 		if in.isAck {
 			return stepAck(st, in, out)
 		}
@@ -51,7 +51,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }).ToModel()
 
-func stepAck(st pages, in pageInput, out pageOutput) []any {
+func stepAck(st ledgerState, in pageInput, out pageOutput) []any {
 	next := st
 	next.acked = max(st.acked, in.page)
 	switch {
@@ -66,12 +66,12 @@
 	return nil
 }
 
-func stepFetch(st pages, in pageInput, out pageOutput) []any {
+func stepFetch(st ledgerState, in pageInput, out pageOutput) []any {
 	isNext := in.page == st.formed+1 && st.acked == st.formed
-	next := pages{formed: in.page, acked: st.acked, body: out.body}
+	next := ledgerState{formed: in.page, acked: st.acked, body: out.body}
 	switch {
 	case out.unknown && isNext:
-		next.body = notSeen
+		next.body = unknownBody
 
 		return []any{st, next}
 	case out.unknown, out.name == "pageNotReady":
@@ -84,7 +84,7 @@
 		return nil
 	case isNext:
 		return []any{next}
-	case in.page == st.formed && st.acked < in.page && (st.body == out.body || st.body == notSeen):
+	case in.page == st.formed && st.acked < in.page && (st.body == out.body || st.body == unknownBody):
 		return []any{next}
 	}
 
@@ -92,7 +92,7 @@
 }
 
 // trainerCall makes one fetch or acknowledgement at one gateway and notes it.
-func (st *stage) trainerCall(hi *ledgerHistory, c int, in pageInput, i int) pageOutput {
+func (st *setup) trainerCall(hi *ledgerHistory, c int, in pageInput, i int) pageOutput {
 	call := time.Now().UnixNano()
 	path := fmt.Sprintf("/v1/steps/s/pages/%d", in.page)
 	var an answer
@@ -130,7 +130,7 @@
 
 var _ = Describe("the ledger of a step", func() {
 	It("is linearizable for trainers that race for its pages while gateways are lost and come back", func() {
-		st := newStage(stageConfig{engines: 3})
+		st := newSetup(setupConfig{engines: 3})
 		Expect(st.Client(st.token["alpha"], 0).OpenStep(st.ctx, newStep("s", 12, 16, 24))).To(Succeed())
 		hi := &ledgerHistory{}
 		var wg sync.WaitGroup
--- a/internal/endtoend/step_test.go
+++ b/internal/endtoend/step_test.go
@@ -32,7 +32,7 @@
 	samples []client.Sample
 }
 
-func (co *collector) take(latest int, ss []client.Sample) {
+func (co *collector) checkSamples(latest int, ss []client.Sample) {
 	for _, s := range ss {
 		co.seen[s.ID]++
 		Expect(co.seen[s.ID]).To(Equal(1), "sample %s came twice", s.ID)
@@ -44,11 +44,11 @@
 		Expect(toks).To(HaveLen(s.Tokens))
 		for i, tok := range toks {
 			v, _, _ := strings.Cut(tok, ":")
-			named := false
+			covered := false
 			for _, vr := range s.Versions {
-				named = named || (vr.Version == v && i >= vr.From && i < vr.To)
+				covered = covered || (vr.Version == v && i >= vr.From && i < vr.To)
 			}
-			Expect(named).To(BeTrue(), "sample %s: token %d is of %s, its ranges are %v", s.ID, i, v, s.Versions)
+			Expect(covered).To(BeTrue(), "sample %s: token %d is of %s, its ranges are %v", s.ID, i, v, s.Versions)
 			var n int
 			_, err := fmt.Sscanf(v, "v%d", &n)
 			Expect(err).NotTo(HaveOccurred())
@@ -58,20 +58,20 @@
 }
 
 // collect fetches a whole step; during is called once the first page has come.
-func (st *stage) collect(cl *client.Client, id string, pushed *int, during func()) *collector {
+func (st *setup) collect(cl *client.Client, id string, pushed *int, onFirstPage func()) *collector {
 	co := &collector{seen: map[string]int{}}
 	latest := *pushed
 	defer func() {
 		if len(co.samples) > 0 && st.ctx.Err() == nil {
 			return
 		}
-		st.explain() // what hung
+		st.dumpState() // what hung
 	}()
 	Expect(cl.Samples(st.ctx, id, func(ss []client.Sample) error {
-		co.take(latest, ss)
-		if during != nil {
-			during()
-			during = nil
+		co.checkSamples(latest, ss)
+		if onFirstPage != nil {
+			onFirstPage()
+			onFirstPage = nil
 		}
 		latest = *pushed
 
@@ -81,8 +81,8 @@
 	return co
 }
 
-// explain writes what the gateways know when a step hangs.
-func (st *stage) explain() {
+// dumpState writes what the gateways know when a step hangs.
+func (st *setup) dumpState() {
 	for i := range 3 {
 		ga := st.Gateway(i).Gateway()
 		GinkgoWriter.Println("gateway", i, "steps", ga.Rollouts().Running(), "ready", ga.Ready(), "version", ga.Group().View().Version)
@@ -103,10 +103,10 @@
 	faults := []struct {
 		name   string
 		engine fake.EngineConfig
-		during func(st *stage, cl *client.Client, pushed *int)
+		inject func(st *setup, cl *client.Client, pushed *int)
 	}{
 		{"without a fault", fake.EngineConfig{}, nil},
-		{"while its gateway is killed", fake.EngineConfig{}, func(st *stage, _ *client.Client, _ *int) {
+		{"while its gateway is killed", fake.EngineConfig{}, func(st *setup, _ *client.Client, _ *int) {
 			for i := range 3 {
 				if st.Gateway(i).Gateway().Rollouts().Running() > 0 {
 					st.KillGateway(i)
@@ -115,28 +115,28 @@
 				}
 			}
 		}},
-		{"while the leader is killed", fake.EngineConfig{}, func(st *stage, _ *client.Client, _ *int) { st.KillGateway(st.Leader()) }},
-		{"while an engine crashes", fake.EngineConfig{}, func(st *stage, _ *client.Client, _ *int) { st.Engines()["engine-0"].Crash() }},
-		{"while a VM with an engine is lost", fake.EngineConfig{}, func(st *stage, _ *client.Client, _ *int) { st.KillServer("engine-1") }},
-		{"while its weights change twice", fake.EngineConfig{SwapTime: 30 * time.Millisecond}, func(st *stage, cl *client.Client, pushed *int) {
+		{"while the leader is killed", fake.EngineConfig{}, func(st *setup, _ *client.Client, _ *int) { st.KillGateway(st.Leader()) }},
+		{"while an engine crashes", fake.EngineConfig{}, func(st *setup, _ *client.Client, _ *int) { st.Engines()["engine-0"].Crash() }},
+		{"while a VM with an engine is lost", fake.EngineConfig{}, func(st *setup, _ *client.Client, _ *int) { st.KillServer("engine-1") }},
+		{"while its weights change twice", fake.EngineConfig{SwapTime: 30 * time.Millisecond}, func(st *setup, cl *client.Client, pushed *int) {
 			for _, v := range []string{"v2", "v3"} {
 				Expect(cl.PushVersion(st.ctx, "m", v, "x")).To(Succeed())
 				*pushed++
 				time.Sleep(100 * time.Millisecond)
 			}
 		}},
-		{"while weights change on engines that do not name them", fake.EngineConfig{IsSilent: true}, func(st *stage, cl *client.Client, pushed *int) {
+		{"while weights change on engines that do not name them", fake.EngineConfig{IsSilent: true}, func(st *setup, cl *client.Client, pushed *int) {
 			Expect(cl.PushVersion(st.ctx, "m", "v2", "x")).To(Succeed())
 			*pushed++
 		}},
-		{"while engines that do not name their weights crash and change", fake.EngineConfig{IsSilent: true, SwapTime: 5 * time.Millisecond}, func(st *stage, cl *client.Client, pushed *int) {
+		{"while engines that do not name their weights crash and change", fake.EngineConfig{IsSilent: true, SwapTime: 5 * time.Millisecond}, func(st *setup, cl *client.Client, pushed *int) {
 			Expect(cl.PushVersion(st.ctx, "m", "v2", "x")).To(Succeed())
 			*pushed++
 			time.Sleep(30 * time.Millisecond)
 			st.Engines()["engine-0"].Crash()
 			st.KillServer("engine-1")
 		}},
-		{"while swaps fail", fake.EngineConfig{SwapTime: 20 * time.Millisecond}, func(st *stage, cl *client.Client, pushed *int) {
+		{"while swaps fail", fake.EngineConfig{SwapTime: 20 * time.Millisecond}, func(st *setup, cl *client.Client, pushed *int) {
 			for _, en := range st.Engines() {
 				en.FailSwaps(2)
 			}
@@ -149,13 +149,13 @@
 	for _, tc := range faults {
 		It("gives each sample once, true and fresh, "+tc.name, func() {
 			tc.engine.TokenTime = 4 * time.Millisecond
-			st := newStage(stageConfig{engines: 3, engine: tc.engine})
+			st := newSetup(setupConfig{engines: 3, engine: tc.engine})
 			cl := st.Client(st.token["alpha"], 0)
 			pushed := 1
 			Expect(cl.OpenStep(st.ctx, newStep("s", 8, 30, 60))).To(Succeed())
 			co := st.collect(cl, "s", &pushed, func() {
-				if tc.during != nil {
-					tc.during(st, cl, &pushed)
+				if tc.inject != nil {
+					tc.inject(st, cl, &pushed)
 				}
 			})
 			Expect(co.samples).To(HaveLen(240))
@@ -167,7 +167,7 @@
 	}
 
 	It("gives the same bytes for the same page, through every gateway and after the loss of one holder", func() {
-		st := newStage(stageConfig{engines: 2})
+		st := newSetup(setupConfig{engines: 2})
 		cl := st.Client(st.token["alpha"], 0)
 		Expect(cl.OpenStep(st.ctx, newStep("s", 2, 10, 20))).To(Succeed())
 		const path = "/v1/steps/s/pages/1?waitMs=5000&max=8"
@@ -201,10 +201,10 @@
 	})
 
 	It("runs samples again under their IDs when all holders of a payload are lost", func() {
-		st := newStage(stageConfig{engines: 2})
+		st := newSetup(setupConfig{engines: 2})
 		cl := st.Client(st.token["alpha"], 0)
 		Expect(cl.OpenStep(st.ctx, newStep("s", 2, 20, 20))).To(Succeed())
-		won := func(i int) (n int, holders map[string]bool) {
+		wonSamples := func(i int) (n int, holders map[string]bool) {
 			holders = map[string]bool{}
 			st.Gateway(i).Gateway().Group().Read(func(ma *machine.Machine) {
 				s, err := ma.Steps().Get("alpha/s")
@@ -224,7 +224,7 @@
 			return n, holders
 		}
 		Expect(st.eventually(func() error {
-			if n, _ := won(1); n < 40 {
+			if n, _ := wonSamples(1); n < 40 {
 				return fmt.Errorf("%d won", n)
 			}
 
@@ -232,7 +232,7 @@
 		})).To(Succeed())
 		// Both holders are restarted one after the other: their memory is gone, the ledger is not.
 		for i := range 3 {
-			_, holders := won((i + 1) % 3)
+			_, holders := wonSamples((i + 1) % 3)
 			if holders[st.Settings(i).PeerAddress] {
 				st.KillGateway(i)
 				Expect(st.StartGateway(i)).To(Succeed())
@@ -246,7 +246,7 @@
 	})
 
 	It("may be opened again and is refused with other content", func() {
-		st := newStage(stageConfig{engines: 1})
+		st := newSetup(setupConfig{engines: 1})
 		open := func(i int, sn client.Step) answer {
 			b, err := json.Marshal(sn)
 			Expect(err).NotTo(HaveOccurred())
@@ -262,13 +262,13 @@
 
 var _ = Describe("a request that crashes engines", func() {
 	It("is refused after the second crash, everywhere and after a restart, and innocents are served", func() {
-		st := newStage(stageConfig{engines: 4, engine: fake.EngineConfig{TokenTime: 5 * time.Millisecond, Downtime: 300 * time.Millisecond}})
+		st := newSetup(setupConfig{engines: 4, engine: fake.EngineConfig{TokenTime: 5 * time.Millisecond, Downtime: 300 * time.Millisecond}})
 		cl := st.Client(st.token["beta"], 1)
-		innocent := make(chan error, 24)
+		others := make(chan error, 24)
 		for n := range 24 {
 			go func() {
 				_, err := cl.Complete(st.ctx, client.CompletionRequest{Model: "m", Prompt: fmt.Sprintf("innocent %d", n), MaxTokens: 60})
-				innocent <- err
+				others <- err
 			}()
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -276,7 +276,7 @@
 		first := st.send(0, "alpha", http.MethodPost, "/v1/completions", poison)
 		Expect(first.status).NotTo(Equal(http.StatusOK))
 		for range 24 {
-			Expect(<-innocent).To(Succeed())
+			Expect(<-others).To(Succeed())
 		}
 		var an answer
 		for i := range 6 {
--- a/internal/endtoend/suite_test.go
+++ b/internal/endtoend/suite_test.go
@@ -31,19 +31,19 @@
 // testLimit ends a test that hangs; no verdict depends on it otherwise.
 const testLimit = 60 * time.Second
 
-// stage is a deployment with two workspaces, one model and one plain service.
-type stage struct {
+// setup is a deployment with two workspaces, one model and one plain service.
+type setup struct {
 	*deployment.Deployment
 	ctx   context.Context
 	token map[string]string // by workspace
 	keyID map[string]string
 }
 
-type stageConfig struct {
+type setupConfig struct {
 	engines   int
 	services  int
 	engine    fake.EngineConfig
-	tune      func(se *settings.Gateway)
+	tune      func(se *settings.Gateway) // changes the settings of each gateway
 	configure func(cfg *deployment.Config)
 }
 
@@ -79,8 +79,8 @@
 	serviceClass = declaration.Class{Service: "s", Slots: 32, StartupMs: 1000}
 )
 
-// newStage starts a deployment and ends it with the test.
-func newStage(cfg stageConfig) *stage {
+// newSetup starts a deployment and ends it with the test.
+func newSetup(cfg setupConfig) *setup {
 	folder, err := os.MkdirTemp("", "tamarackbay-test-")
 	Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
@@ -107,7 +107,7 @@
 	}
 	de, err := deployment.Start(ctx, dc)
 	Expect(err).NotTo(HaveOccurred())
-	st := &stage{Deployment: de, ctx: ctx, token: map[string]string{}, keyID: map[string]string{}}
+	st := &setup{Deployment: de, ctx: ctx, token: map[string]string{}, keyID: map[string]string{}}
 	DeferCleanup(func() {
 		cancel()
 		de.Close()
@@ -126,17 +126,17 @@
 	}
 	Expect(de.WaitServers(ctx, "m", cfg.engines, "v1")).To(Succeed())
 	Expect(de.WaitServers(ctx, "s", cfg.services, "")).To(Succeed())
-	Expect(st.eventually(st.keysKnown)).To(Succeed())
+	Expect(st.eventually(st.checkKeysKnown)).To(Succeed())
 
 	return st
 }
 
-func (st *stage) eventually(f func() error) error {
+func (st *setup) eventually(f func() error) error {
 	return deployment.Until(st.ctx, f)
 }
 
-// keysKnown reports whether every gateway is ready and knows both keys.
-func (st *stage) keysKnown() error {
+// checkKeysKnown reports whether every gateway is ready and knows both keys.
+func (st *setup) checkKeysKnown() error {
 	for i := range 3 {
 		if err := st.Gateway(i).Gateway().Ready(); err != nil {
 			return err
@@ -166,7 +166,7 @@
 }
 
 // send makes one request at one gateway, without any retry.
-func (st *stage) send(i int, workspace, method, path, body string, headers ...string) answer {
+func (st *setup) send(i int, workspace, method, path, body string, headers ...string) answer {
 	rq, err := http.NewRequestWithContext(st.ctx, method, st.URLs()[i]+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	if t := st.token[workspace]; t != "" {
@@ -188,7 +188,7 @@
 }
 
 // runs counts the runs on all plain services whose path holds text.
-func (st *stage) runs(text string) int {
+func (st *setup) runs(text string) int {
 	n := 0
 	for _, sv := range st.Services() {
 		for _, r := range sv.Runs() {
@@ -202,10 +202,10 @@
 }
 
 // follower returns a gateway that does not lead the group.
-func (st *stage) follower() int { return (st.awaitLeader() + 1) % 3 }
+func (st *setup) follower() int { return (st.awaitLeader() + 1) % 3 }
 
 // awaitLeader returns the gateway that leads the group, once there is one.
-func (st *stage) awaitLeader() int {
+func (st *setup) awaitLeader() int {
 	ld := -1
 	Expect(st.eventually(func() error {
 		if ld = st.Leader(); ld < 0 {
@@ -218,8 +218,8 @@
 	return ld
 }
 
-// rawRequest writes bytes to a gateway and returns what it answers until it closes or is silent.
-func (st *stage) rawRequest(i int, text string) string {
+// sendRaw writes bytes to a gateway and returns what it answers until it closes or is silent.
+func (st *setup) sendRaw(i int, text string) string {
 	conn, err := net.Dial("tcp", st.Settings(i).CallerAddress)
 	Expect(err).NotTo(HaveOccurred())
 	defer conn.Close()
@@ -231,8 +231,8 @@
 	return string(b)
 }
 
-// startWith starts a gateway with other settings and returns why it did not go on.
-func (st *stage) startWith(se settings.Gateway) error {
+// startWithSettings starts a gateway with other settings and returns why it did not go on.
+func (st *setup) startWithSettings(se settings.Gateway) error {
 	pg, err := program.StartGateway(se, logging.Discard())
 	if err != nil {
 		return err
