--- a/internal/endtoend/call_test.go
+++ b/internal/endtoend/call_test.go
@@ -16,34 +16,34 @@
 	"github.com/tamarackbay/tamarackbay/internal/settings"
 )
 
-var _ = Describe("a request that may not be repeated", func() {
+var _ = Describe("a request that is not repeatable", func() {
 	// Each case injects a fault at one point of the request path and sends the request again
 	// through another gateway.
 	cases := []struct {
 		name      string
-		inject    func(st *setup, i int) // 150 ms after the request was sent to gateway i, while it runs
+		inject    func(st *setup, i int) // called once the service runs the request that was sent to gateway i
 		headers   []string
 		wantRuns  int
-		wantCodes []int // codes that the resend may get, 0 for the recorded answer
+		wantCodes []int // codes allowed for the resent request; 0 is the recorded response
 	}{
-		{"whose answer arrives", nil, nil, 1, []int{0}},
-		{"whose gateway is killed while it runs", func(st *setup, i int) { st.KillGateway(i) }, nil, 1, []int{int(result.CallOutcomeUnknown)}},
+		{"without a fault", nil, nil, 1, []int{0}},
+		{"while its gateway is killed", func(st *setup, i int) { st.KillGateway(i) }, nil, 1, []int{int(result.CallOutcomeUnknown)}},
 		{"while the leader is killed", func(st *setup, i int) {
 			if ld := st.Leader(); ld != i {
 				st.KillGateway(ld)
 			}
 		}, nil, 1, []int{0}},
-		{"whose agents are killed", func(st *setup, _ int) {
+		{"while the agents of all services are killed", func(st *setup, _ int) {
 			for n := range 2 {
 				st.KillServer(fmt.Sprintf("service-%d", n))
 			}
 		}, nil, 1, []int{int(result.CallOutcomeUnknown)}},
-		{"whose connection the service drops", nil, []string{fake.HeaderDrop, "1"}, 1, []int{int(result.CallOutcomeUnknown)}},
-		{"whose answer belongs to another request", nil, []string{fake.HeaderCross, "1"}, 1, []int{int(result.CallOutcomeUnknown)}},
-		{"whose answer is short", nil, []string{fake.HeaderShort, "1"}, 1, []int{int(result.CallOutcomeUnknown)}},
+		{"when the service drops the connection", nil, []string{fake.HeaderDrop, "1"}, 1, []int{int(result.CallOutcomeUnknown)}},
+		{"when the response belongs to another request", nil, []string{fake.HeaderCross, "1"}, 1, []int{int(result.CallOutcomeUnknown)}},
+		{"when the response is truncated", nil, []string{fake.HeaderShort, "1"}, 1, []int{int(result.CallOutcomeUnknown)}},
 	}
 	for n, tc := range cases {
-		It("runs at most once: "+tc.name, func() {
+		It("runs at most once "+tc.name, func() {
 			st := newSetup(setupConfig{services: 2})
 			i := st.follower()
 			key := fmt.Sprintf("case-%d", n)
@@ -56,7 +56,7 @@
 			if tc.inject != nil {
 				Expect(st.eventually(func() error {
 					if st.runs(key) == 0 {
-						return fmt.Errorf("not begun")
+						return fmt.Errorf("the request does not run yet")
 					}
 
 					return nil
@@ -72,7 +72,7 @@
 					again = st.send((i+2)%3, "alpha", http.MethodPost, "/r/once/"+key, "visit", headers...)
 				}
 				if again.err != nil || again.Error.Code == int(result.CallInFlight) || again.status == http.StatusServiceUnavailable {
-					return fmt.Errorf("not settled: %+v", again)
+					return fmt.Errorf("the outcome of the request is still pending: %+v", again)
 				}
 
 				return nil
@@ -82,7 +82,7 @@
 				Expect(again.header.Get("X-Replayed")).To(Equal("true"))
 				if first.err == nil && first.status == http.StatusOK {
 					Expect(again.body).To(Equal(first.body))
-					Expect(first.header.Get("Content-Length")).To(Equal(fmt.Sprint(len(first.body))), "the declared length is passed on")
+					Expect(first.header.Get("Content-Length")).To(Equal(fmt.Sprint(len(first.body))), "the declared length is forwarded")
 				}
 			} else {
 				Expect(again.Error.Execution).To(Equal("unknown"))
@@ -91,7 +91,7 @@
 		})
 	}
 
-	It("runs once for many callers that send it at the same time through all gateways", func() {
+	It("runs once when many callers send it concurrently through all gateways", func() {
 		st := newSetup(setupConfig{services: 2})
 		var wg sync.WaitGroup
 		for n := range 30 {
@@ -105,13 +105,13 @@
 		wg.Wait()
 		Expect(st.runs("many")).To(Equal(1))
 		other := st.send(0, "beta", http.MethodPost, "/r/once/many", "x", "Idempotency-Key", "many")
-		Expect(other.status).To(Equal(http.StatusOK), "another workspace's key is another key")
+		Expect(other.status).To(Equal(http.StatusOK), "idempotency keys of different workspaces are independent")
 		Expect(st.runs("many")).To(Equal(2))
 		reused := st.send(0, "alpha", http.MethodPost, "/r/once/many", "other", "Idempotency-Key", "many")
 		Expect(reused.Error.Code).To(Equal(int(result.IdempotencyReused)))
 	})
 
-	It("may be sent again after a refusal that says it has not run", func() {
+	It("may be sent again after a refusal with execution notRun", func() {
 		st := newSetup(setupConfig{})
 		first := st.send(0, "alpha", http.MethodPost, "/r/once/later", "x", "Idempotency-Key", "later")
 		Expect(first.Error.Code).To(Equal(int(result.NoBackendServer)))
@@ -126,7 +126,7 @@
 })
 
 var _ = Describe("a refusal", func() {
-	It("that says not run is true, through crashes of services, agents and a gateway", func() {
+	It("with execution notRun means that the request never ran, despite crashes of services, agents and a gateway", func() {
 		st := newSetup(setupConfig{services: 3, configure: func(cfg *deployment.Config) {
 			beta := cfg.Declarations.Workspaces["beta"]
 			beta.MaxInFlight = 3
@@ -166,9 +166,9 @@
 		st.KillGateway(2)
 		wg.Wait()
 		GinkgoWriter.Println(count)
-		Expect(refused).NotTo(BeEmpty(), "the storm brought about no such refusal: %v", count)
+		Expect(refused).NotTo(BeEmpty(), "no request was refused with execution notRun: %v", count)
 		for id, name := range refused {
-			Expect(st.runs(id)).To(BeZero(), "%s was refused with %s and ran", id, name)
+			Expect(st.runs(id)).To(BeZero(), "request %s was refused with %s as not run, but ran", id, name)
 		}
 		for w := range 12 {
 			for n := range 60 {
@@ -184,7 +184,7 @@
 	}{
 		{"a missing key", "none", "GET", "/r/repeat/x", "", nil, result.MissingKey},
 		{"an unknown key", "none", "GET", "/r/repeat/x", "", []string{"Authorization", "Bearer tbk_0000_1111"}, result.UnknownKey},
-		{"a key that is no key", "none", "GET", "/r/repeat/x", "", []string{"Authorization", "Bearer x"}, result.UnknownKey},
+		{"a malformed key", "none", "GET", "/r/repeat/x", "", []string{"Authorization", "Bearer x"}, result.UnknownKey},
 		{"an unknown route", "alpha", "GET", "/r/nowhere/x", "", nil, result.UnknownRoute},
 		{"an unknown route without a key", "none", "GET", "/r/nowhere/x", "", nil, result.MissingKey},
 		{"another workspace's route", "beta", "GET", "/r/alpha/x", "", nil, result.RouteNotAllowed},
@@ -193,17 +193,17 @@
 		{"an unknown field", "alpha", "POST", "/v1/completions", `{"model":"m","prompt":"x","colour":1}`, nil, result.MalformedBody},
 		{"a field out of range", "alpha", "POST", "/v1/completions", `{"model":"m","prompt":"x","max_tokens":9999999}`, nil, result.InvalidField},
 		{"a body over the limit", "alpha", "POST", "/r/repeat/x", string(make([]byte, 2<<20)), nil, result.BodyTooLarge},
-		{"a timeout that is no number", "alpha", "GET", "/r/repeat/x", "", []string{"X-Timeout-Ms", "soon"}, result.InvalidField},
+		{"a timeout that is not a number", "alpha", "GET", "/r/repeat/x", "", []string{"X-Timeout-Ms", "soon"}, result.InvalidField},
 		{"a step of another workspace", "beta", "GET", "/v1/steps/s1/pages/1?waitMs=1", "", nil, result.UnknownStep},
 		{"a trainer of another workspace", "beta", "POST", "/v1/steps", `{"id":"s","trainer":"t","groups":[]}`, nil, result.UnknownObject},
-		{"an acknowledgement of a page never sent", "alpha", "POST", "/v1/steps/bad/pages/4/ack", "", nil, result.PageNeverSent},
-		{"a page from the future", "alpha", "GET", "/v1/steps/bad/pages/7?waitMs=1", "", nil, result.PageFromFuture},
-		{"page zero", "alpha", "GET", "/v1/steps/bad/pages/0", "", nil, result.InvalidField},
-		{"a path that is not served", "alpha", "GET", "/v2", "", nil, result.UnknownRoute},
+		{"an acknowledgement of a page that was never sent", "alpha", "POST", "/v1/steps/bad/pages/4/ack", "", nil, result.PageNeverSent},
+		{"a page beyond the next one", "alpha", "GET", "/v1/steps/bad/pages/7?waitMs=1", "", nil, result.PageFromFuture},
+		{"page number 0", "alpha", "GET", "/v1/steps/bad/pages/0", "", nil, result.InvalidField},
+		{"an unknown path", "alpha", "GET", "/v2", "", nil, result.UnknownRoute},
 		{"headers over the limit", "alpha", "GET", "/r/repeat/x", "", []string{"X-Flood", strings.Repeat("x", 40_000)}, result.HeaderTooLarge},
-		{"a method that is not taken", "alpha", "GET", "/v1/completions", "", nil, result.MethodNotAllowed},
+		{"an unsupported method", "alpha", "GET", "/v1/completions", "", nil, result.MethodNotAllowed},
 	}
-	It("carries a numbered code for each kind of bad input", func() {
+	It("has the documented code for each kind of invalid request", func() {
 		st := newSetup(setupConfig{services: 1, tune: func(se *settings.Gateway) { se.Times.BodyMs = 300 }})
 		open := st.send(0, "alpha", "POST", "/v1/steps", `{"id":"bad","trainer":"t","groups":[{"id":"g","prompt":"p","samples":1,"maxTokens":4}]}`)
 		Expect(open.status).To(Equal(http.StatusOK), "%+v", open)
--- a/internal/endtoend/drain_test.go
+++ b/internal/endtoend/drain_test.go
@@ -19,8 +19,8 @@
 	"github.com/tamarackbay/tamarackbay/pkg/client"
 )
 
-// startStreamLoad keeps streams running through all gateways until stop is called,
-// which returns the number of whole streams and the errors.
+// startStreamLoad sends streaming requests from concurrent workers through all gateways until
+// stop is called. stop returns the number of completed streams and the errors of the others.
 func (st *setup) startStreamLoad(workers int) (stop func() (int64, []error)) {
 	var completed atomic.Int64
 	var mu sync.Mutex
@@ -59,7 +59,7 @@
 }
 
 var _ = Describe("a graceful shutdown", func() {
-	It("of agents under streaming load cuts no request and takes no new work", func() {
+	It("of an agent under streaming load breaks no request and accepts no new work", func() {
 		st := newSetup(setupConfig{engines: 3, engine: fake.EngineConfig{TokenTime: 5 * time.Millisecond}})
 		stop := st.startStreamLoad(9)
 		time.Sleep(200 * time.Millisecond)
@@ -78,13 +78,13 @@
 		completed, errs := stop()
 		Expect(errs).To(BeEmpty())
 		Expect(completed).To(BeNumerically(">", 20))
-		Expect(len(engine.Runs())).To(Equal(runs), "no new work from 2 s after the drain began")
+		Expect(len(engine.Runs())).To(Equal(runs), "the engine got new work later than 2 s after the drain began")
 		for _, r := range engine.Runs() {
 			Expect(r.Ended).To(BeTrue())
 		}
 	})
 
-	It("of a gateway under streaming load cuts no request", func() {
+	It("of a gateway under streaming load breaks no request and hands leadership over", func() {
 		st := newSetup(setupConfig{engines: 3, engine: fake.EngineConfig{TokenTime: 5 * time.Millisecond}})
 		leader := st.Leader()
 		u := st.URLs()[leader]
@@ -96,7 +96,8 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				// A balancer that follows the health check, with a lag.
+				// The worker stops using the gateway once its readiness check fails, as a balancer
+				// does with a delay.
 				cl := client.New(client.Config{Gateways: []string{u}, Token: st.token["alpha"]})
 				for n := 0; ; n++ {
 					select {
@@ -115,7 +116,7 @@
 						cut.Store(err.Error(), true)
 					}
 					if st.send(leader, "", http.MethodGet, "/readyz", "").status != http.StatusNoContent {
-						return // the balancer has moved on
+						return // a balancer would use another gateway now
 					}
 				}
 			}()
@@ -125,19 +126,20 @@
 		close(done)
 		wg.Wait()
 		cut.Range(func(k, _ any) bool {
-			Fail(fmt.Sprint("a stream was cut: ", k))
+			Fail(fmt.Sprint("a stream was broken off: ", k))
 
 			return false
 		})
 		Expect(completed.Load()).To(BeNumerically(">", 5))
 		Expect(st.Gateway(leader).Err()).NotTo(HaveOccurred())
 		next := -1
-		Eventually(func() int { next = st.Leader(); return next }, 2*time.Second).Should(BeNumerically(">=", 0), "the lead was handed over")
+		Eventually(func() int { next = st.Leader(); return next }, 2*time.Second).Should(BeNumerically(">=", 0), "leadership was not handed over")
 		Expect(next).NotTo(Equal(leader))
 	})
 })
 
-// newFleetSetup orders its backend servers through the ordering interface.
+// newFleetSetup returns a setup that orders its backend servers through the ordering
+// interface and reports usage.
 func newFleetSetup(tune func(cfg *deployment.Config)) *setup {
 	return newSetup(setupConfig{configure: func(cfg *deployment.Config) {
 		cfg.NoOrdering, cfg.NoUsage = false, false
@@ -153,12 +155,13 @@
 	}})
 }
 
-// checkFencing looks for two processes that gave orders in turns.
+// checkFencing checks that orders and usage reports were sent by one process at a time: fencing
+// numbers never decrease, and all orders with the same number come from the same process.
 func (st *setup) checkFencing() {
 	var top uint64
 	giver := map[uint64]string{}
 	for _, r := range st.Ordering.Records() {
-		Expect(r.Fencing).To(BeNumerically(">=", top), "an order of an earlier holder: %+v", r)
+		Expect(r.Fencing).To(BeNumerically(">=", top), "an order from an earlier lease holder: %+v", r)
 		top = r.Fencing
 		if g, ok := giver[r.Fencing]; ok {
 			Expect(r.Giver).To(Equal(g))
@@ -172,10 +175,11 @@
 	}
 }
 
+// checkRunning returns a function that fails unless n ordered backend servers run.
 func (st *setup) checkRunning(n int) func() error {
 	return func() error {
 		if r := len(st.Ordering.Running()); r != n {
-			return fmt.Errorf("%d backend servers run, not %d", r, n)
+			return fmt.Errorf("%d backend servers run, expected %d", r, n)
 		}
 
 		return nil
@@ -183,11 +187,11 @@
 }
 
 var _ = Describe("the fleet", func() {
-	It("orders what is needed once, through lost answers, an outage and changes of the leader", func() {
+	It("starts each backend server once despite lost responses, an outage of the interface and leader changes", func() {
 		st := newFleetSetup(nil)
 		Expect(st.WaitServers(st.ctx, "s", 3, "")).To(Succeed())
 		st.Ordering.DropAnswers(2)
-		st.KillServer(st.Ordering.Running()[0].Name) // lost without a word: it is replaced and given back
+		st.KillServer(st.Ordering.Running()[0].Name) // without a drain: it must be replaced and its order stopped
 		Expect(st.eventually(func() error {
 			stops := 0
 			for _, r := range st.Ordering.Records() {
@@ -196,7 +200,7 @@
 				}
 			}
 			if stops == 0 {
-				return fmt.Errorf("the lost backend server is still paid for")
+				return fmt.Errorf("the order of the lost backend server is not stopped yet")
 			}
 
 			return st.WaitServers(st.ctx, "s", 3, "")
@@ -226,11 +230,11 @@
 				}
 			}()
 		}
-		Expect(st.eventually(st.checkRunning(6))).To(Succeed(), "the load wants the maximum")
+		Expect(st.eventually(st.checkRunning(6))).To(Succeed(), "the load requires the maximum of backend servers")
 		Expect(st.WaitServers(st.ctx, "s", 6, "")).To(Succeed())
 		close(stop)
 		wg.Wait()
-		Expect(st.eventually(st.checkRunning(3))).To(Succeed(), "what is not needed is given back")
+		Expect(st.eventually(st.checkRunning(3))).To(Succeed(), "backend servers that are not needed are not stopped")
 		st.checkFencing()
 		byOrder := map[string]int{}
 		for _, r := range st.Ordering.Records() {
@@ -243,7 +247,7 @@
 		}
 	})
 
-	It("goes to nothing when idle and comes back for the first request", func() {
+	It("scales to zero when idle and scales up for the next request", func() {
 		st := newFleetSetup(func(cfg *deployment.Config) {
 			fl := cfg.Declarations.Fleet["service"]
 			fl.MinPerDomain = 0
@@ -269,7 +273,7 @@
 		checksFencing bool
 	}{{"that ignore fencing numbers", false}, {"that check fencing numbers", true}}
 	for _, tc := range engines {
-		It("is ordered by one process at a time while leaders are killed, with engines "+tc.name, func() {
+		It("receives orders from one process at a time while leaders are killed, with engines "+tc.name, func() {
 			st := newFleetSetup(func(cfg *deployment.Config) {
 				cfg.Declarations.Models["m"] = declaration.Model{StalenessBound: 1, SwapWave: 2, SwapMode: "continue"}
 			})
@@ -289,7 +293,7 @@
 			st.checkFencing()
 			var top uint64
 			for _, o := range st.Engines()["engine-x"].Orders() {
-				Expect(o.Fencing).To(BeNumerically(">=", top), "an order of an earlier holder reached the engine")
+				Expect(o.Fencing).To(BeNumerically(">=", top), "an order from an earlier lease holder reached the engine")
 				top = o.Fencing
 			}
 		})
@@ -297,7 +301,7 @@
 })
 
 var _ = Describe("usage", func() {
-	It("is reported once a window with the same bytes, and adds up to what the engines made", func() {
+	It("is reported with one content per window, and all reports add up to the tokens of the engines", func() {
 		st := newFleetSetup(func(cfg *deployment.Config) { cfg.Engine.TokenTime = time.Millisecond })
 		Expect(st.StartServer("engine-x", "engine", engineClass, "a", "")).To(Succeed())
 		Expect(st.WaitServers(st.ctx, "m", 1, "v1")).To(Succeed())
@@ -326,7 +330,7 @@
 			byWindow := map[uint64]string{}
 			for _, r := range st.Usage.Records() {
 				if old, ok := byWindow[r.Window]; ok {
-					Expect(r.Body).To(Equal(old), "window %d has two reports", r.Window)
+					Expect(r.Body).To(Equal(old), "window %d was reported with different contents", r.Window)
 
 					continue
 				}
--- a/internal/endtoend/group_test.go
+++ b/internal/endtoend/group_test.go
@@ -20,7 +20,8 @@
 	"github.com/tamarackbay/tamarackbay/internal/settings"
 )
 
-// sendOperatorRequest calls the operators' interface of one gateway, once.
+// sendOperatorRequest sends one request to the operators' interface of gateway i, without
+// retries.
 func (st *setup) sendOperatorRequest(i int, method, path string, in any) (answer, error) {
 	b, err := json.Marshal(in)
 	Expect(err).NotTo(HaveOccurred())
@@ -42,20 +43,22 @@
 	return an, an.err
 }
 
+// weightPatch returns a patch against version base that sets the weight of workspace alpha.
 func weightPatch(id string, base uint64, weight float64) declaration.Patch {
 	return declaration.Patch{ID: id, Base: base, Ops: []declaration.Op{
 		{Path: "workspaces/alpha", Value: json.RawMessage(fmt.Sprintf(`{"weight":%g}`, weight))},
 	}}
 }
 
-// readConfiguration returns the configuration readConfiguration as gateway i reads it.
+// readConfiguration returns the version of the configuration and the weight of workspace
+// alpha as gateway i reads them.
 func (st *setup) readConfiguration(i int) (uint64, float64, error) {
 	an, err := st.sendOperatorRequest(i, http.MethodGet, "/v1/configuration", nil)
 	if err != nil {
 		return 0, 0, err
 	}
 	if an.status != http.StatusOK {
-		return 0, 0, fmt.Errorf("status %d: %s", an.status, an.body)
+		return 0, 0, fmt.Errorf("reading the configuration: status %d: %s", an.status, an.body)
 	}
 	var cf struct {
 		Version uint64          `json:"version"`
@@ -68,6 +71,8 @@
 	return cf.Version, cf.Set.Workspaces["alpha"].Weight, nil
 }
 
+// currentVersion returns the configuration version at gateway i and retries until it can be
+// read.
 func (st *setup) currentVersion(i int) uint64 {
 	var v uint64
 	Expect(st.eventually(func() error {
@@ -81,7 +86,7 @@
 }
 
 var _ = Describe("the numbered configuration", func() {
-	It("accepts one of many patches that race under one version number", func() {
+	It("accepts exactly one of many concurrent patches against the same version", func() {
 		st := newSetup(setupConfig{})
 		for round := range 10 {
 			base := st.currentVersion(0)
@@ -110,7 +115,7 @@
 		}
 	})
 
-	It("gives a resent patch its first answer, through another gateway and after a restart of all", func() {
+	It("answers a resent patch with its first response, through another gateway and after a restart of all gateways", func() {
 		st := newSetup(setupConfig{})
 		base := st.currentVersion(0)
 		pa := weightPatch("resent", base, 3)
@@ -121,7 +126,7 @@
 		refused, err := st.sendOperatorRequest(0, http.MethodPost, "/v1/patches", refusedPatch)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(refused.Error.Code).To(Equal(int(result.PatchVersionOld)))
-		for range 300 { // hundreds of changes lie between
+		for range 300 { // hundreds of other changes before the patches are sent again
 			base = st.currentVersion(1)
 			an, err := st.sendOperatorRequest(1, http.MethodPost, "/v1/patches", weightPatch(fmt.Sprintf("between-%d", base), base, 1+rand.Float64()))
 			Expect(err).NotTo(HaveOccurred())
@@ -134,7 +139,7 @@
 		for i := range 3 {
 			Expect(st.StartGateway(i)).To(Succeed())
 		}
-		Expect(st.currentVersion(2)).To(Equal(last), "nothing reverts over a restart")
+		Expect(st.currentVersion(2)).To(Equal(last), "a restart must not revert a change")
 		again, err := st.sendOperatorRequest(2, http.MethodPost, "/v1/patches", pa)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(again.body).To(Equal(first.body))
@@ -144,7 +149,7 @@
 		Expect(st.currentVersion(0)).To(Equal(last))
 	})
 
-	It("is linearizable for racing operators through kills and restarts of gateways", func() {
+	It("is linearizable for concurrent operators while gateways are killed and restarted", func() {
 		st := newSetup(setupConfig{})
 		history := &history{}
 		stop := make(chan struct{})
@@ -180,20 +185,20 @@
 		close(stop)
 		wg.Wait()
 		ok, unknown := history.counts()
-		GinkgoWriter.Println("operations", ok, "with an unknown end", unknown)
+		GinkgoWriter.Println("operations", ok, "with an unknown outcome", unknown)
 		Expect(ok).To(BeNumerically(">", 100))
 		res := porcupine.CheckOperationsTimeout(configurationModel, history.operations(), 30*time.Second)
 		Expect(res).To(Equal(porcupine.Ok))
 	})
 })
 
-// registerInput is a patch against a base, or a read where base is 0.
+// registerInput is a patch against version base, or a read if base is 0.
 type registerInput struct {
 	base   uint64
 	weight float64
 }
 
-// registerOutput is what was answered; unknown patches may have been accepted or not.
+// registerOutput is the response. If unknown is set, the patch may have been accepted or not.
 type registerOutput struct {
 	version  uint64
 	weight   float64
@@ -201,14 +206,15 @@
 	unknown  bool
 }
 
+// register is the state of configurationModel.
 type register struct {
 	version uint64
 	weight  float64
 }
 
-// configurationModel is the configuration as one register with a version.
+// configurationModel models the configuration as one register with a version.
 var configurationModel = (&porcupine.NondeterministicModel{
-	Init: func() []any { return []any{nil} }, // the first operation tells the version the history starts from
+	Init: func() []any { return []any{nil} }, // the first read sets the initial version
 	Step: func(state, input, output any) []any {
 		in, out := input.(registerInput), output.(registerOutput)
 		if state == nil {
@@ -239,6 +245,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }).ToModel()
 
+// stepUnknownStart sets the state from the first successful read of a history.
 func stepUnknownStart(in registerInput, out registerOutput) []any {
 	if in.base == 0 && !out.unknown {
 		return []any{register{out.version, out.weight}}
@@ -247,6 +254,7 @@
 	return nil
 }
 
+// history collects the operations of concurrent clients.
 type history struct {
 	mu  sync.Mutex
 	ops []porcupine.Operation
@@ -278,13 +286,14 @@
 	return ok, unknown
 }
 
-// readAndPatch makes one read or one patch and notes it.
+// readAndPatch reads the configuration, patches the version that it read, and records both
+// operations.
 func (st *setup) readAndPatch(hi *history, c, n int, rnd *rand.Rand) {
 	i := rnd.IntN(3)
 	call := time.Now().UnixNano()
 	v, w, err := st.readConfiguration(i)
 	if err != nil {
-		return // a read that failed tells nothing
+		return // a failed read has no effect and returns nothing to check
 	}
 	hi.add(porcupine.Operation{
 		ClientId: c, Input: registerInput{}, Call: call, Output: registerOutput{version: v, weight: w}, Return: time.Now().UnixNano(),
@@ -297,7 +306,7 @@
 	end := time.Now().UnixNano()
 	switch {
 	case err != nil || an.status >= http.StatusInternalServerError:
-		out.unknown, end = true, int64(1)<<62 // it may take effect at any later time
+		out.unknown, end = true, int64(1)<<62 // the patch may take effect at any later time
 	case an.status == http.StatusOK:
 		var a declaration.Answer
 		Expect(json.Unmarshal([]byte(an.body), &a)).To(Succeed())
@@ -306,8 +315,8 @@
 	hi.add(porcupine.Operation{ClientId: c, Input: in, Call: call, Output: out, Return: end})
 }
 
-var _ = Describe("a gateway whose disk was emptied", func() {
-	It("joins as a new replica, takes the old one's place, and a second loss right after loses nothing", func() {
+var _ = Describe("a gateway that lost its disk", func() {
+	It("joins as a new replica and replaces the old one, so that the loss of a second gateway right after loses no data", func() {
 		st := newSetup(setupConfig{})
 		base := st.currentVersion(0)
 		_, err := st.sendOperatorRequest(0, http.MethodPost, "/v1/patches", weightPatch("kept", base, 7))
@@ -320,10 +329,10 @@
 		Expect(st.eventually(func() error {
 			s := st.Gateway(first).Gateway().Group().Status()
 			if s.Replica == old {
-				return fmt.Errorf("the old identity %s is back", old)
+				return fmt.Errorf("the gateway still has its old identity %s", old)
 			}
 			if !s.Membership.IsVoter(s.Replica) || s.Membership.IsVoter(old) || len(s.Membership.Voters) != 3 {
-				return fmt.Errorf("members %v", s.Membership)
+				return fmt.Errorf("the new replica has not replaced the old one yet: members %v", s.Membership)
 			}
 
 			return nil
@@ -345,10 +354,10 @@
 		Expect(an.status).To(Equal(http.StatusOK), an.body)
 	})
 
-	It("refuses to start beside another cluster, under another name, or on an address in use", func() {
+	It("refuses to start with the data folder of another cluster, under another name, or on an address in use", func() {
 		st := newSetup(setupConfig{})
 		other := newSetup(setupConfig{})
-		// The folder of the other cluster stands where this one's was.
+		// The gateway gets the data folder of a gateway of the other cluster.
 		st.KillGateway(0)
 		other.KillGateway(0)
 		se := *st.Settings(0)
@@ -368,7 +377,8 @@
 var _ = Describe("a gateway without a disk", func() {
 	It("follows the configuration, forwards commands and serves callers", func() {
 		st := newSetup(setupConfig{services: 1, tune: func(se *settings.Gateway) {
-			// One founder alone, a relay that follows it, and a gateway that follows the relay.
+			// One founder, a relay that follows it, and a gateway that follows the relay. Only the
+			// founder has a disk.
 			relay := se.Founders[1].Address
 			se.Founders = se.Founders[:1]
 			if se.Name != "gateway-1" {
@@ -388,6 +398,6 @@
 		Expect(st.Operate(st.ctx, "POST", "/v1/keys/"+st.keyID["alpha"]+"/withdraw", nil, nil)).To(Succeed())
 		Eventually(func() int { return st.send(2, "alpha", "GET", "/r/repeat/learner", "").Error.Code }, 2*time.Second).
 			Should(Equal(int(result.WithdrawnKey)))
-		Expect(st.Gateway(2).Gateway().Meter().Value("feed.full")).To(Equal(int64(1)), "changes come as deltas, through the relay too")
+		Expect(st.Gateway(2).Gateway().Meter().Value("feed.full")).To(Equal(int64(1)), "changes arrive as deltas, also through the relay")
 	})
 })
--- a/internal/endtoend/key_test.go
+++ b/internal/endtoend/key_test.go
@@ -23,10 +23,11 @@
 	"github.com/tamarackbay/tamarackbay/internal/settings"
 )
 
+// longStreamBody requests a stream that outlasts the test.
 const longStreamBody = `{"model":"m","prompt":"stream","max_tokens":4000,"stream":true}`
 
-// openStream opens a long openStream at gateway i and returns a channel that gets its
-// last lines when it ends.
+// openStream opens a long stream at gateway i, waits for its first line, and returns a channel
+// that receives all lines once the stream ends.
 func (st *setup) openStream(i int, workspace string) <-chan []string {
 	rq, err := http.NewRequestWithContext(st.ctx, http.MethodPost, st.URLs()[i]+"/v1/completions", strings.NewReader(longStreamBody))
 	Expect(err).NotTo(HaveOccurred())
@@ -55,9 +56,9 @@
 var slowEngine = fake.EngineConfig{TokenTime: 20 * time.Millisecond}
 
 var _ = Describe("a withdrawn key", func() {
-	const withdrawalBound = 2 * time.Second // the promise is seconds; the issue says 2 s on a connected process
+	const withdrawalBound = 2 * time.Second // documented as seconds; required to be 2 s on a connected process
 
-	It("ends the running streams of its holder on every gateway and leaves others alone", func() {
+	It("ends the streams that run under it on every gateway and no others", func() {
 		st := newSetup(setupConfig{engines: 2, services: 1, engine: slowEngine})
 		var ended []<-chan []string
 		for i := range 3 {
@@ -83,9 +84,9 @@
 	orders := []struct {
 		name      string
 		killFirst bool
-	}{{"then a gateway is lost", false}, {"after a gateway was lost", true}}
+	}{{"before a gateway is killed", false}, {"after a gateway is killed", true}}
 	for _, tc := range orders {
-		It("stays withdrawn when it is withdrawn "+tc.name+" and the gateway comes back", func() {
+		It("stays withdrawn when it is withdrawn "+tc.name+" and the gateway is restarted", func() {
 			st := newSetup(setupConfig{services: 1})
 			lost := st.Leader()
 			Expect(lost).To(BeNumerically(">=", 0))
@@ -100,12 +101,12 @@
 				st.KillGateway(lost)
 			}
 			Expect(st.StartGateway(lost)).To(Succeed())
-			// From its first answer on, the gateway knows of the withdrawal.
+			// The gateway must apply the withdrawal from its first response on.
 			Expect(st.eventually(func() error {
 				an := st.send(lost, "alpha", "GET", "/r/repeat/after", "")
 				Expect(an.status).NotTo(Equal(http.StatusOK))
 				if an.Error.Code != int(result.WithdrawnKey) {
-					return fmt.Errorf("answered %+v", an)
+					return fmt.Errorf("expected the refusal of a withdrawn key, got %+v", an)
 				}
 
 				return nil
@@ -114,7 +115,7 @@
 		})
 	}
 
-	It("ends within the freshness bound on a gateway that is cut off from the group", func() {
+	It("loses its streams within the freshness bound on a gateway that is cut off from the group", func() {
 		st := newSetup(setupConfig{engines: 1, engine: slowEngine, tune: func(se *settings.Gateway) {
 			se.Times.FreshnessMs = 1500
 		}})
@@ -122,23 +123,23 @@
 		ended := st.openStream(i, "alpha")
 		for o := range 3 {
 			if o != i {
-				st.KillGateway(o) // nobody is left to tell it anything
+				st.KillGateway(o) // no process is left that could send it a withdrawal
 			}
 		}
 		cut := time.Now()
 		var lines []string
 		Eventually(ended, 1500*time.Millisecond+withdrawalBound).Should(Receive(&lines))
-		GinkgoWriter.Println("cut off stream ended after", time.Since(cut))
+		GinkgoWriter.Println("the stream of the gateway that was cut off ended after", time.Since(cut))
 		Expect(strings.Join(lines, "\n")).To(ContainSubstring(`"name":"staleProcess"`))
 		an := st.send(i, "alpha", "GET", "/r/repeat/x", "")
 		Expect(an.Error.Code).To(Equal(int(result.StaleProcess)))
 		Expect(an.Error.Execution).To(Equal("notRun"))
-		Expect(st.send(i, "", "GET", "/readyz", "").status).To(Equal(http.StatusServiceUnavailable), "the balancer moves on")
+		Expect(st.send(i, "", "GET", "/readyz", "").status).To(Equal(http.StatusServiceUnavailable), "the readiness check must fail so that a balancer uses other gateways")
 		Expect(st.send(i, "", "GET", "/healthz", "").status).To(Equal(http.StatusNoContent))
 	})
 })
 
-// lockedBuffer collects the logs of all processes.
+// lockedBuffer collects the logs of all processes and is safe for concurrent writes.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -152,7 +153,7 @@
 }
 
 var _ = Describe("a key", func() {
-	It("is seen by no backend server, log, metric, error or file, wherever a caller puts it", func() {
+	It("reaches no backend server, log, metric, error or file, wherever a caller puts it", func() {
 		logs := &lockedBuffer{}
 		folder := ""
 		st := newSetup(setupConfig{engines: 1, services: 1, configure: func(cfg *deployment.Config) {
@@ -193,9 +194,9 @@
 				fmt.Fprintln(&seen, r.Headers, r.Prompt)
 			}
 		}
-		Expect(seen.String()).To(ContainSubstring("plain"), "the search has something to look at")
-		Expect(seen.String()).NotTo(ContainSubstring(secret), "a backend server saw the key")
-		Expect(answers.String()).NotTo(ContainSubstring(secret), "an answer holds the key")
+		Expect(seen.String()).To(ContainSubstring("plain"), "the plain request must have reached a backend server")
+		Expect(seen.String()).NotTo(ContainSubstring(secret), "a backend server received the key")
+		Expect(answers.String()).NotTo(ContainSubstring(secret), "a response contains the key")
 		rs, err := http.Get("http://" + st.Settings(0).OperatorAddress + "/metrics")
 		Expect(err).NotTo(HaveOccurred())
 		var metrics bytes.Buffer
@@ -214,14 +215,14 @@
 			}
 			files++
 			b, err := os.ReadFile(p)
-			Expect(bytes.Contains(b, []byte(secret))).To(BeFalse(), "file %s holds the key", p)
+			Expect(bytes.Contains(b, []byte(secret))).To(BeFalse(), "file %s contains the key", p)
 
 			return err
 		})).To(Succeed())
 		Expect(files).To(BeNumerically(">", 3))
 	})
 
-	It("cannot be smuggled or injected past the gateway", func() {
+	It("cannot be bypassed by request smuggling or header injection", func() {
 		st := newSetup(setupConfig{services: 1})
 		raw := []string{
 			"POST /r/repeat/a HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + st.token["alpha"] + "\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /r/alpha/smuggled HTTP/1.1\r\nHost: x\r\n\r\n",
--- a/internal/endtoend/ledger_test.go
+++ b/internal/endtoend/ledger_test.go
@@ -14,30 +14,32 @@
 	. "github.com/onsi/gomega"
 )
 
-// pageInput is a fetch or an acknowledgement of a page.
+// pageInput is a fetch of a page or an acknowledgement of one.
 type pageInput struct {
 	page  uint64
 	isAck bool
 }
 
-// pageOutput is the answer: a body, or the name of a refusal; unknown when it was lost.
+// pageOutput is the response: a body or the name of a refusal. unknown is set if the response
+// was lost.
 type pageOutput struct {
 	body    string
 	name    string
 	unknown bool
 }
 
-// ledgerState is the state of a step as its trainers may see it.
+// ledgerState is the state of the ledger of a step as its trainers can observe it.
 type ledgerState struct {
-	formed uint64 // the last page that has its content
+	formed uint64 // the last page whose content is fixed
 	acked  uint64
-	body   string // of page formed, unformed content is not known yet
+	body   string // of the last formed page, or unknownBody
 }
 
+// unknownBody stands for the content of a page that no trainer has received yet.
 const unknownBody = "formed by a fetch whose answer was lost"
 
-// ledgerModel says that each page has one content, the next one comes after the
-// acknowledgement, and an acknowledged page never comes again.
+// ledgerModel specifies that each page has one content, that the next page is served only
+// after the page before was acknowledged, and that an acknowledged page is never served again.
 var ledgerModel = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{ledgerState{}} },
 	Step: func(state, input, output any) []any {
@@ -51,6 +53,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }).ToModel()
 
+// stepAck returns the states that may follow an acknowledgement.
 func stepAck(st ledgerState, in pageInput, out pageOutput) []any {
 	next := st
 	next.acked = max(st.acked, in.page)
@@ -66,6 +69,7 @@
 	return nil
 }
 
+// stepFetch returns the states that may follow a fetch.
 func stepFetch(st ledgerState, in pageInput, out pageOutput) []any {
 	isNext := in.page == st.formed+1 && st.acked == st.formed
 	next := ledgerState{formed: in.page, acked: st.acked, body: out.body}
@@ -91,7 +95,7 @@
 	return nil
 }
 
-// trainerCall makes one fetch or acknowledgement at one gateway and notes it.
+// trainerCall sends one fetch or acknowledgement to gateway i and records it.
 func (st *setup) trainerCall(hi *ledgerHistory, c int, in pageInput, i int) pageOutput {
 	call := time.Now().UnixNano()
 	path := fmt.Sprintf("/v1/steps/s/pages/%d", in.page)
@@ -106,7 +110,7 @@
 		defer hi.mu.Unlock()
 		hi.refused++
 
-		return pageOutput{unknown: true} // no gateway got it, so it can have no effect
+		return pageOutput{unknown: true} // no gateway received it, so it has no effect and is not recorded
 	}
 	out, end := pageOutput{name: an.Error.Name}, time.Now().UnixNano()
 	switch {
@@ -122,6 +126,7 @@
 	return out
 }
 
+// ledgerHistory collects the operations of concurrent trainers.
 type ledgerHistory struct {
 	mu      sync.Mutex
 	ops     []porcupine.Operation
@@ -129,7 +134,7 @@
 }
 
 var _ = Describe("the ledger of a step", func() {
-	It("is linearizable for trainers that race for its pages while gateways are lost and come back", func() {
+	It("is linearizable for concurrent trainers while gateways are killed and restarted", func() {
 		st := newSetup(setupConfig{engines: 3})
 		Expect(st.Client(st.token["alpha"], 0).OpenStep(st.ctx, newStep("s", 12, 16, 24))).To(Succeed())
 		hi := &ledgerHistory{}
@@ -157,7 +162,7 @@
 					case out.name == "pageFromFuture" && page > 1:
 						page--
 					}
-					switch rnd.IntN(20) { // what no good client does
+					switch rnd.IntN(20) { // requests that a correct client never sends
 					case 0:
 						st.trainerCall(hi, c, pageInput{page: page + 3, isAck: true}, rnd.IntN(3))
 					case 1:
@@ -187,7 +192,7 @@
 			}
 		}
 		GinkgoWriter.Println("operations", len(hi.ops), "unknown", unknown, "refused", hi.refused, "pages", len(bodies))
-		Expect(len(bodies)).To(BeNumerically(">", 4), "the trainers got on")
+		Expect(len(bodies)).To(BeNumerically(">", 4), "the trainers must have received several pages")
 		Expect(porcupine.CheckOperationsTimeout(ledgerModel, hi.ops, 30*time.Second)).To(Equal(porcupine.Ok))
 	})
 })
--- a/internal/endtoend/suite_test.go
+++ b/internal/endtoend/suite_test.go
@@ -1,3 +1,5 @@
+// Package endtoend_test runs complete deployments in one process, injects faults, and
+// checks what callers, trainers, operators and backend servers observe.
 package endtoend_test
 
 import (
@@ -28,25 +30,28 @@
 	suite.Run(t, "end to end")
 }
 
-// testLimit ends a test that hangs; no verdict depends on it otherwise.
+// testLimit is the timeout of a test that hangs. No test result depends on it otherwise.
 const testLimit = 60 * time.Second
 
-// setup is a deployment with two workspaces, one model and one plain service.
+// setup is a running deployment with three gateways, two workspaces, one model and one
+// plain service.
 type setup struct {
 	*deployment.Deployment
 	ctx   context.Context
-	token map[string]string // by workspace
+	token map[string]string // keyed by workspace
 	keyID map[string]string
 }
 
+// setupConfig selects the backend servers and settings of a setup.
 type setupConfig struct {
 	engines   int
 	services  int
 	engine    fake.EngineConfig
-	tune      func(se *settings.Gateway) // changes the settings of each gateway
-	configure func(cfg *deployment.Config)
+	tune      func(se *settings.Gateway)   // changes the settings of each gateway
+	configure func(cfg *deployment.Config) // changes the configuration of the deployment
 }
 
+// declarations returns the initial configuration of a setup.
 func declarations() *declaration.Set {
 	set := declaration.NewSet()
 	for _, w := range []string{"alpha", "beta"} {
@@ -79,7 +84,7 @@
 	serviceClass = declaration.Class{Service: "s", Slots: 32, StartupMs: 1000}
 )
 
-// newSetup starts a deployment and ends it with the test.
+// newSetup starts a deployment, waits until it serves, and stops it at the end of the test.
 func newSetup(cfg setupConfig) *setup {
 	folder, err := os.MkdirTemp("", "tamarackbay-test-")
 	Expect(err).NotTo(HaveOccurred())
@@ -131,11 +136,13 @@
 	return st
 }
 
+// eventually retries f until it succeeds or the test times out.
 func (st *setup) eventually(f func() error) error {
 	return deployment.Until(st.ctx, f)
 }
 
-// checkKeysKnown reports whether every gateway is ready and knows both keys.
+// checkKeysKnown returns an error unless every gateway is ready and has the keys of both
+// workspaces.
 func (st *setup) checkKeysKnown() error {
 	for i := range 3 {
 		if err := st.Gateway(i).Gateway().Ready(); err != nil {
@@ -143,7 +150,7 @@
 		}
 		for w, id := range st.keyID {
 			if _, ok := st.Gateway(i).Gateway().Group().View().Set.Keys[id]; !ok {
-				return fmt.Errorf("gateway %d does not know the key of %s", i, w)
+				return fmt.Errorf("gateway %d has not received the key of workspace %s", i, w)
 			}
 		}
 	}
@@ -151,12 +158,12 @@
 	return nil
 }
 
-// answer is a caller's view of one request.
+// answer is the response to one request as the caller receives it.
 type answer struct {
 	status int
 	header http.Header
 	body   string
-	err    error // the connection broke
+	err    error // the request failed or the response could not be read
 
 	Error struct {
 		Code      int    `json:"code"`
@@ -165,7 +172,8 @@
 	} `json:"error"`
 }
 
-// send makes one request at one gateway, without any retry.
+// send sends one request to gateway i, without retries. The headers are pairs of name and
+// value.
 func (st *setup) send(i int, workspace, method, path, body string, headers ...string) answer {
 	rq, err := http.NewRequestWithContext(st.ctx, method, st.URLs()[i]+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
@@ -182,12 +190,13 @@
 	defer rs.Body.Close()
 	b, err := io.ReadAll(rs.Body)
 	an := answer{status: rs.StatusCode, header: rs.Header, body: string(b), err: err}
-	_ = json.Unmarshal(b, &an) // answers that are no error stay without one
+	_ = json.Unmarshal(b, &an) // a response without an error leaves the field empty
 
 	return an
 }
 
-// runs counts the runs on all plain services whose path holds text.
+// runs returns the number of requests that all plain services ran and whose path and query
+// contain text.
 func (st *setup) runs(text string) int {
 	n := 0
 	for _, sv := range st.Services() {
@@ -201,15 +210,15 @@
 	return n
 }
 
-// follower returns a gateway that does not lead the group.
+// follower waits for a leader and returns the index of a gateway that is a follower.
 func (st *setup) follower() int { return (st.awaitLeader() + 1) % 3 }
 
-// awaitLeader returns the gateway that leads the group, once there is one.
+// awaitLeader waits for a leader of the group and returns its index.
 func (st *setup) awaitLeader() int {
 	ld := -1
 	Expect(st.eventually(func() error {
 		if ld = st.Leader(); ld < 0 {
-			return fmt.Errorf("no leader")
+			return fmt.Errorf("the group has no leader")
 		}
 
 		return nil
@@ -218,7 +227,8 @@
 	return ld
 }
 
-// sendRaw writes bytes to a gateway and returns what it answers until it closes or is silent.
+// sendRaw writes text to the caller address of gateway i and returns what the gateway sends
+// until it closes the connection or a second passes.
 func (st *setup) sendRaw(i int, text string) string {
 	conn, err := net.Dial("tcp", st.Settings(i).CallerAddress)
 	Expect(err).NotTo(HaveOccurred())
@@ -226,12 +236,13 @@
 	_, err = conn.Write([]byte(text))
 	Expect(err).NotTo(HaveOccurred())
 	Expect(conn.SetReadDeadline(time.Now().Add(time.Second))).To(Succeed())
-	b, _ := io.ReadAll(conn) // a gateway may keep the connection open
+	b, _ := io.ReadAll(conn) // the deadline ends the read if the gateway keeps the connection open
 
 	return string(b)
 }
 
-// startWithSettings starts a gateway with other settings and returns why it did not go on.
+// startWithSettings starts a gateway with the settings se and returns the error that it ended
+// with. A gateway that still runs after 5 s is killed.
 func (st *setup) startWithSettings(se settings.Gateway) error {
 	pg, err := program.StartGateway(se, logging.Discard())
 	if err != nil {
