--- a/soak/deployment_test.go
+++ b/soak/deployment_test.go
@@ -23,29 +23,29 @@
 )
 
 const (
-	// beatPeriod is how often a backend server sends a heartbeat, half of what the
+	// heartbeatPeriod is how often a backend server sends a heartbeat, half of what the
 	// settings promise.
-	beatPeriod = 150 * time.Millisecond
+	heartbeatPeriod = 150 * time.Millisecond
 	// readyWithin bounds the start of the deployment.
 	readyWithin = 20 * time.Second
 	// callTimeout is the patience of a caller, above the longest timeout of a route
 	// for plain requests.
 	callTimeout = 5 * time.Second
 	gracePeriod = 6 * time.Second
-	// warmUp begins the IDs of requests that are sent until the deployment serves.
-	warmUp = "warm-"
+	// warmUpPrefix begins the IDs of requests that are sent until the deployment serves.
+	warmUpPrefix = "warm-"
 )
 
 // deployment is the programs as processes, the network between them, and the other
 // side of the dialect.
 type deployment struct {
-	processes []*process
-	servers   []*standin.BackendServer
-	behind    map[*standin.BackendServer]string // where each listens, behind the network
-	cloud     *standin.Cloud
-	network   *network
-	caller    *standin.Caller
-	cancel    context.CancelFunc
+	processes       []*process
+	servers         []*standin.BackendServer
+	listenAddresses map[*standin.BackendServer]string // where each listens, behind the network
+	cloud           *standin.Cloud
+	network         *network
+	caller          *standin.Caller
+	cancel          context.CancelFunc
 }
 
 // hosts are the loopback IP numbers of one run: 127.<subnet>.<kind>.<n>.
@@ -65,11 +65,11 @@
 	if err != nil {
 		return nil, err
 	}
-	hidden, err := standin.FreePorts()
+	internalPorts, err := standin.FreePorts()
 	if err != nil {
 		return nil, err
 	}
-	de := &deployment{network: newNetwork(), behind: map[*standin.BackendServer]string{}}
+	de := &deployment{network: newNetwork(), listenAddresses: map[*standin.BackendServer]string{}}
 	ctx, de.cancel = context.WithCancel(ctx)
 	if de.cloud, err = standin.StartCloud(); err != nil {
 		return nil, err
@@ -82,7 +82,7 @@
 		for i := range n {
 			ip := host(cfg.Subnet, kind, i)
 			pr := &process{
-				role: role, ip: ip, binary: cfg.Binary, folder: cfg.Folder, peerListen: fmt.Sprintf("%s:%d", ip, hidden.Peers),
+				role: role, ip: ip, binary: cfg.Binary, folder: cfg.Folder, peerListen: fmt.Sprintf("%s:%d", ip, internalPorts.Peers),
 				boot: standin.Boot{
 					Name: fmt.Sprintf("%s-%d", role, i+1), IP: ip, Ports: ports, Controllers: de.caller.Control, Cloud: de.cloud.Address(),
 					Grace: gracePeriod, Window: 5 * time.Second, Lease: 3 * time.Second,
@@ -104,7 +104,7 @@
 	}
 	err = errors.Join(
 		add(program.RoleController, hostController, cfg.Controllers), add(program.RoleStore, hostStore, cfg.Stores),
-		add(program.RoleGateway, hostGateway, cfg.Gateways), de.addServers(ctx, cfg, ports.Clients, hidden.Clients),
+		add(program.RoleGateway, hostGateway, cfg.Gateways), de.addServers(ctx, cfg, ports.Clients, internalPorts.Clients),
 	)
 	if err == nil {
 		err = de.awaitReady(ctx)
@@ -116,7 +116,7 @@
 	return de, nil
 }
 
-func (de *deployment) addServers(ctx context.Context, cfg *Config, port, hidden int) error {
+func (de *deployment) addServers(ctx context.Context, cfg *Config, port, internalPort int) error {
 	for i := range cfg.Plain + cfg.Engines {
 		bs := standin.NewBackendServer(fmt.Sprintf("p%d", i), servicePlain)
 		if i >= cfg.Plain {
@@ -125,11 +125,11 @@
 		}
 		ip := host(cfg.Subnet, hostServer, i)
 		bs.Address = fmt.Sprintf("%s:%d", ip, port)
-		de.behind[bs] = fmt.Sprintf("%s:%d", ip, hidden)
-		if err := de.network.forward(bs.Address, de.behind[bs], false); err != nil {
+		de.listenAddresses[bs] = fmt.Sprintf("%s:%d", ip, internalPort)
+		if err := de.network.forward(bs.Address, de.listenAddresses[bs], false); err != nil {
 			return err
 		}
-		if err := bs.Start(de.behind[bs]); err != nil {
+		if err := bs.Start(de.listenAddresses[bs]); err != nil {
 			return err
 		}
 		de.servers = append(de.servers, bs)
@@ -137,7 +137,7 @@
 			for ctx.Err() == nil {
 				ip := de.caller.Control[rand.IntN(len(de.caller.Control))]
 				_ = bs.Beat(fmt.Sprintf("%s:%d", ip, de.caller.Ports.Control)) // the next one goes to any controller again
-				time.Sleep(beatPeriod)
+				time.Sleep(heartbeatPeriod)
 			}
 		}()
 	}
@@ -153,7 +153,7 @@
 		n := 0
 		err = dep.Until(ctx, func() error {
 			n++
-			an, err := de.caller.Lookup(ctx, de.gateways()[0], fmt.Sprintf("%s%d", warmUp, n), false)
+			an, err := de.caller.Lookup(ctx, de.gateways()[0], fmt.Sprintf("%s%d", warmUpPrefix, n), false)
 			if err == nil && an.Stamp == "" {
 				err = fmt.Errorf("a lookup is answered %d", an.Status)
 			}
@@ -186,14 +186,14 @@
 	for _, pr := range de.processes {
 		out = append(out, pair{ip, pr.ip}, pair{pr.ip, ip})
 	}
-	for bs := range de.behind {
-		out = append(out, pair{ip, hostOf(bs)})
+	for bs := range de.listenAddresses {
+		out = append(out, pair{ip, serverIP(bs)})
 	}
 
 	return out
 }
 
-func hostOf(bs *standin.BackendServer) string {
+func serverIP(bs *standin.BackendServer) string {
 	ip, _, _ := net.SplitHostPort(bs.Address) // made by addServers
 
 	return ip
@@ -205,7 +205,7 @@
 	var errs []error
 	for _, pr := range de.processes {
 		// One that is paused can be killed too.
-		if err := pr.end(syscall.SIGKILL); err != nil && !errors.Is(err, os.ErrProcessDone) {
+		if err := pr.stop(syscall.SIGKILL); err != nil && !errors.Is(err, os.ErrProcessDone) {
 			errs = append(errs, err)
 		}
 	}
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -20,19 +20,19 @@
 
 // fault is one disturbance, drawn before the run so that a seed replays it.
 type fault struct {
-	at, lasts time.Duration
-	kind      string
-	target    int // index of the process or backend server
-	other     int // index of a second process
-	size      int
+	startsAt, duration time.Duration
+	kind               string
+	target             int // index of the process or backend server
+	other              int // index of a second process
+	size               int
 }
 
 func (fa fault) String() string {
-	return fmt.Sprintf("%.2fs %s target %d other %d for %.2fs", fa.at.Seconds(), fa.kind, fa.target, fa.other, fa.lasts.Seconds())
+	return fmt.Sprintf("%.2fs %s target %d other %d for %.2fs", fa.startsAt.Seconds(), fa.kind, fa.target, fa.other, fa.duration.Seconds())
 }
 
-// kinds of faults with their weights.
-var kinds = []struct {
+// faultKinds of faults with their weights.
+var faultKinds = []struct {
 	name   string
 	weight int
 }{
@@ -54,10 +54,10 @@
 	{"killAll", 1},
 }
 
-// draw returns the faults of a seed.
-func draw(rnd *rand.Rand, cfg *Config) []fault {
+// drawFaults returns the faults of a seed.
+func drawFaults(rnd *rand.Rand, cfg *Config) []fault {
 	sum := 0
-	for _, k := range kinds {
+	for _, k := range faultKinds {
 		sum += k.weight
 	}
 	processes, servers := cfg.Controllers+cfg.Stores+cfg.Gateways, cfg.Plain+cfg.Engines
@@ -69,10 +69,10 @@
 		}
 		n := rnd.IntN(sum)
 		fa := fault{
-			at: at, lasts: 200*time.Millisecond + time.Duration(rnd.Int64N(int64(longestFault))), target: rnd.IntN(processes), other: rnd.IntN(processes),
+			startsAt: at, duration: 200*time.Millisecond + time.Duration(rnd.Int64N(int64(longestFault))), target: rnd.IntN(processes), other: rnd.IntN(processes),
 			size: 1 + rnd.IntN(300),
 		}
-		for _, k := range kinds {
+		for _, k := range faultKinds {
 			if n < k.weight {
 				fa.kind = k.name
 
@@ -99,15 +99,15 @@
 
 // injector carries faults out.
 type injector struct {
-	de    *deployment
-	tell  func(format string, args ...any)
-	busy  []sync.Mutex // one for each process: its faults come one after another
-	down  []sync.Mutex // one for each backend server: it ends and starts once at a time
-	errMu sync.Mutex
-	errs  []error
+	de           *deployment
+	logf         func(format string, args ...any)
+	processLocks []sync.Mutex // one for each process: its faults come one after another
+	serverLocks  []sync.Mutex // one for each backend server: it ends and starts once at a time
+	errMu        sync.Mutex
+	errs         []error
 }
 
-func (in *injector) failed(err error) {
+func (in *injector) recordError(err error) {
 	if err == nil {
 		return
 	}
@@ -118,53 +118,53 @@
 
 // run carries out all faults and returns when the last one is over.
 func (in *injector) run(ctx context.Context, faults []fault) {
-	in.busy = make([]sync.Mutex, len(in.de.processes))
-	in.down = make([]sync.Mutex, len(in.de.servers))
+	in.processLocks = make([]sync.Mutex, len(in.de.processes))
+	in.serverLocks = make([]sync.Mutex, len(in.de.servers))
 	began := time.Now()
 	var wg sync.WaitGroup
 	for _, fa := range faults {
 		select {
-		case <-time.After(time.Until(began.Add(fa.at))):
+		case <-time.After(time.Until(began.Add(fa.startsAt))):
 		case <-ctx.Done():
 		}
-		in.tell("fault %v", fa)
+		in.logf("fault %v", fa)
 		wg.Go(func() { in.inject(fa) })
 	}
 	wg.Wait()
-	in.de.network.heal()
+	in.de.network.clearFaults()
 }
 
 func (in *injector) inject(fa fault) {
 	de := in.de
 	switch fa.kind {
 	case "serverCrash":
-		in.down[fa.target].Lock()
-		defer in.down[fa.target].Unlock()
+		in.serverLocks[fa.target].Lock()
+		defer in.serverLocks[fa.target].Unlock()
 		bs := de.servers[fa.target]
 		bs.Stop()
-		time.Sleep(fa.lasts)
-		in.failed(bs.Start(de.behind[bs]))
+		time.Sleep(fa.duration)
+		in.recordError(bs.Start(de.listenAddresses[bs]))
 	case "serverBreaksOff":
 		bs := de.servers[fa.target]
 		bs.BreakOff(func(_ string, event int) bool { return event%7 == fa.size%7 && rand.IntN(2) == 0 })
-		time.Sleep(fa.lasts)
+		time.Sleep(fa.duration)
 		bs.BreakOff(func(string, int) bool { return false })
 	case "serverSilent":
 		var ps []pair
 		for _, pr := range de.processes {
-			ps = append(ps, pair{pr.ip, hostOf(de.servers[fa.target])})
+			ps = append(ps, pair{pr.ip, serverIP(de.servers[fa.target])})
 		}
-		in.harm(link{isMuted: true}, fa, ps)
+		in.disturbLinks(linkFault{isMuted: true}, fa, ps)
 	case "delay":
-		in.harm(link{delay: time.Duration(fa.size) * time.Millisecond}, fa, in.between(fa))
+		in.disturbLinks(linkFault{delay: time.Duration(fa.size) * time.Millisecond}, fa, in.pairsBetween(fa))
 	case "cut":
-		in.harm(link{isCut: true, isMuted: true}, fa, in.between(fa))
+		in.disturbLinks(linkFault{isCut: true, isMuted: true}, fa, in.pairsBetween(fa))
 	case "cutOneWay":
-		in.harm(link{isCut: true}, fa, in.between(fa)[:1])
+		in.disturbLinks(linkFault{isCut: true}, fa, in.pairsBetween(fa)[:1])
 	case "mute":
-		in.harm(link{isMuted: true}, fa, in.between(fa)[:1])
+		in.disturbLinks(linkFault{isMuted: true}, fa, in.pairsBetween(fa)[:1])
 	case "isolate":
-		in.harm(link{isCut: true, isMuted: true}, fa, de.pairs(de.processes[fa.target].ip))
+		in.disturbLinks(linkFault{isCut: true, isMuted: true}, fa, de.pairs(de.processes[fa.target].ip))
 	case "reset":
 		de.network.reset(de.pairs(de.processes[fa.target].ip)...)
 	case "killAll":
@@ -172,64 +172,64 @@
 		var wg sync.WaitGroup
 		for i, pr := range de.processes {
 			if pr.role == role {
-				wg.Go(func() { in.harmProcess(fa, i) })
+				wg.Go(func() { in.disturbProcess(fa, i) })
 			}
 		}
 		wg.Wait()
 	default:
-		in.harmProcess(fa, fa.target)
+		in.disturbProcess(fa, fa.target)
 	}
 }
 
-// between returns the links between the two processes of a fault.
-func (in *injector) between(fa fault) []pair {
+// pairsBetween returns the links pairsBetween the two processes of a fault.
+func (in *injector) pairsBetween(fa fault) []pair {
 	a, b := in.de.processes[fa.target].ip, in.de.processes[fa.other].ip
 
 	return []pair{{a, b}, {b, a}}
 }
 
-func (in *injector) harm(li link, fa fault, ps []pair) {
-	in.de.network.harm(li, ps...)
-	time.Sleep(fa.lasts)
-	in.de.network.harm(link{}, ps...)
+func (in *injector) disturbLinks(li linkFault, fa fault, ps []pair) {
+	in.de.network.setFault(li, ps...)
+	time.Sleep(fa.duration)
+	in.de.network.setFault(linkFault{}, ps...)
 }
 
-// harmProcess does something to one process and sets it right again.
-func (in *injector) harmProcess(fa fault, i int) {
-	in.busy[i].Lock()
-	defer in.busy[i].Unlock()
+// disturbProcess does something to one process and sets it right again.
+func (in *injector) disturbProcess(fa fault, i int) {
+	in.processLocks[i].Lock()
+	defer in.processLocks[i].Unlock()
 
 	pr := in.de.processes[i]
 	switch fa.kind {
 	case "reload":
 		// Before a program has taken the signal over, the system ends it.
-		in.failed(pr.awaitStarted())
-		in.failed(pr.signal(syscall.SIGHUP))
+		in.recordError(pr.awaitStarted())
+		in.recordError(pr.signal(syscall.SIGHUP))
 
 		return
 	case "pause":
-		in.failed(pr.signal(syscall.SIGSTOP))
-		time.Sleep(fa.lasts)
-		in.failed(pr.signal(syscall.SIGCONT))
+		in.recordError(pr.signal(syscall.SIGSTOP))
+		time.Sleep(fa.duration)
+		in.recordError(pr.signal(syscall.SIGCONT))
 
 		return
 	case "term":
-		in.failed(pr.end(syscall.SIGTERM))
+		in.recordError(pr.stop(syscall.SIGTERM))
 	default:
-		in.failed(pr.end(syscall.SIGKILL))
+		in.recordError(pr.stop(syscall.SIGKILL))
 	}
 	switch fa.kind {
 	case "wipe":
-		in.failed(pr.wipe())
+		in.recordError(pr.wipe())
 	case "tear":
 		b := make([]byte, fa.size)
 		for j := range b {
 			b[j] = byte(rand.IntN(256))
 		}
 		if pr.role != program.RoleGateway {
-			in.failed(pr.tear(b))
+			in.recordError(pr.appendGarbage(b))
 		}
 	}
-	time.Sleep(fa.lasts / 2)
-	in.failed(pr.start())
+	time.Sleep(fa.duration / 2)
+	in.recordError(pr.start())
 }
--- a/soak/measure_test.go
+++ b/soak/measure_test.go
@@ -18,29 +18,29 @@
 )
 
 const (
-	// clockTicks a second, in which the kernel counts processor time.
-	clockTicks = 100
+	// clockTicksPerSecond a second, in which the kernel counts processor time.
+	clockTicksPerSecond = 100
 	// metricsPort of every node.
 	metricsPort = "9464"
 
-	measuredLookups = 4000
-	measuredAtOnce  = 8
-	measuredJobs    = 20
-	measuredItems   = 50
-	measuredEvents  = 40
-	measuredIdle    = 10 * time.Second
+	measuredLookups     = 4000
+	measuredConcurrency = 8
+	measuredJobs        = 20
+	measuredItems       = 50
+	measuredEvents      = 40
+	measuredIdle        = 10 * time.Second
 )
 
-// spent is what the processes of one role used so far.
-type spent struct {
+// resourceUse is what the processes of one role used so far.
+type resourceUse struct {
 	cpu   time.Duration // user and system
 	rssMB int64         // of the largest one
 	syncs int64
 }
 
-// spentBy reads processor time, memory and syncs of the processes of a role.
-func (de *deployment) spentBy(role string) (spent, error) {
-	var out spent
+// readResourceUse reads processor time, memory and syncs of the processes of a role.
+func (de *deployment) readResourceUse(role string) (resourceUse, error) {
+	var out resourceUse
 	for _, pr := range de.processes {
 		if pr.role != role {
 			continue
@@ -58,7 +58,7 @@
 			if err != nil {
 				return out, err
 			}
-			out.cpu += time.Duration(n) * time.Second / clockTicks
+			out.cpu += time.Duration(n) * time.Second / clockTicksPerSecond
 		}
 		pages, err := strconv.ParseInt(fields[21], 10, 64)
 		if err != nil {
@@ -85,9 +85,9 @@
 	}
 	roles := []string{program.RoleGateway, program.RoleController, program.RoleStore}
 	step := func(name string, f func() error) error {
-		before, bytes := map[string]spent{}, de.network.passed()
+		before, bytes := map[string]resourceUse{}, de.network.forwardedBytes()
 		for _, role := range roles {
-			if before[role], err = de.spentBy(role); err != nil {
+			if before[role], err = de.readResourceUse(role); err != nil {
 				return err
 			}
 		}
@@ -96,9 +96,9 @@
 			return fmt.Errorf("%s: %w", name, err)
 		}
 		took := time.Since(began)
-		fmt.Printf("%s (%.1f s, %d KB between own processes)\n", name, took.Seconds(), (de.network.passed()-bytes)>>10)
+		fmt.Printf("%s (%.1f s, %d KB between own processes)\n", name, took.Seconds(), (de.network.forwardedBytes()-bytes)>>10)
 		for _, role := range roles {
-			after, err := de.spentBy(role)
+			after, err := de.readResourceUse(role)
 			if err != nil {
 				return err
 			}
@@ -109,7 +109,7 @@
 		return nil
 	}
 	for _, role := range roles {
-		sp, err := de.spentBy(role)
+		sp, err := de.readResourceUse(role)
 		if err != nil {
 			return err
 		}
@@ -127,7 +127,7 @@
 		err = step(fmt.Sprintf("%d jobs of %d items of %d events", measuredJobs, measuredItems, measuredEvents), func() error { return de.measureJobs(ctx) })
 	}
 	if err == nil {
-		err = de.measureLosses(ctx)
+		err = de.measureFailover(ctx)
 	}
 	if cerr := de.close(); err == nil {
 		err = cerr
@@ -136,9 +136,9 @@
 	return err
 }
 
-// measureLosses kills the leaders, and then all processes of a role, and prints how
+// measureFailover kills the leaders, and then all processes of a role, and prints how
 // long callers noticed.
-func (de *deployment) measureLosses(ctx context.Context) error {
+func (de *deployment) measureFailover(ctx context.Context) error {
 	version := 1
 	configure := func() error {
 		version++
@@ -163,7 +163,7 @@
 		{program.RoleStore, "a job is accepted", submit},
 	} {
 		for _, isAll := range []bool{false, true} {
-			var hit []*process
+			var killed []*process
 			for _, pr := range de.processes {
 				if pr.role != lo.role {
 					continue
@@ -173,17 +173,17 @@
 					return err
 				}
 				if isAll || values["group_leads"] == 1 {
-					hit = append(hit, pr)
+					killed = append(killed, pr)
 				}
 			}
 			began := time.Now()
-			for _, pr := range hit {
-				if err := pr.end(syscall.SIGKILL); err != nil {
+			for _, pr := range killed {
+				if err := pr.stop(syscall.SIGKILL); err != nil {
 					return err
 				}
 			}
 			if isAll {
-				for _, pr := range hit {
+				for _, pr := range killed {
 					if err := pr.start(); err != nil {
 						return err
 					}
@@ -191,13 +191,13 @@
 			}
 			for lo.serves() != nil {
 				if time.Since(began) > recoverWithin {
-					return fmt.Errorf("%d of role %s killed: %v later still not: %s", len(hit), lo.role, recoverWithin, lo.what)
+					return fmt.Errorf("%d of role %s killed: %v later still not: %s", len(killed), lo.role, recoverWithin, lo.what)
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
-			fmt.Printf("%d of role %s killed (all: %t): %s again after %d ms\n", len(hit), lo.role, isAll, lo.what, time.Since(began).Milliseconds())
+			fmt.Printf("%d of role %s killed (all: %t): %s again after %d ms\n", len(killed), lo.role, isAll, lo.what, time.Since(began).Milliseconds())
 			if !isAll {
-				for _, pr := range hit {
+				for _, pr := range killed {
 					if err := pr.start(); err != nil {
 						return err
 					}
@@ -217,10 +217,10 @@
 
 func (de *deployment) measureLookups(ctx context.Context) error {
 	var wg sync.WaitGroup
-	errs := make(chan error, measuredAtOnce)
-	for w := range measuredAtOnce {
+	errs := make(chan error, measuredConcurrency)
+	for w := range measuredConcurrency {
 		wg.Go(func() {
-			for i := range measuredLookups / measuredAtOnce {
+			for i := range measuredLookups / measuredConcurrency {
 				an, err := de.caller.Lookup(ctx, de.gateways()[i%len(de.gateways())], fmt.Sprintf("m%d-%d", w, i), false)
 				if err == nil && an.Status != http.StatusOK {
 					err = fmt.Errorf("status %d", an.Status)
--- a/soak/process_test.go
+++ b/soak/process_test.go
@@ -22,13 +22,13 @@
 	peerListen string // where it listens for own processes, behind the network
 	boot       standin.Boot
 
-	mu      sync.Mutex
-	starts  int
-	logSize int64 // of the log before the last start
-	cmd     *exec.Cmd
-	ended   chan struct{} // closed when the current one has ended
-	isDown  bool          // on purpose
-	ends    []string      // that nobody caused
+	mu         sync.Mutex
+	starts     int
+	logSize    int64 // of the log before the last start
+	cmd        *exec.Cmd
+	ended      chan struct{} // closed when the current one has ended
+	isStopping bool          // on purpose
+	unexpected []string      // that nobody caused
 }
 
 // start runs the program. It starts for the first time only once.
@@ -64,12 +64,12 @@
 	}
 	pr.starts++
 	ended := make(chan struct{})
-	pr.cmd, pr.ended, pr.isDown = cmd, ended, false
+	pr.cmd, pr.ended, pr.isStopping = cmd, ended, false
 	go func() {
 		err := cmd.Wait()
 		pr.mu.Lock()
-		if !pr.isDown {
-			pr.ends = append(pr.ends, fmt.Sprintf("%s ended by itself at %s: %v", bo.Name, time.Now().Format(time.TimeOnly), err))
+		if !pr.isStopping {
+			pr.unexpected = append(pr.unexpected, fmt.Sprintf("%s ended by itself at %s: %v", bo.Name, time.Now().Format(time.TimeOnly), err))
 		}
 		pr.mu.Unlock()
 		close(ended)
@@ -99,7 +99,7 @@
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
 	if sig == syscall.SIGKILL || sig == syscall.SIGTERM {
-		pr.isDown = true
+		pr.isStopping = true
 	}
 	if err := pr.cmd.Process.Signal(sig); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return err
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// end stops the program by a signal and waits until it is gone.
-func (pr *process) end(sig syscall.Signal) error {
+// stop stops the program by a signal and waits until it is gone.
+func (pr *process) stop(sig syscall.Signal) error {
 	if err := pr.signal(sig); err != nil {
 		return err
 	}
@@ -127,8 +127,8 @@
 // wipe empties the disk of a stopped program.
 func (pr *process) wipe() error { return os.RemoveAll(pr.boot.DataFolder) }
 
-// tear appends what a write cut short may leave behind: bytes that are no record.
-func (pr *process) tear(b []byte) error {
+// appendGarbage appends what a write cut short may leave behind: bytes that are no record.
+func (pr *process) appendGarbage(b []byte) error {
 	newest := ""
 	err := filepath.WalkDir(pr.boot.DataFolder, func(path string, de os.DirEntry, err error) error {
 		if err == nil && !de.IsDir() && filepath.Base(path) > filepath.Base(newest) && filepath.Base(path)[:3] == "log" {
@@ -150,9 +150,9 @@
 	return err
 }
 
-func (pr *process) surprises() []string {
+func (pr *process) unexpectedExits() []string {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
 
-	return append([]string(nil), pr.ends...)
+	return append([]string(nil), pr.unexpected...)
 }
--- a/soak/promises_test.go
+++ b/soak/promises_test.go
@@ -13,20 +13,20 @@
 	"github.com/tamarackbay/tamarackbay/platform/standin"
 )
 
-// configInForce is how long after its acknowledgement a configuration may be missing
+// configAppliedWithin is how long after its acknowledgement a configuration may be missing
 // where it is read: config_apply_ms of the deployments.
-const configInForce = 2500 * time.Millisecond
+const configAppliedWithin = 2500 * time.Millisecond
 
 // promises keeps what callers were told and finds what was not kept.
 type promises struct {
-	mu      sync.Mutex
-	broken  []string
-	lookups map[string]*lookup
-	jobs    map[string]*jobRecord
-	version int       // newest acknowledged configuration
-	ackedAt time.Time // of it
-	named   uint64    // newest acknowledged weight version
-	counts  map[string]int
+	mu            sync.Mutex
+	broken        []string
+	lookups       map[string]*lookup
+	jobs          map[string]*jobRecord
+	configVersion int       // newest acknowledged configuration
+	ackedAt       time.Time // of it
+	weightVersion uint64    // newest acknowledged weight version
+	counts        map[string]int
 }
 
 // lookup is one plain request. Its ID is never used again.
@@ -47,13 +47,13 @@
 	return &promises{lookups: map[string]*lookup{}, jobs: map[string]*jobRecord{}, counts: map[string]int{}}
 }
 
-func (pr *promises) fail(format string, args ...any) {
+func (pr *promises) reportBroken(format string, args ...any) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
-	pr.failLocked(format, args...)
+	pr.reportBrokenLocked(format, args...)
 }
 
-func (pr *promises) failLocked(format string, args ...any) {
+func (pr *promises) reportBrokenLocked(format string, args ...any) {
 	pr.broken = append(pr.broken, time.Now().Format("15:04:05.000")+" "+fmt.Sprintf(format, args...))
 }
 
@@ -63,8 +63,8 @@
 	pr.counts[what]++
 }
 
-// sendsLookup notes a request before it is sent.
-func (pr *promises) sendsLookup(id string, isOnce bool) *lookup {
+// recordLookup notes a request before it is sent.
+func (pr *promises) recordLookup(id string, isOnce bool) *lookup {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
 	lo := &lookup{isOnce: isOnce}
@@ -73,8 +73,8 @@
 	return lo
 }
 
-// answeredLookup checks an answer.
-func (pr *promises) answeredLookup(id string, an *standin.Answer, err error) {
+// checkLookupAnswer checks an answer.
+func (pr *promises) checkLookupAnswer(id string, an *standin.Answer, err error) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
 	switch {
@@ -83,28 +83,28 @@
 	case an.Status == http.StatusOK:
 		pr.counts["lookup served"]++
 		if an.Stamp != standin.Stamp || string(an.Body) != standin.LookupAnswer(id) {
-			pr.failLocked("lookup %s: a success that no backend server gave: %q", id, an.Body)
+			pr.reportBrokenLocked("lookup %s: a success that no backend server gave: %q", id, an.Body)
 		}
 	case an.Status == http.StatusServiceUnavailable || an.Status == http.StatusTooManyRequests:
 		pr.counts["lookup refused"]++
 		pr.lookups[id].isRefused = true
 		if an.RetryAfter == "" {
-			pr.failLocked("lookup %s: a refusal that does not say when to come back", id)
+			pr.reportBrokenLocked("lookup %s: a refusal that does not say when to come back", id)
 		}
 	case an.Status < http.StatusInternalServerError:
-		pr.failLocked("lookup %s: a proper request is answered %d", id, an.Status)
+		pr.reportBrokenLocked("lookup %s: a proper request is answered %d", id, an.Status)
 	default:
 		pr.counts[fmt.Sprintf("lookup ended with %d", an.Status)]++
 	}
 }
 
-// readJob checks a page of results against what was read before.
-func (pr *promises) readJob(id string, pa *standin.Page) {
+// checkJobPage checks a page of results against what was read before.
+func (pr *promises) checkJobPage(id string, pa *standin.Page) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
 	jo := pr.jobs[id]
 	if len(pa.Results) < len(jo.results) {
-		pr.failLocked("job %s: %d results were read, now there are %d", id, len(jo.results), len(pa.Results))
+		pr.reportBrokenLocked("job %s: %d results were read, now there are %d", id, len(jo.results), len(pa.Results))
 
 		return
 	}
@@ -112,22 +112,22 @@
 	for i := range pa.Results {
 		it := &pa.Results[i]
 		if seen[it.ID] {
-			pr.failLocked("job %s: item %s stands at two positions", id, it.ID)
+			pr.reportBrokenLocked("job %s: item %s stands at two positions", id, it.ID)
 		}
 		seen[it.ID] = true
 		if i < len(jo.results) {
 			if old := &jo.results[i]; old.ID != it.ID || old.Text != it.Text || old.Score != it.Score || !slices.Equal(old.Versions, it.Versions) {
-				pr.failLocked("job %s: position %d held %s and holds %s", id, i, old.ID, it.ID)
+				pr.reportBrokenLocked("job %s: position %d held %s and holds %s", id, i, old.ID, it.ID)
 			}
 
 			continue
 		}
 		if err := it.Check(jo.events); err != nil {
-			pr.failLocked("job %s: %v", id, err)
+			pr.reportBrokenLocked("job %s: %v", id, err)
 		}
 	}
 	if pa.Total != jo.items {
-		pr.failLocked("job %s: %d items in all, not %d", id, pa.Total, jo.items)
+		pr.reportBrokenLocked("job %s: %d items in all, not %d", id, pa.Total, jo.items)
 	}
 	jo.results = pa.Results
 	if len(pa.Results) == jo.items && !jo.isDone {
@@ -136,45 +136,45 @@
 	}
 }
 
-// readConfig checks a version that a controller gave to a read sent at a time.
-func (pr *promises) readConfig(controller string, version int, sent time.Time, acked int, ackedAt time.Time) {
-	if version < acked && sent.Sub(ackedAt) > configInForce {
-		pr.fail("controller %s holds configuration %d, %d was acknowledged %v before", controller, version, acked, sent.Sub(ackedAt))
+// checkConfigRead checks a version that a controller gave to a read sent at a time.
+func (pr *promises) checkConfigRead(controller string, version int, sent time.Time, acked int, ackedAt time.Time) {
+	if version < acked && sent.Sub(ackedAt) > configAppliedWithin {
+		pr.reportBroken("controller %s holds configuration %d, %d was acknowledged %v before", controller, version, acked, sent.Sub(ackedAt))
 	}
 }
 
-func (pr *promises) acked() (int, time.Time) {
+func (pr *promises) ackedConfig() (int, time.Time) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
 
-	return pr.version, pr.ackedAt
+	return pr.configVersion, pr.ackedAt
 }
 
-// judge compares what was promised with what backend servers and the interface of
+// checkFinalState compares what was promised with what backend servers and the interface of
 // duties saw, after everything has come to rest.
-func (pr *promises) judge(de *deployment) {
+func (pr *promises) checkFinalState(de *deployment) {
 	runs := map[string]int{}
 	holders := map[uint64]string{}
 	for _, bs := range de.servers {
 		workspaces := bs.Workspaces()
 		for id, n := range bs.Runs() {
 			runs[id] += n
-			if te := workspaces[id]; te != standin.Workspace && te != "" {
-				pr.fail("request %s ran for the workspace %q", id, te)
+			if wo := workspaces[id]; wo != standin.Workspace && wo != "" {
+				pr.reportBroken("request %s ran for the workspace %q", id, wo)
 			}
 		}
 		if n := bs.Keys(); n > 0 {
-			pr.fail("%s was passed the keys of %d requests", bs.ID, n)
+			pr.reportBroken("%s was passed the keys of %d requests", bs.ID, n)
 		}
 		for _, or := range bs.AllOrders() {
 			if old, ok := holders[or.Fencing]; ok && old != or.Holder {
-				pr.fail("orders under the fencing number %d came from %s and from %s", or.Fencing, old, or.Holder)
+				pr.reportBroken("orders under the fencing number %d came from %s and from %s", or.Fencing, old, or.Holder)
 			}
 			holders[or.Fencing] = or.Holder
 		}
 	}
 	for _, s := range de.cloud.Problems() {
-		pr.fail("%s", s)
+		pr.reportBroken("%s", s)
 	}
 
 	pr.mu.Lock()
@@ -186,10 +186,10 @@
 		total += uint64(n)
 		delete(sent, id)
 		if lo.isOnce && n > 1 {
-			pr.failLocked("request %s may run once and ran %d times", id, n)
+			pr.reportBrokenLocked("request %s may run once and ran %d times", id, n)
 		}
 		if lo.isOnce && lo.isRefused && n > 0 {
-			pr.failLocked("request %s was refused as not run and ran %d times", id, n)
+			pr.reportBrokenLocked("request %s was refused as not run and ran %d times", id, n)
 		}
 	}
 	for id, jo := range pr.jobs {
@@ -200,27 +200,27 @@
 			}
 		}
 		if jo.isAccepted && !jo.isDone {
-			pr.failLocked("job %s was accepted and has %d of %d results", id, len(jo.results), jo.items)
+			pr.reportBrokenLocked("job %s was accepted and has %d of %d results", id, len(jo.results), jo.items)
 		}
 	}
 	for id := range sent {
-		if strings.HasPrefix(id, warmUp) {
+		if strings.HasPrefix(id, warmUpPrefix) {
 			continue
 		}
-		pr.failLocked("a request %s ran that nobody sent", id)
+		pr.reportBrokenLocked("a request %s ran that nobody sent", id)
 	}
 	if billed := de.cloud.Reported(); billed > total {
-		pr.failLocked("%d requests were billed, %d ran", billed, total)
+		pr.reportBrokenLocked("%d requests were billed, %d ran", billed, total)
 	}
 	for _, p := range de.processes {
-		for _, s := range p.surprises() {
-			pr.failLocked("%s", s)
+		for _, s := range p.unexpectedExits() {
+			pr.reportBrokenLocked("%s", s)
 		}
 	}
 }
 
-// settled waits until everything works again after the last fault.
-func (pr *promises) settled(ctx context.Context, de *deployment) {
+// awaitRecovery waits until everything works again after the last fault.
+func (pr *promises) awaitRecovery(ctx context.Context, de *deployment) {
 	ctx, cancel := context.WithTimeout(ctx, recoverWithin)
 	defer cancel()
 	var wg sync.WaitGroup
@@ -231,7 +231,7 @@
 				select {
 				case <-time.After(readPeriod):
 				case <-ctx.Done():
-					pr.fail("%v after the last fault: %s", recoverWithin, what)
+					pr.reportBroken("%v after the last fault: %s", recoverWithin, what)
 
 					return
 				}
@@ -241,14 +241,14 @@
 	for i, gw := range de.gateways() {
 		await("gateway "+gw+" serves nothing", func() bool {
 			id := fmt.Sprintf("last-%d-%d", i, time.Now().UnixNano())
-			pr.sendsLookup(id, false)
+			pr.recordLookup(id, false)
 			an, err := de.caller.Lookup(ctx, gw, id, false)
-			pr.answeredLookup(id, &an, err)
+			pr.checkLookupAnswer(id, &an, err)
 
 			return err == nil && an.Status == http.StatusOK
 		})
 	}
-	version, _ := pr.acked()
+	version, _ := pr.ackedConfig()
 	for _, ip := range de.caller.Control {
 		await("controller "+ip+" lacks the newest configuration", func() bool {
 			v, err := de.caller.ReadVersion(ctx, ip)
@@ -258,14 +258,14 @@
 	}
 	for _, bs := range de.servers {
 		if bs.Service == serviceEngines {
-			await("engine "+bs.ID+" lacks the newest weights", func() bool { return bs.Versions()[standin.Model] >= pr.newest() })
+			await("engine "+bs.ID+" lacks the newest weights", func() bool { return bs.Versions()[standin.Model] >= pr.namedVersion() })
 		}
 	}
 }
 
-func (pr *promises) newest() uint64 {
+func (pr *promises) namedVersion() uint64 {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
 
-	return pr.named
+	return pr.weightVersion
 }
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -12,8 +12,8 @@
 // pair names the link from the host that opens a connection to the one that accepts it.
 type pair struct{ from, to string }
 
-// link is how a pair is harmed now.
-type link struct {
+// linkFault is how a pair is harmed now.
+type linkFault struct {
 	delay   time.Duration // added to each chunk, both ways
 	isCut   bool          // nothing gets from the opener to the acceptor
 	isMuted bool          // nothing gets back
@@ -23,8 +23,8 @@
 // back are passed on when it ends, as a transport protocol would send them again.
 type network struct {
 	mu        sync.Mutex
-	healed    chan struct{} // closed and replaced with each change
-	links     map[pair]link
+	changed   chan struct{} // closed and replaced with each change
+	faults    map[pair]linkFault
 	conns     map[net.Conn]pair
 	listeners []net.Listener
 	bytes     atomic.Int64 // between own processes
@@ -32,7 +32,7 @@
 }
 
 func newNetwork() *network {
-	return &network{healed: make(chan struct{}), links: map[pair]link{}, conns: map[net.Conn]pair{}}
+	return &network{changed: make(chan struct{}), faults: map[pair]linkFault{}, conns: map[net.Conn]pair{}}
 }
 
 // forward accepts at address and connects to target. Bytes between own processes
@@ -91,7 +91,7 @@
 				if isOwn {
 					ne.bytes.Add(int64(n))
 				}
-				ne.wait(pa, isBack)
+				ne.applyFault(pa, isBack)
 				if _, werr := dst.Write(b[:n]); werr != nil {
 					break
 				}
@@ -111,17 +111,17 @@
 	<-done
 }
 
-// passed returns the bytes that went between own processes so far.
-func (ne *network) passed() int64 { return ne.bytes.Load() }
+// forwardedBytes returns the bytes that went between own processes so far.
+func (ne *network) forwardedBytes() int64 { return ne.bytes.Load() }
 
-// wait holds a chunk back while its direction is cut, and delays it.
-func (ne *network) wait(pa pair, isBack bool) {
+// applyFault holds a chunk back while its direction is cut, and delays it.
+func (ne *network) applyFault(pa pair, isBack bool) {
 	for {
 		ne.mu.Lock()
-		li, healed := ne.links[pa], ne.healed
+		li, changed := ne.faults[pa], ne.changed
 		ne.mu.Unlock()
 		if (isBack && li.isMuted) || (!isBack && li.isCut) {
-			<-healed
+			<-changed
 
 			continue
 		}
@@ -131,24 +131,24 @@
 	}
 }
 
-// harm sets how pairs are harmed, the zero link for not at all.
-func (ne *network) harm(li link, pairs ...pair) {
+// setFault sets how pairs are harmed, the zero link for not at all.
+func (ne *network) setFault(li linkFault, pairs ...pair) {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
 	for _, pa := range pairs {
-		ne.links[pa] = li
+		ne.faults[pa] = li
 	}
-	close(ne.healed)
-	ne.healed = make(chan struct{})
+	close(ne.changed)
+	ne.changed = make(chan struct{})
 }
 
-// heal ends all harm.
-func (ne *network) heal() {
+// clearFaults ends all harm.
+func (ne *network) clearFaults() {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
-	clear(ne.links)
-	close(ne.healed)
-	ne.healed = make(chan struct{})
+	clear(ne.faults)
+	close(ne.changed)
+	ne.changed = make(chan struct{})
 }
 
 // reset cuts the open connections of pairs.
@@ -166,7 +166,7 @@
 
 // close ends everything.
 func (ne *network) close() {
-	ne.heal()
+	ne.clearFaults()
 	ne.mu.Lock()
 	for _, ln := range ne.listeners {
 		_ = ln.Close()
--- a/soak/run_test.go
+++ b/soak/run_test.go
@@ -112,7 +112,7 @@
 	if err := os.MkdirAll(filepath.Join(cfg.Folder, "data"), 0o700); err != nil {
 		return nil, err
 	}
-	faults := draw(rand.New(rand.NewPCG(cfg.Seed, 1)), &cfg)
+	faults := drawFaults(rand.New(rand.NewPCG(cfg.Seed, 1)), &cfg)
 	de, err := newDeployment(ctx, &cfg)
 	if err != nil {
 		return nil, err
@@ -120,30 +120,30 @@
 
 	pr := newPromises()
 	lctx, stop := context.WithCancel(ctx)
-	uctx, giveUp := context.WithCancel(ctx)
-	defer giveUp()
+	rctx, stopReads := context.WithCancel(ctx)
+	defer stopReads()
 	var wg sync.WaitGroup
-	lo := &load{de: de, promises: pr, until: uctx}
+	lo := &load{de: de, promises: pr, readUntil: rctx}
 	for _, f := range []func(ctx context.Context){lo.lookups, lo.jobs, lo.configurations, lo.versions} {
 		wg.Go(func() { f(lctx) })
 	}
-	in := &injector{de: de, tell: cfg.Tell}
+	in := &injector{de: de, logf: cfg.Tell}
 	in.run(ctx, faults)
 	stop()
-	defer time.AfterFunc(recoverWithin, giveUp).Stop()
+	defer time.AfterFunc(recoverWithin, stopReads).Stop()
 	wg.Wait()
-	pr.settled(ctx, de)
+	pr.awaitRecovery(ctx, de)
 	err = errors.Join(append(in.errs, de.close())...)
-	pr.judge(de)
+	pr.checkFinalState(de)
 
 	return &Report{Broken: pr.broken, Counts: pr.counts, Faults: len(faults)}, err
 }
 
 // load is what callers do all the while.
 type load struct {
-	de       *deployment
-	promises *promises
-	until    context.Context // accepted jobs are read until it ends
+	de        *deployment
+	promises  *promises
+	readUntil context.Context // accepted jobs are read until it ends
 }
 
 func (lo *load) gateway() string {
@@ -169,9 +169,9 @@
 func (lo *load) lookups(ctx context.Context) {
 	lo.every(ctx, lookupPeriod, func(i int) {
 		id, isOnce := fmt.Sprintf("r%d", i), i%2 == 0
-		lo.promises.sendsLookup(id, isOnce)
+		lo.promises.recordLookup(id, isOnce)
 		an, err := lo.de.caller.Lookup(context.WithoutCancel(ctx), lo.gateway(), id, isOnce)
-		lo.promises.answeredLookup(id, &an, err)
+		lo.promises.checkLookupAnswer(id, &an, err)
 	})
 }
 
@@ -194,7 +194,7 @@
 				pr.mu.Unlock()
 				pr.count("job accepted")
 			case err == nil && an.Status < http.StatusInternalServerError && an.Status != http.StatusTooManyRequests:
-				pr.fail("job %s: a proper job is answered %d", id, an.Status)
+				pr.reportBroken("job %s: a proper job is answered %d", id, an.Status)
 			}
 			time.Sleep(readPeriod)
 		}
@@ -207,15 +207,15 @@
 // read reads a job until it is complete, or the last recovery should be over.
 func (lo *load) read(ctx context.Context, id string, jo *jobRecord, accepted time.Time) {
 	pr := lo.promises
-	for !jo.isComplete(pr) && lo.until.Err() == nil {
+	for !jo.isComplete(pr) && lo.readUntil.Err() == nil {
 		sent := time.Now()
 		pa, status, err := lo.de.caller.Read(ctx, lo.gateway(), id)
 		switch {
 		case err != nil:
 		case status == http.StatusOK:
-			pr.readJob(id, &pa)
+			pr.checkJobPage(id, &pa)
 		case status == http.StatusNotFound && sent.Sub(accepted) > settleWithin:
-			pr.fail("job %s: unknown %v after it was accepted", id, sent.Sub(accepted))
+			pr.reportBroken("job %s: unknown %v after it was accepted", id, sent.Sub(accepted))
 		}
 		time.Sleep(readPeriod)
 	}
@@ -235,17 +235,17 @@
 		version, wctx := i+2, context.WithoutCancel(ctx)
 		if err := lo.de.caller.Configure(wctx, version); err == nil {
 			pr.mu.Lock()
-			if version > pr.version {
-				pr.version, pr.ackedAt = version, time.Now()
+			if version > pr.configVersion {
+				pr.configVersion, pr.ackedAt = version, time.Now()
 			}
 			pr.mu.Unlock()
 			pr.count("configuration accepted")
 		}
 		for _, ip := range lo.de.caller.Control {
-			acked, ackedAt := pr.acked()
+			acked, ackedAt := pr.ackedConfig()
 			sent := time.Now()
 			if v, err := lo.de.caller.ReadVersion(wctx, ip); err == nil {
-				pr.readConfig(ip, v, sent, acked, ackedAt)
+				pr.checkConfigRead(ip, v, sent, acked, ackedAt)
 			}
 		}
 	})
@@ -257,7 +257,7 @@
 	lo.every(ctx, versionPeriod, func(i int) {
 		if err := lo.de.caller.NameVersion(context.WithoutCancel(ctx), uint64(i+2)); err == nil {
 			pr.mu.Lock()
-			pr.named = max(pr.named, uint64(i+2))
+			pr.weightVersion = max(pr.weightVersion, uint64(i+2))
 			pr.mu.Unlock()
 			pr.count("version named")
 		}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -39,53 +39,53 @@
 
 var _ = ginkgo.AfterSuite(func() { Expect(os.RemoveAll(folder)).To(Succeed()) })
 
-// byHand are the runs that the arguments ask for: go test ./soak -args -- --seed 1 --seeds 50.
-type byHand struct {
+// runArguments are the runs that the arguments ask for: go test ./soak -args -- --seed 1 --seeds 50.
+type runArguments struct {
 	Config
 	seeds   uint64
 	verbose bool
 	measure bool
 }
 
-func parseArguments(args []string) (*byHand, error) {
-	bh := &byHand{}
+func parseArguments(args []string) (*runArguments, error) {
+	ra := &runArguments{}
 	app := kingpin.New("soak", "Play seeds with fresh faults. The folder of a seed that failed is kept.")
-	app.Flag("seed", "First seed.").Default("1").Uint64Var(&bh.Seed)
-	app.Flag("seeds", "Number of seeds, one after another.").Default("0").Uint64Var(&bh.seeds)
-	app.Flag("folder", "Where data and logs are written.").Default(os.TempDir()).ExistingDirVar(&bh.Folder)
-	app.Flag("length", "Time in which faults begin.").Default("20s").DurationVar(&bh.Length)
-	app.Flag("subnet", "Second number of the loopback IP numbers, for runs beside each other.").Default("30").IntVar(&bh.Subnet)
-	app.Flag("controllers", "Number of controllers.").IntVar(&bh.Controllers)
-	app.Flag("stores", "Number of stores.").IntVar(&bh.Stores)
-	app.Flag("gateways", "Number of gateways.").IntVar(&bh.Gateways)
-	app.Flag("plain", "Number of backend servers of the plain service.").IntVar(&bh.Plain)
-	app.Flag("engines", "Number of engines.").IntVar(&bh.Engines)
-	app.Flag("verbose", "Tell of each fault.").BoolVar(&bh.verbose)
-	app.Flag("measure", "Print what a start, rest, lookups and jobs cost each role.").BoolVar(&bh.measure)
+	app.Flag("seed", "First seed.").Default("1").Uint64Var(&ra.Seed)
+	app.Flag("seeds", "Number of seeds, one after another.").Default("0").Uint64Var(&ra.seeds)
+	app.Flag("folder", "Where data and logs are written.").Default(os.TempDir()).ExistingDirVar(&ra.Folder)
+	app.Flag("length", "Time in which faults begin.").Default("20s").DurationVar(&ra.Length)
+	app.Flag("subnet", "Second number of the loopback IP numbers, for runs beside each other.").Default("30").IntVar(&ra.Subnet)
+	app.Flag("controllers", "Number of controllers.").IntVar(&ra.Controllers)
+	app.Flag("stores", "Number of stores.").IntVar(&ra.Stores)
+	app.Flag("gateways", "Number of gateways.").IntVar(&ra.Gateways)
+	app.Flag("plain", "Number of backend servers of the plain service.").IntVar(&ra.Plain)
+	app.Flag("engines", "Number of engines.").IntVar(&ra.Engines)
+	app.Flag("verbose", "Tell of each fault.").BoolVar(&ra.verbose)
+	app.Flag("measure", "Print what a start, rest, lookups and jobs cost each role.").BoolVar(&ra.measure)
 	_, err := app.Parse(args)
 
-	return bh, err
+	return ra, err
 }
 
 var _ = ginkgo.Describe("fresh seeds", func() {
-	bh, err := parseArguments(flag.Args())
+	ra, err := parseArguments(flag.Args())
 	if err != nil {
 		panic(err) // there is no test yet that could fail
 	}
-	if bh.measure {
+	if ra.measure {
 		ginkgo.It("are not played: costs are measured", func() {
-			cfg := bh.Config
+			cfg := ra.Config
 			cfg.Folder, cfg.Binary = filepath.Join(folder, "measure"), binary
 			Expect(os.MkdirAll(filepath.Join(cfg.Folder, "data"), 0o700)).To(Succeed())
 			Expect(measure(context.Background(), cfg)).To(Succeed())
 		})
 	}
-	for i := range bh.seeds {
-		cfg := bh.Config
+	for i := range ra.seeds {
+		cfg := ra.Config
 		cfg.Seed += i
 		ginkgo.It(fmt.Sprintf("keep every promise: seed %d", cfg.Seed), func() {
 			cfg.Folder, cfg.Binary = filepath.Join(cfg.Folder, fmt.Sprintf("soak-%d-%d", os.Getpid(), cfg.Seed)), binary
-			if bh.verbose {
+			if ra.verbose {
 				cfg.Tell = func(format string, args ...any) { fmt.Printf("  "+format+"\n", args...) }
 			}
 			re, err := Run(context.Background(), cfg)
@@ -122,7 +122,7 @@
 		cfg := Config{Length: time.Minute}
 		cfg.Defaults()
 		for seed := range uint64(100) {
-			a, b := draw(rand.New(rand.NewPCG(seed, 1)), &cfg), draw(rand.New(rand.NewPCG(seed, 1)), &cfg)
+			a, b := drawFaults(rand.New(rand.NewPCG(seed, 1)), &cfg), drawFaults(rand.New(rand.NewPCG(seed, 1)), &cfg)
 			Expect(a).To(Equal(b))
 			wiped := map[bool]int{}
 			for _, fa := range a {
@@ -147,7 +147,7 @@
 		Expect(pr.start()).To(Succeed())
 		Eventually(pr.boot.DataFolder, "5s", "50us").Should(BeADirectory())
 		Expect(pr.signal(syscall.SIGHUP)).To(Succeed())
-		Consistently(pr.surprises, "500ms").Should(BeEmpty())
-		Expect(pr.end(syscall.SIGKILL)).To(Succeed())
+		Consistently(pr.unexpectedExits, "500ms").Should(BeEmpty())
+		Expect(pr.stop(syscall.SIGKILL)).To(Succeed())
 	})
 })
