--- a/soak/deployment_test.go
+++ b/soak/deployment_test.go
@@ -23,32 +23,34 @@
 )
 
 const (
-	// heartbeatPeriod is how often a backend server sends a heartbeat, half of what the
-	// settings promise.
+	// heartbeatPeriod is the interval between heartbeats of a backend server, half of the
+	// period in the settings.
 	heartbeatPeriod = 150 * time.Millisecond
-	// readyWithin bounds the start of the deployment.
+	// readyWithin limits the start of the deployment and of each program.
 	readyWithin = 20 * time.Second
-	// callTimeout is the patience of a caller, above the longest timeout of a route
-	// for plain requests.
+	// callTimeout is the timeout of a caller, longer than the longest timeout of a route for
+	// plain requests.
 	callTimeout = 5 * time.Second
+	// gracePeriod is how long a program may take to stop after SIGTERM.
 	gracePeriod = 6 * time.Second
-	// warmUpPrefix begins the IDs of requests that are sent until the deployment serves.
+	// warmUpPrefix is the prefix of the IDs of lookups that are sent until the deployment
+	// serves one. They are not recorded in promises.
 	warmUpPrefix = "warm-"
 )
 
-// deployment is the programs as processes, the network between them, and the other
-// side of the dialect.
+// deployment consists of the programs as processes, the network between them, and stand-ins
+// for the backend servers, the cloud and the callers.
 type deployment struct {
 	processes       []*process
 	servers         []*standin.BackendServer
-	listenAddresses map[*standin.BackendServer]string // where each listens, behind the network
+	listenAddresses map[*standin.BackendServer]string // address on which each listens, to which network forwards
 	cloud           *standin.Cloud
 	network         *network
 	caller          *standin.Caller
 	cancel          context.CancelFunc
 }
 
-// hosts are the loopback IP numbers of one run: 127.<subnet>.<kind>.<n>.
+// host returns the loopback IP number 127.<subnet>.<kind>.<n+1> of the n-th host of a kind.
 func host(subnet, kind, n int) string { return fmt.Sprintf("127.%d.%d.%d", subnet, kind, n+1) }
 
 // Kinds of hosts.
@@ -59,7 +61,7 @@
 	hostServer
 )
 
-// newDeployment starts everything and returns when a lookup is served.
+// newDeployment starts the deployment and waits until a lookup is served.
 func newDeployment(ctx context.Context, cfg *Config) (*deployment, error) {
 	ports, err := standin.FreePorts()
 	if err != nil {
@@ -116,6 +118,8 @@
 	return de, nil
 }
 
+// addServers starts the backend servers. They listen on internalPort; port is the one that
+// they announce and that network forwards.
 func (de *deployment) addServers(ctx context.Context, cfg *Config, port, internalPort int) error {
 	for i := range cfg.Plain + cfg.Engines {
 		bs := standin.NewBackendServer(fmt.Sprintf("p%d", i), servicePlain)
@@ -136,7 +140,7 @@
 		go func() {
 			for ctx.Err() == nil {
 				ip := de.caller.Control[rand.IntN(len(de.caller.Control))]
-				_ = bs.Beat(fmt.Sprintf("%s:%d", ip, de.caller.Ports.Control)) // the next one goes to any controller again
+				_ = bs.Beat(fmt.Sprintf("%s:%d", ip, de.caller.Ports.Control)) // if it fails, the next heartbeat goes to a random controller again
 				time.Sleep(heartbeatPeriod)
 			}
 		}()
@@ -145,6 +149,7 @@
 	return nil
 }
 
+// awaitReady waits until a configuration is accepted and a lookup is served.
 func (de *deployment) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyWithin)
 	defer cancel()
@@ -155,7 +160,7 @@
 			n++
 			an, err := de.caller.Lookup(ctx, de.gateways()[0], fmt.Sprintf("%s%d", warmUpPrefix, n), false)
 			if err == nil && an.Stamp == "" {
-				err = fmt.Errorf("a lookup is answered %d", an.Status)
+				err = fmt.Errorf("a lookup ended with status %d without an answer of a backend server", an.Status)
 			}
 
 			return err
@@ -180,7 +185,8 @@
 	return out
 }
 
-// pairs returns the links between a host and all others that open connections.
+// pairs returns the pairs between the host ip and all processes, in both directions, and from
+// ip to all backend servers.
 func (de *deployment) pairs(ip string) []pair {
 	var out []pair
 	for _, pr := range de.processes {
@@ -193,18 +199,19 @@
 	return out
 }
 
+// serverIP returns the IP number that a backend server announces.
 func serverIP(bs *standin.BackendServer) string {
-	ip, _, _ := net.SplitHostPort(bs.Address) // made by addServers
+	ip, _, _ := net.SplitHostPort(bs.Address) // the address was formatted by addServers
 
 	return ip
 }
 
-// close ends every process that the run started.
+// close kills every process that the run started and stops the stand-ins and the network.
 func (de *deployment) close() error {
 	de.cancel()
 	var errs []error
 	for _, pr := range de.processes {
-		// One that is paused can be killed too.
+		// SIGKILL also ends a paused process.
 		if err := pr.stop(syscall.SIGKILL); err != nil && !errors.Is(err, os.ErrProcessDone) {
 			errs = append(errs, err)
 		}
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -11,27 +11,27 @@
 	"github.com/tamarackbay/tamarackbay/internal/program"
 )
 
-// The mean pause between two faults and the longest fault: several overlap, and
-// most groups still have a quorum now and then.
+// The values let several faults overlap, but leave most groups a quorum now and then.
 const (
-	faultGap     = 900 * time.Millisecond
-	longestFault = 4 * time.Second
+	faultGap     = 900 * time.Millisecond // mean time between the starts of two faults
+	longestFault = 4 * time.Second        // limit of the random part of a duration
 )
 
-// fault is one disturbance, drawn before the run so that a seed replays it.
+// fault is one fault to inject. All faults are drawn before the run, so that a seed repeats
+// them.
 type fault struct {
 	startsAt, duration time.Duration
 	kind               string
 	target             int // index of the process or backend server
-	other              int // index of a second process
-	size               int
+	other              int // index of the second process of a fault between two
+	size               int // bytes of garbage, milliseconds of delay, or which events break off (serverBreaksOff)
 }
 
 func (fa fault) String() string {
 	return fmt.Sprintf("%.2fs %s target %d other %d for %.2fs", fa.startsAt.Seconds(), fa.kind, fa.target, fa.other, fa.duration.Seconds())
 }
 
-// faultKinds of faults with their weights.
+// faultKinds lists the kinds of faults and how often each is drawn relative to the others.
 var faultKinds = []struct {
 	name   string
 	weight int
@@ -54,14 +54,14 @@
 	{"killAll", 1},
 }
 
-// drawFaults returns the faults of a seed.
+// drawFaults draws the faults of a run in the order of their start.
 func drawFaults(rnd *rand.Rand, cfg *Config) []fault {
 	sum := 0
 	for _, k := range faultKinds {
 		sum += k.weight
 	}
 	processes, servers := cfg.Controllers+cfg.Stores+cfg.Gateways, cfg.Plain+cfg.Engines
-	wiped := map[bool]bool{} // by whether it is a store: a second loss may meet an unfinished repair
+	wiped := map[bool]bool{} // key: is a store. A second emptied disk in a group could come before the repair of the first.
 	var out []fault
 	for at := time.Second; ; at += time.Duration(rnd.ExpFloat64() * float64(faultGap)) {
 		if at > cfg.Length {
@@ -97,16 +97,17 @@
 	}
 }
 
-// injector carries faults out.
+// injector injects the faults of a run.
 type injector struct {
 	de           *deployment
 	logf         func(format string, args ...any)
-	processLocks []sync.Mutex // one for each process: its faults come one after another
-	serverLocks  []sync.Mutex // one for each backend server: it ends and starts once at a time
+	processLocks []sync.Mutex // one per process: its faults are injected one after another
+	serverLocks  []sync.Mutex // one per backend server: only one fault at a time stops and starts it
 	errMu        sync.Mutex
 	errs         []error
 }
 
+// recordError records an error of the injection itself, if it is one.
 func (in *injector) recordError(err error) {
 	if err == nil {
 		return
@@ -116,7 +117,7 @@
 	in.errs = append(in.errs, err)
 }
 
-// run carries out all faults and returns when the last one is over.
+// run injects all faults and returns when the last one is over.
 func (in *injector) run(ctx context.Context, faults []fault) {
 	in.processLocks = make([]sync.Mutex, len(in.de.processes))
 	in.serverLocks = make([]sync.Mutex, len(in.de.servers))
@@ -134,6 +135,7 @@
 	in.de.network.clearFaults()
 }
 
+// inject injects one fault and returns when it is over.
 func (in *injector) inject(fa fault) {
 	de := in.de
 	switch fa.kind {
@@ -181,20 +183,22 @@
 	}
 }
 
-// pairsBetween returns the links pairsBetween the two processes of a fault.
+// pairsBetween returns both directions between the two processes of a fault.
 func (in *injector) pairsBetween(fa fault) []pair {
 	a, b := in.de.processes[fa.target].ip, in.de.processes[fa.other].ip
 
 	return []pair{{a, b}, {b, a}}
 }
 
+// disturbLinks applies li to pairs for the duration of the fault.
 func (in *injector) disturbLinks(li linkFault, fa fault, ps []pair) {
 	in.de.network.setFault(li, ps...)
 	time.Sleep(fa.duration)
 	in.de.network.setFault(linkFault{}, ps...)
 }
 
-// disturbProcess does something to one process and sets it right again.
+// disturbProcess injects a fault into one process and restores it: a stopped process is
+// started again and a paused one resumed.
 func (in *injector) disturbProcess(fa fault, i int) {
 	in.processLocks[i].Lock()
 	defer in.processLocks[i].Unlock()
@@ -202,7 +206,7 @@
 	pr := in.de.processes[i]
 	switch fa.kind {
 	case "reload":
-		// Before a program has taken the signal over, the system ends it.
+		// SIGHUP ends a program that has not installed its signal handler yet.
 		in.recordError(pr.awaitStarted())
 		in.recordError(pr.signal(syscall.SIGHUP))
 
--- a/soak/measure_test.go
+++ b/soak/measure_test.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// clockTicksPerSecond a second, in which the kernel counts processor time.
+	// clockTicksPerSecond is the unit of processor time in /proc.
 	clockTicksPerSecond = 100
-	// metricsPort of every node.
+	// metricsPort is the port on which every node serves its metrics.
 	metricsPort = "9464"
 
 	measuredLookups     = 4000
@@ -31,14 +31,14 @@
 	measuredIdle        = 10 * time.Second
 )
 
-// resourceUse is what the processes of one role used so far.
+// resourceUse is the resource use of the processes of one role since their start.
 type resourceUse struct {
 	cpu   time.Duration // user and system
-	rssMB int64         // of the largest one
-	syncs int64
+	rssMB int64         // resident memory of the largest process
+	syncs int64         // of files to disk
 }
 
-// readResourceUse reads processor time, memory and syncs of the processes of a role.
+// readResourceUse returns the processor time, memory and syncs of the processes of a role.
 func (de *deployment) readResourceUse(role string) (resourceUse, error) {
 	var out resourceUse
 	for _, pr := range de.processes {
@@ -76,7 +76,8 @@
 	return out, nil
 }
 
-// measure prints what a start, rest, lookups and jobs cost each role.
+// measure prints the resource use of each role during start, idle time, lookups and jobs, and
+// how long a failover takes.
 func measure(ctx context.Context, cfg Config) error {
 	cfg.Defaults()
 	de, err := newDeployment(ctx, &cfg)
@@ -96,13 +97,13 @@
 			return fmt.Errorf("%s: %w", name, err)
 		}
 		took := time.Since(began)
-		fmt.Printf("%s (%.1f s, %d KB between own processes)\n", name, took.Seconds(), (de.network.forwardedBytes()-bytes)>>10)
+		fmt.Printf("%s (%.1f s, %d KB between the programs)\n", name, took.Seconds(), (de.network.forwardedBytes()-bytes)>>10)
 		for _, role := range roles {
 			after, err := de.readResourceUse(role)
 			if err != nil {
 				return err
 			}
-			fmt.Printf("  %-10s %4d ms of processor in all, %d syncs, largest %d MB\n",
+			fmt.Printf("  %-10s %4d ms of processor time in total, %d syncs, largest process %d MB\n",
 				role, (after.cpu - before[role].cpu).Milliseconds(), after.syncs-before[role].syncs, after.rssMB)
 		}
 
@@ -113,9 +114,9 @@
 		if err != nil {
 			return err
 		}
-		fmt.Printf("from the start to the first lookup served: %-10s %4d ms of processor in all, largest %d MB\n", role, sp.cpu.Milliseconds(), sp.rssMB)
+		fmt.Printf("from the start to the first lookup served: %-10s %4d ms of processor time in total, largest process %d MB\n", role, sp.cpu.Milliseconds(), sp.rssMB)
 	}
-	err = step("at rest", func() error {
+	err = step("while idle", func() error {
 		time.Sleep(measuredIdle)
 
 		return nil
@@ -136,8 +137,8 @@
 	return err
 }
 
-// measureFailover kills the leaders, and then all processes of a role, and prints how
-// long callers noticed.
+// measureFailover kills the leaders of a role, and then all of its processes, and prints how
+// long it takes until requests to the role succeed again.
 func (de *deployment) measureFailover(ctx context.Context) error {
 	version := 1
 	configure := func() error {
@@ -191,11 +192,11 @@
 			}
 			for lo.serves() != nil {
 				if time.Since(began) > recoverWithin {
-					return fmt.Errorf("%d of role %s killed: %v later still not: %s", len(killed), lo.role, recoverWithin, lo.what)
+					return fmt.Errorf("%d processes of role %s killed: not recovered after %v, expected: %s", len(killed), lo.role, recoverWithin, lo.what)
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
-			fmt.Printf("%d of role %s killed (all: %t): %s again after %d ms\n", len(killed), lo.role, isAll, lo.what, time.Since(began).Milliseconds())
+			fmt.Printf("%d processes of role %s killed (all: %t): %s again after %d ms\n", len(killed), lo.role, isAll, lo.what, time.Since(began).Milliseconds())
 			if !isAll {
 				for _, pr := range killed {
 					if err := pr.start(); err != nil {
@@ -203,7 +204,7 @@
 					}
 				}
 			}
-			time.Sleep(5 * time.Second) // until everything is whole again
+			time.Sleep(5 * time.Second) // enough for all processes to recover before the next kill
 		}
 	}
 
@@ -215,6 +216,7 @@
 	return meter.Fetch(context.Background(), httpcall.NewClient("", false), net.JoinHostPort(pr.ip, metricsPort))
 }
 
+// measureLookups sends measuredLookups lookups from concurrent callers.
 func (de *deployment) measureLookups(ctx context.Context) error {
 	var wg sync.WaitGroup
 	errs := make(chan error, measuredConcurrency)
@@ -239,13 +241,14 @@
 	return <-errs
 }
 
+// measureJobs runs measuredJobs jobs one after another.
 func (de *deployment) measureJobs(ctx context.Context) error {
 	gw := de.gateways()[0]
 	for i := range measuredJobs {
 		job := fmt.Sprintf("mj%d", i)
 		an, err := de.caller.Submit(ctx, gw, job, measuredItems, measuredEvents)
 		if err != nil || an.Status != http.StatusAccepted {
-			return fmt.Errorf("submission: status %d, %w", an.Status, err)
+			return fmt.Errorf("submitting a job: status %d, %w", an.Status, err)
 		}
 		for done := 0; done < measuredItems; {
 			pa, _, err := de.caller.Read(ctx, gw, job)
--- a/soak/process_test.go
+++ b/soak/process_test.go
@@ -14,24 +14,24 @@
 	"github.com/tamarackbay/tamarackbay/platform/standin"
 )
 
-// process is one program of the deployment that is started again and again.
+// process is one program of the deployment. It can be stopped and started repeatedly.
 type process struct {
 	role, ip   string
 	binary     string
-	folder     string // of settings and logs
-	peerListen string // where it listens for own processes, behind the network
+	folder     string // for settings and logs
+	peerListen string // address on which it listens for other processes, to which network forwards
 	boot       standin.Boot
 
 	mu         sync.Mutex
 	starts     int
-	logSize    int64 // of the log before the last start
+	logSize    int64 // size of the log in bytes before the last start
 	cmd        *exec.Cmd
-	ended      chan struct{} // closed when the current one has ended
-	isStopping bool          // on purpose
-	unexpected []string      // that nobody caused
+	ended      chan struct{} // closed when the current run of the program has ended
+	isStopping bool          // SIGTERM or SIGKILL was sent to the current run
+	unexpected []string      // messages about exits without such a signal
 }
 
-// start runs the program. It starts for the first time only once.
+// start starts the program. Only the first call sets IsFirst in its settings.
 func (pr *process) start() error {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
@@ -69,7 +69,7 @@
 		err := cmd.Wait()
 		pr.mu.Lock()
 		if !pr.isStopping {
-			pr.unexpected = append(pr.unexpected, fmt.Sprintf("%s ended by itself at %s: %v", bo.Name, time.Now().Format(time.TimeOnly), err))
+			pr.unexpected = append(pr.unexpected, fmt.Sprintf("process %s ended unexpectedly at %s: %v", bo.Name, time.Now().Format(time.TimeOnly), err))
 		}
 		pr.mu.Unlock()
 		close(ended)
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// awaitStarted waits until the running program has logged something.
+// awaitStarted waits until the program has logged a line since its last start.
 func (pr *process) awaitStarted() error {
 	pr.mu.Lock()
 	from := pr.logSize
@@ -89,7 +89,7 @@
 		}
 	}
 
-	return fmt.Errorf("%s has logged nothing within %v", pr.boot.Name, readyWithin)
+	return fmt.Errorf("process %s has logged nothing within %v after its start", pr.boot.Name, readyWithin)
 }
 
 func (pr *process) logFile() string { return filepath.Join(pr.folder, pr.boot.Name+".log") }
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// stop stops the program by a signal and waits until it is gone.
+// stop sends a signal that ends the program and waits until it has ended.
 func (pr *process) stop(sig syscall.Signal) error {
 	if err := pr.signal(sig); err != nil {
 		return err
@@ -120,14 +120,15 @@
 	case <-ended:
 		return nil
 	case <-time.After(pr.boot.Grace + time.Second):
-		return errors.Join(fmt.Errorf("%s outlived its grace period after %v", pr.boot.Name, sig), pr.signal(syscall.SIGKILL))
+		return errors.Join(fmt.Errorf("process %s did not end within its grace period after the signal %v", pr.boot.Name, sig), pr.signal(syscall.SIGKILL))
 	}
 }
 
 // wipe empties the disk of a stopped program.
 func (pr *process) wipe() error { return os.RemoveAll(pr.boot.DataFolder) }
 
-// appendGarbage appends what a write cut short may leave behind: bytes that are no record.
+// appendGarbage appends bytes that are not a valid record to the newest log file of a stopped
+// program, as an interrupted write may leave them.
 func (pr *process) appendGarbage(b []byte) error {
 	newest := ""
 	err := filepath.WalkDir(pr.boot.DataFolder, func(path string, de os.DirEntry, err error) error {
@@ -150,6 +151,7 @@
 	return err
 }
 
+// unexpectedExits returns one message for each exit that the run did not cause.
 func (pr *process) unexpectedExits() []string {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
--- a/soak/promises_test.go
+++ b/soak/promises_test.go
@@ -13,33 +13,34 @@
 	"github.com/tamarackbay/tamarackbay/platform/standin"
 )
 
-// configAppliedWithin is how long after its acknowledgement a configuration may be missing
-// where it is read: config_apply_ms of the deployments.
+// configAppliedWithin limits how long a controller may return an older configuration after a
+// newer one was acknowledged: config_apply_ms of the deployments.
 const configAppliedWithin = 2500 * time.Millisecond
 
-// promises keeps what callers were told and finds what was not kept.
+// promises records the responses that callers received and checks the promises that follow
+// from them.
 type promises struct {
 	mu            sync.Mutex
 	broken        []string
 	lookups       map[string]*lookup
 	jobs          map[string]*jobRecord
-	configVersion int       // newest acknowledged configuration
-	ackedAt       time.Time // of it
+	configVersion int       // newest acknowledged version of the configuration
+	ackedAt       time.Time // time of the acknowledgement of configVersion
 	weightVersion uint64    // newest acknowledged weight version
 	counts        map[string]int
 }
 
-// lookup is one plain request. Its ID is never used again.
+// lookup is one plain request. No other request has its ID.
 type lookup struct {
 	isOnce    bool
-	isRefused bool // the answer promises that it has not run and never will
+	isRefused bool // the response promises that the request has not run and never will
 }
 
 // jobRecord is a batch job that may have been accepted.
 type jobRecord struct {
 	items, events int
 	isAccepted    bool
-	results       []standin.Item // in the order read first
+	results       []standin.Item // in the order in which they were first read
 	isDone        bool
 }
 
@@ -47,12 +48,14 @@
 	return &promises{lookups: map[string]*lookup{}, jobs: map[string]*jobRecord{}, counts: map[string]int{}}
 }
 
+// reportBroken records a broken promise with the current time.
 func (pr *promises) reportBroken(format string, args ...any) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
 	pr.reportBrokenLocked(format, args...)
 }
 
+// reportBrokenLocked is reportBroken for callers that hold mu.
 func (pr *promises) reportBrokenLocked(format string, args ...any) {
 	pr.broken = append(pr.broken, time.Now().Format("15:04:05.000")+" "+fmt.Sprintf(format, args...))
 }
@@ -63,7 +66,7 @@
 	pr.counts[what]++
 }
 
-// recordLookup notes a request before it is sent.
+// recordLookup records a request. It is called before the request is sent.
 func (pr *promises) recordLookup(id string, isOnce bool) *lookup {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
@@ -73,7 +76,7 @@
 	return lo
 }
 
-// checkLookupAnswer checks an answer.
+// checkLookupAnswer checks the response to a lookup.
 func (pr *promises) checkLookupAnswer(id string, an *standin.Answer, err error) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
@@ -83,28 +86,29 @@
 	case an.Status == http.StatusOK:
 		pr.counts["lookup served"]++
 		if an.Stamp != standin.Stamp || string(an.Body) != standin.LookupAnswer(id) {
-			pr.reportBrokenLocked("lookup %s: a success that no backend server gave: %q", id, an.Body)
+			pr.reportBrokenLocked("lookup %s: a successful response that is not from a backend server: %q", id, an.Body)
 		}
 	case an.Status == http.StatusServiceUnavailable || an.Status == http.StatusTooManyRequests:
 		pr.counts["lookup refused"]++
 		pr.lookups[id].isRefused = true
 		if an.RetryAfter == "" {
-			pr.reportBrokenLocked("lookup %s: a refusal that does not say when to come back", id)
+			pr.reportBrokenLocked("lookup %s: a refusal without a Retry-After header", id)
 		}
 	case an.Status < http.StatusInternalServerError:
-		pr.reportBrokenLocked("lookup %s: a proper request is answered %d", id, an.Status)
+		pr.reportBrokenLocked("lookup %s: a valid request ended with the unexpected status %d", id, an.Status)
 	default:
 		pr.counts[fmt.Sprintf("lookup ended with %d", an.Status)]++
 	}
 }
 
-// checkJobPage checks a page of results against what was read before.
+// checkJobPage checks a page of results against the results read before: none may disappear,
+// move or change.
 func (pr *promises) checkJobPage(id string, pa *standin.Page) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
 	jo := pr.jobs[id]
 	if len(pa.Results) < len(jo.results) {
-		pr.reportBrokenLocked("job %s: %d results were read, now there are %d", id, len(jo.results), len(pa.Results))
+		pr.reportBrokenLocked("job %s: the number of results decreased from %d to %d", id, len(jo.results), len(pa.Results))
 
 		return
 	}
@@ -112,12 +116,12 @@
 	for i := range pa.Results {
 		it := &pa.Results[i]
 		if seen[it.ID] {
-			pr.reportBrokenLocked("job %s: item %s stands at two positions", id, it.ID)
+			pr.reportBrokenLocked("job %s: item %s is at two positions", id, it.ID)
 		}
 		seen[it.ID] = true
 		if i < len(jo.results) {
 			if old := &jo.results[i]; old.ID != it.ID || old.Text != it.Text || old.Score != it.Score || !slices.Equal(old.Versions, it.Versions) {
-				pr.reportBrokenLocked("job %s: position %d held %s and holds %s", id, i, old.ID, it.ID)
+				pr.reportBrokenLocked("job %s: the result at position %d changed: item was %s, is %s", id, i, old.ID, it.ID)
 			}
 
 			continue
@@ -127,7 +131,7 @@
 		}
 	}
 	if pa.Total != jo.items {
-		pr.reportBrokenLocked("job %s: %d items in all, not %d", id, pa.Total, jo.items)
+		pr.reportBrokenLocked("job %s: the total is %d items, expected %d", id, pa.Total, jo.items)
 	}
 	jo.results = pa.Results
 	if len(pa.Results) == jo.items && !jo.isDone {
@@ -136,13 +140,16 @@
 	}
 }
 
-// checkConfigRead checks a version that a controller gave to a read sent at a time.
+// checkConfigRead checks the version that a controller returned to a read sent at the time
+// sent, when version acked had been acknowledged at ackedAt.
 func (pr *promises) checkConfigRead(controller string, version int, sent time.Time, acked int, ackedAt time.Time) {
 	if version < acked && sent.Sub(ackedAt) > configAppliedWithin {
-		pr.reportBroken("controller %s holds configuration %d, %d was acknowledged %v before", controller, version, acked, sent.Sub(ackedAt))
+		pr.reportBroken("controller %s returned configuration version %d, but %d was acknowledged %v earlier", controller, version, acked, sent.Sub(ackedAt))
 	}
 }
 
+// ackedConfig returns the newest acknowledged version of the configuration and the time of its
+// acknowledgement.
 func (pr *promises) ackedConfig() (int, time.Time) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
@@ -150,8 +157,8 @@
 	return pr.configVersion, pr.ackedAt
 }
 
-// checkFinalState compares what was promised with what backend servers and the interface of
-// duties saw, after everything has come to rest.
+// checkFinalState checks the promises against the requests that backend servers and the cloud
+// stand-in received. It is called after the load and all processes have stopped.
 func (pr *promises) checkFinalState(de *deployment) {
 	runs := map[string]int{}
 	holders := map[uint64]string{}
@@ -160,15 +167,15 @@
 		for id, n := range bs.Runs() {
 			runs[id] += n
 			if wo := workspaces[id]; wo != standin.Workspace && wo != "" {
-				pr.reportBroken("request %s ran for the workspace %q", id, wo)
+				pr.reportBroken("request %s ran for the wrong workspace %q", id, wo)
 			}
 		}
 		if n := bs.Keys(); n > 0 {
-			pr.reportBroken("%s was passed the keys of %d requests", bs.ID, n)
+			pr.reportBroken("backend server %s received the keys of callers with %d requests", bs.ID, n)
 		}
 		for _, or := range bs.AllOrders() {
 			if old, ok := holders[or.Fencing]; ok && old != or.Holder {
-				pr.reportBroken("orders under the fencing number %d came from %s and from %s", or.Fencing, old, or.Holder)
+				pr.reportBroken("orders with fencing number %d came from both %s and %s", or.Fencing, old, or.Holder)
 			}
 			holders[or.Fencing] = or.Holder
 		}
@@ -186,10 +193,10 @@
 		total += uint64(n)
 		delete(sent, id)
 		if lo.isOnce && n > 1 {
-			pr.reportBrokenLocked("request %s may run once and ran %d times", id, n)
+			pr.reportBrokenLocked("request %s may run at most once, but ran %d times", id, n)
 		}
 		if lo.isOnce && lo.isRefused && n > 0 {
-			pr.reportBrokenLocked("request %s was refused as not run and ran %d times", id, n)
+			pr.reportBrokenLocked("request %s was refused as not run, but ran %d times", id, n)
 		}
 	}
 	for id, jo := range pr.jobs {
@@ -200,17 +207,17 @@
 			}
 		}
 		if jo.isAccepted && !jo.isDone {
-			pr.reportBrokenLocked("job %s was accepted and has %d of %d results", id, len(jo.results), jo.items)
+			pr.reportBrokenLocked("job %s was accepted, but has only %d of %d results", id, len(jo.results), jo.items)
 		}
 	}
 	for id := range sent {
 		if strings.HasPrefix(id, warmUpPrefix) {
 			continue
 		}
-		pr.reportBrokenLocked("a request %s ran that nobody sent", id)
+		pr.reportBrokenLocked("request %s ran, but was never sent", id)
 	}
 	if billed := de.cloud.Reported(); billed > total {
-		pr.reportBrokenLocked("%d requests were billed, %d ran", billed, total)
+		pr.reportBrokenLocked("%d requests were billed, but only %d ran", billed, total)
 	}
 	for _, p := range de.processes {
 		for _, s := range p.unexpectedExits() {
@@ -219,7 +226,9 @@
 	}
 }
 
-// awaitRecovery waits until everything works again after the last fault.
+// awaitRecovery waits until every gateway serves lookups, every controller has the newest
+// configuration and every engine the newest weights. What is missing after recoverWithin is
+// recorded as a broken promise.
 func (pr *promises) awaitRecovery(ctx context.Context, de *deployment) {
 	ctx, cancel := context.WithTimeout(ctx, recoverWithin)
 	defer cancel()
@@ -231,7 +240,7 @@
 				select {
 				case <-time.After(readPeriod):
 				case <-ctx.Done():
-					pr.reportBroken("%v after the last fault: %s", recoverWithin, what)
+					pr.reportBroken("not recovered %v after the last fault: %s", recoverWithin, what)
 
 					return
 				}
@@ -239,7 +248,7 @@
 		})
 	}
 	for i, gw := range de.gateways() {
-		await("gateway "+gw+" serves nothing", func() bool {
+		await("gateway "+gw+" serves no lookups", func() bool {
 			id := fmt.Sprintf("last-%d-%d", i, time.Now().UnixNano())
 			pr.recordLookup(id, false)
 			an, err := de.caller.Lookup(ctx, gw, id, false)
@@ -250,7 +259,7 @@
 	}
 	version, _ := pr.ackedConfig()
 	for _, ip := range de.caller.Control {
-		await("controller "+ip+" lacks the newest configuration", func() bool {
+		await("controller "+ip+" does not have the newest configuration", func() bool {
 			v, err := de.caller.ReadVersion(ctx, ip)
 
 			return err == nil && v >= version
@@ -258,11 +267,12 @@
 	}
 	for _, bs := range de.servers {
 		if bs.Service == serviceEngines {
-			await("engine "+bs.ID+" lacks the newest weights", func() bool { return bs.Versions()[standin.Model] >= pr.namedVersion() })
+			await("engine "+bs.ID+" does not have the newest weights", func() bool { return bs.Versions()[standin.Model] >= pr.namedVersion() })
 		}
 	}
 }
 
+// namedVersion returns the newest acknowledged weight version.
 func (pr *promises) namedVersion() uint64 {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -9,25 +9,25 @@
 	"time"
 )
 
-// pair names the link from the host that opens a connection to the one that accepts it.
+// pair identifies connections by the host that opens them and the one that accepts them.
 type pair struct{ from, to string }
 
-// linkFault is how a pair is harmed now.
+// linkFault is the current fault of the connections of a pair. The zero value is no fault.
 type linkFault struct {
-	delay   time.Duration // added to each chunk, both ways
-	isCut   bool          // nothing gets from the opener to the acceptor
-	isMuted bool          // nothing gets back
+	delay   time.Duration // added to each chunk in both directions
+	isCut   bool          // no bytes pass from the opener to the acceptor
+	isMuted bool          // no bytes pass from the acceptor to the opener
 }
 
-// network forwards connections over loopback and harms them. Bytes that a cut holds
-// back are passed on when it ends, as a transport protocol would send them again.
+// network forwards connections over loopback and injects faults into them. Bytes that are
+// held back are forwarded once the fault ends, as TCP would retransmit them.
 type network struct {
 	mu        sync.Mutex
-	changed   chan struct{} // closed and replaced with each change
+	changed   chan struct{} // closed and replaced with each change of faults
 	faults    map[pair]linkFault
 	conns     map[net.Conn]pair
 	listeners []net.Listener
-	bytes     atomic.Int64 // between own processes
+	bytes     atomic.Int64 // forwarded between the programs
 	wg        sync.WaitGroup
 }
 
@@ -35,8 +35,8 @@
 	return &network{changed: make(chan struct{}), faults: map[pair]linkFault{}, conns: map[net.Conn]pair{}}
 }
 
-// forward accepts at address and connects to target. Bytes between own processes
-// are counted.
+// forward listens on address and forwards each connection to target. If isOwn is set, target
+// belongs to one of the programs and the bytes are counted.
 func (ne *network) forward(address, target string, isOwn bool) error {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -53,7 +53,7 @@
 		for {
 			co, err := ln.Accept()
 			if err != nil {
-				return // the network was closed
+				return // the listener was closed
 			}
 			from := co.RemoteAddr().(*net.TCPAddr).IP.String()
 			ne.wg.Go(func() { ne.serve(co, target, pair{from, to}, isOwn) })
@@ -63,11 +63,12 @@
 	return nil
 }
 
+// serve forwards one connection until either side closes it.
 func (ne *network) serve(co net.Conn, target string, pa pair, isOwn bool) {
 	defer co.Close()
 	up, err := net.DialTimeout("tcp", target, time.Second)
 	if err != nil {
-		reset(co) // nothing listens there
+		reset(co) // target does not listen
 
 		return
 	}
@@ -111,10 +112,10 @@
 	<-done
 }
 
-// forwardedBytes returns the bytes that went between own processes so far.
+// forwardedBytes returns the number of bytes forwarded between the programs so far.
 func (ne *network) forwardedBytes() int64 { return ne.bytes.Load() }
 
-// applyFault holds a chunk back while its direction is cut, and delays it.
+// applyFault blocks while the direction of a chunk is cut, and then delays the chunk.
 func (ne *network) applyFault(pa pair, isBack bool) {
 	for {
 		ne.mu.Lock()
@@ -131,7 +132,7 @@
 	}
 }
 
-// setFault sets how pairs are harmed, the zero link for not at all.
+// setFault sets the fault of pairs.
 func (ne *network) setFault(li linkFault, pairs ...pair) {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
@@ -142,7 +143,7 @@
 	ne.changed = make(chan struct{})
 }
 
-// clearFaults ends all harm.
+// clearFaults ends the faults of all pairs.
 func (ne *network) clearFaults() {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
@@ -151,7 +152,7 @@
 	ne.changed = make(chan struct{})
 }
 
-// reset cuts the open connections of pairs.
+// reset resets the open connections of pairs.
 func (ne *network) reset(pairs ...pair) {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
@@ -164,7 +165,7 @@
 	}
 }
 
-// close ends everything.
+// close closes all listeners and connections and waits for their goroutines.
 func (ne *network) close() {
 	ne.clearFaults()
 	ne.mu.Lock()
@@ -178,7 +179,7 @@
 	ne.wg.Wait()
 }
 
-// reset closes a connection so that its other end sees a reset.
+// reset closes a connection so that the other end receives a reset.
 func reset(co net.Conn) {
 	if tc, ok := co.(*net.TCPConn); ok {
 		_ = tc.SetLinger(0) // fails only on a closed connection
--- a/soak/run_test.go
+++ b/soak/run_test.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// recoverWithin is the time in which everything works again: recover_s of the
+	// recoverWithin limits the recovery of the deployment after a fault: recover_s of the
 	// deployments.
 	recoverWithin = 15 * time.Second
-	// settleWithin is how long after its acceptance a job may be unknown somewhere:
+	// settleWithin limits how long a gateway may not know a job after its acceptance:
 	// settle_ms of the deployments.
 	settleWithin = time.Second
 
@@ -26,26 +26,26 @@
 	readPeriod    = 250 * time.Millisecond
 	configPeriod  = 1200 * time.Millisecond
 	versionPeriod = 3 * time.Second
-	// acceptWithin is how long a trainer sends a job again that got no clear answer.
+	// acceptWithin limits how long a trainer resends a job that was not accepted.
 	acceptWithin = 10 * time.Second
 )
 
 // Config describes one run.
 type Config struct {
 	Seed        uint64
-	Length      time.Duration // in which faults begin
-	Subnet      int           // second number of the loopback IP numbers, for runs beside each other
-	Binary      string        // of tamarackbay
-	Folder      string        // of settings, data and logs
+	Length      time.Duration // period in which faults start
+	Subnet      int           // second number of the loopback IP numbers; different for concurrent runs
+	Binary      string        // path of the tamarackbay program
+	Folder      string        // for settings, data and logs
 	Controllers int
 	Stores      int
 	Gateways    int
 	Plain       int // backend servers of the plain service
 	Engines     int
-	Tell        func(format string, args ...any) // progress, one line a fault
+	Tell        func(format string, args ...any) // logs progress, one line per fault
 }
 
-// Defaults fills in what is not set.
+// Defaults sets the default of each field that is zero.
 func (cfg *Config) Defaults() {
 	def := func(p *int, v int) {
 		if *p == 0 {
@@ -66,17 +66,17 @@
 	}
 }
 
-// Validate checks the configuration.
+// Validate returns an error if the configuration cannot be run.
 func (cfg *Config) Validate() error {
 	switch {
 	case cfg.Subnet < 1 || cfg.Subnet > 254:
 		return fmt.Errorf("the subnet %d is not between 1 and 254", cfg.Subnet)
 	case cfg.Controllers < 3 || cfg.Stores < 3 || cfg.Gateways < 1 || cfg.Plain < 1 || cfg.Engines < 1:
-		return errors.New("a run has 3 controllers, 3 stores, and one of each other kind at least")
+		return errors.New("a run needs at least 3 controllers, 3 stores, and one gateway, plain backend server and engine")
 	case max(cfg.Controllers, cfg.Stores, cfg.Gateways, cfg.Plain+cfg.Engines) > 250:
-		return errors.New("a run has at most 250 processes of a kind")
+		return errors.New("a run may have at most 250 controllers, 250 stores, 250 gateways and 250 backend servers")
 	case cfg.Binary == "" || cfg.Folder == "":
-		return errors.New("the binary and the folder must be given")
+		return errors.New("the binary and the folder must be set")
 	}
 
 	return nil
@@ -84,11 +84,12 @@
 
 // Report is the outcome of a run.
 type Report struct {
-	Broken []string // promises that were not kept
-	Counts map[string]int
+	Broken []string       // one message for each promise that was broken
+	Counts map[string]int // events by name
 	Faults int
 }
 
+// String returns the number of faults and all counts in one line.
 func (re *Report) String() string {
 	keys := make([]string, 0, len(re.Counts))
 	for k := range re.Counts {
@@ -103,7 +104,8 @@
 	return out
 }
 
-// Run plays one seed: load, faults, recovery, and the check of every promise.
+// Run runs one seed: it applies load, injects the faults, waits for the recovery, and checks
+// every promise.
 func Run(ctx context.Context, cfg Config) (*Report, error) {
 	cfg.Defaults()
 	if err := cfg.Validate(); err != nil {
@@ -139,21 +141,22 @@
 	return &Report{Broken: pr.broken, Counts: pr.counts, Faults: len(faults)}, err
 }
 
-// load is what callers do all the while.
+// load generates the requests of callers during the run.
 type load struct {
 	de        *deployment
 	promises  *promises
-	readUntil context.Context // accepted jobs are read until it ends
+	readUntil context.Context // accepted jobs are read until they are complete or this ends
 }
 
+// gateway returns the IP number of a random gateway.
 func (lo *load) gateway() string {
 	gws := lo.de.gateways()
 
 	return gws[rand.IntN(len(gws))]
 }
 
-// every calls f in a goroutine of its own, again and again until ctx ends, and waits
-// for all of them.
+// every starts f in a new goroutine once per period until ctx ends, and then waits for all
+// calls to return.
 func (lo *load) every(ctx context.Context, period time.Duration, f func(i int)) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -166,6 +169,7 @@
 	}
 }
 
+// lookups sends plain requests. Every second one may run at most once.
 func (lo *load) lookups(ctx context.Context) {
 	lo.every(ctx, lookupPeriod, func(i int) {
 		id, isOnce := fmt.Sprintf("r%d", i), i%2 == 0
@@ -175,7 +179,7 @@
 	})
 }
 
-// jobs submits jobs and reads each to its end.
+// jobs submits jobs and reads each until it is complete.
 func (lo *load) jobs(ctx context.Context) {
 	const items, events = 6, 30
 	lo.every(ctx, jobPeriod, func(i int) {
@@ -194,7 +198,7 @@
 				pr.mu.Unlock()
 				pr.count("job accepted")
 			case err == nil && an.Status < http.StatusInternalServerError && an.Status != http.StatusTooManyRequests:
-				pr.reportBroken("job %s: a proper job is answered %d", id, an.Status)
+				pr.reportBroken("job %s: submitting a valid job ended with the unexpected status %d", id, an.Status)
 			}
 			time.Sleep(readPeriod)
 		}
@@ -204,7 +208,8 @@
 	})
 }
 
-// read reads a job until it is complete, or the last recovery should be over.
+// read reads a job until it is complete or the time for the recovery after the last fault is
+// over.
 func (lo *load) read(ctx context.Context, id string, jo *jobRecord, accepted time.Time) {
 	pr := lo.promises
 	for !jo.isComplete(pr) && lo.readUntil.Err() == nil {
@@ -215,7 +220,7 @@
 		case status == http.StatusOK:
 			pr.checkJobPage(id, &pa)
 		case status == http.StatusNotFound && sent.Sub(accepted) > settleWithin:
-			pr.reportBroken("job %s: unknown %v after it was accepted", id, sent.Sub(accepted))
+			pr.reportBroken("job %s: a gateway did not know it %v after it was accepted", id, sent.Sub(accepted))
 		}
 		time.Sleep(readPeriod)
 	}
@@ -228,7 +233,8 @@
 	return jo.isDone
 }
 
-// configurations sends ever newer ones and reads them back everywhere.
+// configurations sends configurations with increasing versions and reads the version in force
+// from every controller.
 func (lo *load) configurations(ctx context.Context) {
 	pr := lo.promises
 	lo.every(ctx, configPeriod, func(i int) {
@@ -251,7 +257,7 @@
 	})
 }
 
-// versions names ever newer weights.
+// versions names weight versions with increasing numbers.
 func (lo *load) versions(ctx context.Context) {
 	pr := lo.promises
 	lo.every(ctx, versionPeriod, func(i int) {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -1,5 +1,6 @@
-// Package soak_test runs the real programs as processes on one machine, harms them and
-// their links from outside, and checks what callers and backend servers were promised.
+// Package soak_test runs the real programs as processes on one machine, injects faults into
+// the processes and the connections between them, and checks the promises made to callers and
+// backend servers.
 package soak_test
 
 import (
@@ -25,7 +26,8 @@
 
 func TestSuite(t *testing.T) { suite.Run(t, "soak") }
 
-// binary is built once for all runs.
+// binary is the program under test, built once for all runs. folder is the temporary folder
+// of the suite.
 var binary, folder string
 
 var _ = ginkgo.BeforeSuite(func() {
@@ -39,7 +41,8 @@
 
 var _ = ginkgo.AfterSuite(func() { Expect(os.RemoveAll(folder)).To(Succeed()) })
 
-// runArguments are the runs that the arguments ask for: go test ./soak -args -- --seed 1 --seeds 50.
+// runArguments holds the runs requested on the command line, as in
+// go test ./soak -args -- --seed 1 --seeds 50.
 type runArguments struct {
 	Config
 	seeds   uint64
@@ -49,31 +52,31 @@
 
 func parseArguments(args []string) (*runArguments, error) {
 	ra := &runArguments{}
-	app := kingpin.New("soak", "Play seeds with fresh faults. The folder of a seed that failed is kept.")
+	app := kingpin.New("soak", "Run the soak with one or more seeds. The folder of a failed seed is kept.")
 	app.Flag("seed", "First seed.").Default("1").Uint64Var(&ra.Seed)
 	app.Flag("seeds", "Number of seeds, one after another.").Default("0").Uint64Var(&ra.seeds)
 	app.Flag("folder", "Where data and logs are written.").Default(os.TempDir()).ExistingDirVar(&ra.Folder)
-	app.Flag("length", "Time in which faults begin.").Default("20s").DurationVar(&ra.Length)
-	app.Flag("subnet", "Second number of the loopback IP numbers, for runs beside each other.").Default("30").IntVar(&ra.Subnet)
+	app.Flag("length", "Period in which faults start.").Default("20s").DurationVar(&ra.Length)
+	app.Flag("subnet", "Second number of the loopback IP numbers; different for concurrent runs.").Default("30").IntVar(&ra.Subnet)
 	app.Flag("controllers", "Number of controllers.").IntVar(&ra.Controllers)
 	app.Flag("stores", "Number of stores.").IntVar(&ra.Stores)
 	app.Flag("gateways", "Number of gateways.").IntVar(&ra.Gateways)
 	app.Flag("plain", "Number of backend servers of the plain service.").IntVar(&ra.Plain)
 	app.Flag("engines", "Number of engines.").IntVar(&ra.Engines)
-	app.Flag("verbose", "Tell of each fault.").BoolVar(&ra.verbose)
-	app.Flag("measure", "Print what a start, rest, lookups and jobs cost each role.").BoolVar(&ra.measure)
+	app.Flag("verbose", "Print each fault.").BoolVar(&ra.verbose)
+	app.Flag("measure", "Print the resource use of each role during start, idle time, lookups and jobs.").BoolVar(&ra.measure)
 	_, err := app.Parse(args)
 
 	return ra, err
 }
 
-var _ = ginkgo.Describe("fresh seeds", func() {
+var _ = ginkgo.Describe("the seeds of the command line", func() {
 	ra, err := parseArguments(flag.Args())
 	if err != nil {
-		panic(err) // there is no test yet that could fail
+		panic(err) // no test runs yet that could fail
 	}
 	if ra.measure {
-		ginkgo.It("are not played: costs are measured", func() {
+		ginkgo.It("are not run: resource use is measured", func() {
 			cfg := ra.Config
 			cfg.Folder, cfg.Binary = filepath.Join(folder, "measure"), binary
 			Expect(os.MkdirAll(filepath.Join(cfg.Folder, "data"), 0o700)).To(Succeed())
@@ -91,7 +94,7 @@
 			re, err := Run(context.Background(), cfg)
 			Expect(err).NotTo(HaveOccurred(), cfg.Folder)
 			fmt.Printf("seed %d: %v\n", cfg.Seed, re)
-			Expect(re.Broken).To(BeEmpty(), "kept in %s", cfg.Folder)
+			Expect(re.Broken).To(BeEmpty(), "data and logs are in %s", cfg.Folder)
 			Expect(os.RemoveAll(cfg.Folder)).To(Succeed())
 		})
 	}
@@ -104,7 +107,7 @@
 		length time.Duration
 	}{
 		{"keeps every promise over a short run", 3, 8 * time.Second},
-		{"keeps them where a process was told to reload in its first milliseconds", 104, 12 * time.Second},
+		{"keeps every promise if a process receives SIGHUP in its first milliseconds", 104, 12 * time.Second},
 	} {
 		ginkgo.It(tc.name, func() {
 			re, err := Run(context.Background(), Config{
@@ -118,7 +121,7 @@
 		})
 	}
 
-	ginkgo.It("draws the same faults for a seed, and at most one emptied disk a group", func() {
+	ginkgo.It("draws the same faults for the same seed, and at most one emptied disk per group", func() {
 		cfg := Config{Length: time.Minute}
 		cfg.Defaults()
 		for seed := range uint64(100) {
@@ -137,7 +140,7 @@
 })
 
 var _ = ginkgo.Describe("a process", func() {
-	ginkgo.It("lives on when it is told to reload while it starts (seed 104)", func() {
+	ginkgo.It("keeps running when it receives SIGHUP while it starts (seed 104)", func() {
 		ports, err := standin.FreePorts()
 		Expect(err).NotTo(HaveOccurred())
 		pr := &process{role: program.RoleStore, ip: "127.61.2.1", binary: binary, folder: folder, peerListen: "127.61.2.1:0", boot: standin.Boot{
