--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -13,8 +13,8 @@
 
 // The values let several faults overlap, but leave most groups a quorum now and then.
 const (
-	faultGap     = 900 * time.Millisecond // mean time between the starts of two faults
-	longestFault = 4 * time.Second        // limit of the random part of a duration
+	meanFaultGap      = 900 * time.Millisecond // between the starts of two faults
+	maxRandomDuration = 4 * time.Second        // the random part of a fault, added to 200 ms
 )
 
 // fault is one fault to inject. All faults are drawn before the run, so that a seed repeats
@@ -63,13 +63,13 @@
 	processes, servers := cfg.Controllers+cfg.Stores+cfg.Gateways, cfg.Plain+cfg.Engines
 	wiped := map[bool]bool{} // key: is a store. A second emptied disk in a group could come before the repair of the first.
 	var out []fault
-	for at := time.Second; ; at += time.Duration(rnd.ExpFloat64() * float64(faultGap)) {
+	for at := time.Second; ; at += time.Duration(rnd.ExpFloat64() * float64(meanFaultGap)) {
 		if at > cfg.Length {
 			return out
 		}
 		n := rnd.IntN(sum)
 		fa := fault{
-			startsAt: at, duration: 200*time.Millisecond + time.Duration(rnd.Int64N(int64(longestFault))), target: rnd.IntN(processes), other: rnd.IntN(processes),
+			startsAt: at, duration: 200*time.Millisecond + time.Duration(rnd.Int64N(int64(maxRandomDuration))), target: rnd.IntN(processes), other: rnd.IntN(processes),
 			size: 1 + rnd.IntN(300),
 		}
 		for _, k := range faultKinds {
