--- a/internal/endtoend/group_test.go
+++ b/internal/endtoend/group_test.go
@@ -20,8 +20,9 @@
 	"github.com/tamarackbay/tamarackbay/internal/settings"
 )
 
-// operate calls the operators' interface of one gateway, once.
-func (st *stage) operate(i int, method, path string, in any) (answer, error) {
+// sendOperatorRequest sends one request to the operators' interface of gateway i, without
+// retries.
+func (st *setup) sendOperatorRequest(i int, method, path string, in any) (answer, error) {
 	b, err := json.Marshal(in)
 	Expect(err).NotTo(HaveOccurred())
 	rq, err := http.NewRequestWithContext(st.ctx, method, "http://"+st.Settings(i).OperatorAddress+path, strings.NewReader(string(b)))
@@ -42,20 +43,22 @@
 	return an, an.err
 }
 
+// weightPatch returns a patch against version base that sets the weight of workspace alpha.
 func weightPatch(id string, base uint64, weight float64) declaration.Patch {
 	return declaration.Patch{ID: id, Base: base, Ops: []declaration.Op{
 		{Path: "workspaces/alpha", Value: json.RawMessage(fmt.Sprintf(`{"weight":%g}`, weight))},
 	}}
 }
 
-// version returns the configuration version as gateway i reads it.
-func (st *stage) version(i int) (uint64, float64, error) {
-	an, err := st.operate(i, http.MethodGet, "/v1/configuration", nil)
+// readConfiguration returns the version of the configuration and the weight of workspace
+// alpha as gateway i reads them.
+func (st *setup) readConfiguration(i int) (uint64, float64, error) {
+	an, err := st.sendOperatorRequest(i, http.MethodGet, "/v1/configuration", nil)
 	if err != nil {
 		return 0, 0, err
 	}
 	if an.status != http.StatusOK {
-		return 0, 0, fmt.Errorf("status %d: %s", an.status, an.body)
+		return 0, 0, fmt.Errorf("reading the configuration: status %d: %s", an.status, an.body)
 	}
 	var cf struct {
 		Version uint64          `json:"version"`
@@ -68,11 +71,13 @@
 	return cf.Version, cf.Set.Workspaces["alpha"].Weight, nil
 }
 
-func (st *stage) mustVersion(i int) uint64 {
+// currentVersion returns the configuration version at gateway i and retries until it can be
+// read.
+func (st *setup) currentVersion(i int) uint64 {
 	var v uint64
 	Expect(st.eventually(func() error {
 		var err error
-		v, _, err = st.version(i)
+		v, _, err = st.readConfiguration(i)
 
 		return err
 	})).To(Succeed())
@@ -81,10 +86,10 @@
 }
 
 var _ = Describe("the numbered configuration", func() {
-	It("accepts one of many patches that race under one version number", func() {
-		st := newStage(stageConfig{})
+	It("accepts exactly one of many concurrent patches against the same version", func() {
+		st := newSetup(setupConfig{})
 		for round := range 10 {
-			base := st.mustVersion(0)
+			base := st.currentVersion(0)
 			var accepted, refused atomic.Int32
 			var wg sync.WaitGroup
 			for n := range 12 {
@@ -92,7 +97,7 @@
 				go func() {
 					defer wg.Done()
 					defer GinkgoRecover()
-					an, err := st.operate(n%3, http.MethodPost, "/v1/patches", weightPatch(fmt.Sprintf("race-%d-%d", round, n), base, float64(n+1)))
+					an, err := st.sendOperatorRequest(n%3, http.MethodPost, "/v1/patches", weightPatch(fmt.Sprintf("race-%d-%d", round, n), base, float64(n+1)))
 					Expect(err).NotTo(HaveOccurred())
 					if an.status == http.StatusOK {
 						accepted.Add(1)
@@ -106,46 +111,46 @@
 			wg.Wait()
 			Expect(accepted.Load()).To(Equal(int32(1)))
 			Expect(refused.Load()).To(Equal(int32(11)))
-			Expect(st.mustVersion(1)).To(Equal(base + 1))
+			Expect(st.currentVersion(1)).To(Equal(base + 1))
 		}
 	})
 
-	It("gives a resent patch its first answer, through another gateway and after a restart of all", func() {
-		st := newStage(stageConfig{})
-		base := st.mustVersion(0)
+	It("answers a resent patch with its first response, through another gateway and after a restart of all gateways", func() {
+		st := newSetup(setupConfig{})
+		base := st.currentVersion(0)
 		pa := weightPatch("resent", base, 3)
-		first, err := st.operate(0, http.MethodPost, "/v1/patches", pa)
+		first, err := st.sendOperatorRequest(0, http.MethodPost, "/v1/patches", pa)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(first.status).To(Equal(http.StatusOK))
 		refusedPatch := weightPatch("refused", base, 4)
-		refused, err := st.operate(0, http.MethodPost, "/v1/patches", refusedPatch)
+		refused, err := st.sendOperatorRequest(0, http.MethodPost, "/v1/patches", refusedPatch)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(refused.Error.Code).To(Equal(int(result.PatchVersionOld)))
-		for range 300 { // hundreds of changes lie between
-			base = st.mustVersion(1)
-			an, err := st.operate(1, http.MethodPost, "/v1/patches", weightPatch(fmt.Sprintf("between-%d", base), base, 1+rand.Float64()))
+		for range 300 { // hundreds of other changes before the patches are sent again
+			base = st.currentVersion(1)
+			an, err := st.sendOperatorRequest(1, http.MethodPost, "/v1/patches", weightPatch(fmt.Sprintf("between-%d", base), base, 1+rand.Float64()))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(an.status).To(Equal(http.StatusOK), an.body)
 		}
-		last := st.mustVersion(2)
+		last := st.currentVersion(2)
 		for i := range 3 {
 			st.KillGateway(i)
 		}
 		for i := range 3 {
 			Expect(st.StartGateway(i)).To(Succeed())
 		}
-		Expect(st.mustVersion(2)).To(Equal(last), "nothing reverts over a restart")
-		again, err := st.operate(2, http.MethodPost, "/v1/patches", pa)
+		Expect(st.currentVersion(2)).To(Equal(last), "a restart must not revert a change")
+		again, err := st.sendOperatorRequest(2, http.MethodPost, "/v1/patches", pa)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(again.body).To(Equal(first.body))
-		again, err = st.operate(2, http.MethodPost, "/v1/patches", refusedPatch)
+		again, err = st.sendOperatorRequest(2, http.MethodPost, "/v1/patches", refusedPatch)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(again.body).To(Equal(refused.body))
-		Expect(st.mustVersion(0)).To(Equal(last))
+		Expect(st.currentVersion(0)).To(Equal(last))
 	})
 
-	It("is linearizable for racing operators through kills and restarts of gateways", func() {
-		st := newStage(stageConfig{})
+	It("is linearizable for concurrent operators while gateways are killed and restarted", func() {
+		st := newSetup(setupConfig{})
 		history := &history{}
 		stop := make(chan struct{})
 		var wg sync.WaitGroup
@@ -160,7 +165,7 @@
 					case <-stop:
 						return
 					default:
-						st.operation(history, c, n, rnd)
+						st.readAndPatch(history, c, n, rnd)
 					}
 				}
 			}()
@@ -180,20 +185,20 @@
 		close(stop)
 		wg.Wait()
 		ok, unknown := history.counts()
-		GinkgoWriter.Println("operations", ok, "with an unknown end", unknown)
+		GinkgoWriter.Println("operations", ok, "with an unknown outcome", unknown)
 		Expect(ok).To(BeNumerically(">", 100))
 		res := porcupine.CheckOperationsTimeout(configurationModel, history.operations(), 30*time.Second)
 		Expect(res).To(Equal(porcupine.Ok))
 	})
 })
 
-// registerInput is a patch against a base, or a read where base is 0.
+// registerInput is a patch against version base, or a read if base is 0.
 type registerInput struct {
 	base   uint64
 	weight float64
 }
 
-// registerOutput is what was answered; unknown patches may have been accepted or not.
+// registerOutput is the response. If unknown is set, the patch may have been accepted or not.
 type registerOutput struct {
 	version  uint64
 	weight   float64
@@ -201,14 +206,15 @@
 	unknown  bool
 }
 
+// register is the state of configurationModel.
 type register struct {
 	version uint64
 	weight  float64
 }
 
-// configurationModel is the configuration as one register with a version.
+// configurationModel models the configuration as one register with a version.
 var configurationModel = (&porcupine.NondeterministicModel{
-	Init: func() []any { return []any{nil} }, // the first operation tells the version the history starts from
+	Init: func() []any { return []any{nil} }, // the first read sets the initial version
 	Step: func(state, input, output any) []any {
 		in, out := input.(registerInput), output.(registerOutput)
 		if state == nil {
@@ -239,6 +245,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }).ToModel()
 
+// stepUnknownStart sets the state from the first successful read of a history.
 func stepUnknownStart(in registerInput, out registerOutput) []any {
 	if in.base == 0 && !out.unknown {
 		return []any{register{out.version, out.weight}}
@@ -247,6 +254,7 @@
 	return nil
 }
 
+// history collects the operations of concurrent clients.
 type history struct {
 	mu  sync.Mutex
 	ops []porcupine.Operation
@@ -278,13 +286,14 @@
 	return ok, unknown
 }
 
-// operation makes one read or one patch and notes it.
-func (st *stage) operation(hi *history, c, n int, rnd *rand.Rand) {
+// readAndPatch reads the configuration, patches the version that it read, and records both
+// operations.
+func (st *setup) readAndPatch(hi *history, c, n int, rnd *rand.Rand) {
 	i := rnd.IntN(3)
 	call := time.Now().UnixNano()
-	v, w, err := st.version(i)
+	v, w, err := st.readConfiguration(i)
 	if err != nil {
-		return // a read that failed tells nothing
+		return // a failed read has no effect and returns nothing to check
 	}
 	hi.add(porcupine.Operation{
 		ClientId: c, Input: registerInput{}, Call: call, Output: registerOutput{version: v, weight: w}, Return: time.Now().UnixNano(),
@@ -292,12 +301,12 @@
 
 	in := registerInput{base: v, weight: float64(1+c) + float64(n%900)/1000}
 	call = time.Now().UnixNano()
-	an, err := st.operate(rnd.IntN(3), http.MethodPost, "/v1/patches", weightPatch(fmt.Sprintf("h-%d-%d", c, n), v, in.weight))
+	an, err := st.sendOperatorRequest(rnd.IntN(3), http.MethodPost, "/v1/patches", weightPatch(fmt.Sprintf("h-%d-%d", c, n), v, in.weight))
 	out := registerOutput{}
 	end := time.Now().UnixNano()
 	switch {
 	case err != nil || an.status >= http.StatusInternalServerError:
-		out.unknown, end = true, int64(1)<<62 // it may take effect at any later time
+		out.unknown, end = true, int64(1)<<62 // the patch may take effect at any later time
 	case an.status == http.StatusOK:
 		var a declaration.Answer
 		Expect(json.Unmarshal([]byte(an.body), &a)).To(Succeed())
@@ -306,11 +315,11 @@
 	hi.add(porcupine.Operation{ClientId: c, Input: in, Call: call, Output: out, Return: end})
 }
 
-var _ = Describe("a gateway whose disk was emptied", func() {
-	It("joins as a new replica, takes the old one's place, and a second loss right after loses nothing", func() {
-		st := newStage(stageConfig{})
-		base := st.mustVersion(0)
-		_, err := st.operate(0, http.MethodPost, "/v1/patches", weightPatch("kept", base, 7))
+var _ = Describe("a gateway that lost its disk", func() {
+	It("joins as a new replica and replaces the old one, so that the loss of a second gateway right after loses no data", func() {
+		st := newSetup(setupConfig{})
+		base := st.currentVersion(0)
+		_, err := st.sendOperatorRequest(0, http.MethodPost, "/v1/patches", weightPatch("kept", base, 7))
 		Expect(err).NotTo(HaveOccurred())
 		first := st.follower()
 		old := st.Gateway(first).Gateway().Group().Status().Replica
@@ -320,10 +329,10 @@
 		Expect(st.eventually(func() error {
 			s := st.Gateway(first).Gateway().Group().Status()
 			if s.Replica == old {
-				return fmt.Errorf("the old identity %s is back", old)
+				return fmt.Errorf("the gateway still has its old identity %s", old)
 			}
 			if !s.Membership.IsVoter(s.Replica) || s.Membership.IsVoter(old) || len(s.Membership.Voters) != 3 {
-				return fmt.Errorf("members %v", s.Membership)
+				return fmt.Errorf("the new replica has not replaced the old one yet: members %v", s.Membership)
 			}
 
 			return nil
@@ -331,44 +340,45 @@
 
 		second := (first + 1) % 3
 		st.KillGateway(second)
-		v := st.mustVersion(first)
+		v := st.currentVersion(first)
 		Expect(v).To(BeNumerically(">=", base+1))
-		_, w, err := st.version(first)
+		_, w, err := st.readConfiguration(first)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(w).To(Equal(7.0))
 		var an answer
 		Expect(st.eventually(func() error {
-			an, err = st.operate(first, http.MethodPost, "/v1/patches", weightPatch("after the second loss", v, 8))
+			an, err = st.sendOperatorRequest(first, http.MethodPost, "/v1/patches", weightPatch("after the second loss", v, 8))
 
 			return err
 		})).To(Succeed())
 		Expect(an.status).To(Equal(http.StatusOK), an.body)
 	})
 
-	It("refuses to start beside another cluster, under another name, or on an address in use", func() {
-		st := newStage(stageConfig{})
-		other := newStage(stageConfig{})
-		// The folder of the other cluster stands where this one's was.
+	It("refuses to start with the data folder of another cluster, under another name, or on an address in use", func() {
+		st := newSetup(setupConfig{})
+		other := newSetup(setupConfig{})
+		// The gateway gets the data folder of a gateway of the other cluster.
 		st.KillGateway(0)
 		other.KillGateway(0)
 		se := *st.Settings(0)
 		se.DataFolder = other.Settings(0).DataFolder
-		Expect(st.startWith(se)).To(MatchError(ContainSubstring("dataFolderForeign")))
+		Expect(st.startWithSettings(se)).To(MatchError(ContainSubstring("dataFolderForeign")))
 		se = *st.Settings(0)
 		se.Name = "someone-else"
 		se.Founders = nil
 		se.Founders = append(se.Founders, settings.Founder{Name: "someone-else", Address: se.PeerAddress})
-		Expect(st.startWith(se)).To(MatchError(ContainSubstring("dataFolderForeign")))
+		Expect(st.startWithSettings(se)).To(MatchError(ContainSubstring("dataFolderForeign")))
 		se = *st.Settings(0)
 		se.CallerAddress = st.Settings(1).CallerAddress
-		Expect(st.startWith(se)).To(MatchError(ContainSubstring("addressInUse")))
+		Expect(st.startWithSettings(se)).To(MatchError(ContainSubstring("addressInUse")))
 	})
 })
 
 var _ = Describe("a gateway without a disk", func() {
 	It("follows the configuration, forwards commands and serves callers", func() {
-		st := newStage(stageConfig{services: 1, tune: func(se *settings.Gateway) {
-			// One founder alone, a relay that follows it, and a gateway that follows the relay.
+		st := newSetup(setupConfig{services: 1, tune: func(se *settings.Gateway) {
+			// One founder, a relay that follows it, and a gateway that follows the relay. Only the
+			// founder has a disk.
 			relay := se.Founders[1].Address
 			se.Founders = se.Founders[:1]
 			if se.Name != "gateway-1" {
@@ -388,6 +398,6 @@
 		Expect(st.Operate(st.ctx, "POST", "/v1/keys/"+st.keyID["alpha"]+"/withdraw", nil, nil)).To(Succeed())
 		Eventually(func() int { return st.send(2, "alpha", "GET", "/r/repeat/learner", "").Error.Code }, 2*time.Second).
 			Should(Equal(int(result.WithdrawnKey)))
-		Expect(st.Gateway(2).Gateway().Meter().Value("feed.full")).To(Equal(int64(1)), "changes come as deltas, through the relay too")
+		Expect(st.Gateway(2).Gateway().Meter().Value("feed.full")).To(Equal(int64(1)), "changes arrive as deltas, also through the relay")
 	})
 })
--- a/soak/deployment_test.go
+++ b/soak/deployment_test.go
@@ -23,32 +23,34 @@
 )
 
 const (
-	// beatPeriod is how often a backend server sends a heartbeat, half of what the
-	// settings promise.
-	beatPeriod = 150 * time.Millisecond
-	// readyWithin bounds the start of the deployment.
+	// heartbeatPeriod is the interval between heartbeats of a backend server, half of the
+	// period in the settings.
+	heartbeatPeriod = 150 * time.Millisecond
+	// readyWithin limits the start of the deployment and of each program.
 	readyWithin = 20 * time.Second
-	// callTimeout is the patience of a caller, above the longest timeout of a route
-	// for plain requests.
+	// callTimeout is the timeout of a caller, longer than the longest timeout of a route for
+	// plain requests.
 	callTimeout = 5 * time.Second
+	// gracePeriod is how long a program may take to stop after SIGTERM.
 	gracePeriod = 6 * time.Second
-	// warmUp begins the IDs of requests that are sent until the deployment serves.
-	warmUp = "warm-"
+	// warmUpPrefix is the prefix of the IDs of lookups that are sent until the deployment
+	// serves one. They are not recorded in promises.
+	warmUpPrefix = "warm-"
 )
 
-// deployment is the programs as processes, the network between them, and the other
-// side of the dialect.
+// deployment consists of the programs as processes, the network between them, and stand-ins
+// for the backend servers, the cloud and the callers.
 type deployment struct {
-	processes []*process
-	servers   []*standin.BackendServer
-	behind    map[*standin.BackendServer]string // where each listens, behind the network
-	cloud     *standin.Cloud
-	network   *network
-	caller    *standin.Caller
-	cancel    context.CancelFunc
+	processes       []*process
+	servers         []*standin.BackendServer
+	listenAddresses map[*standin.BackendServer]string // address on which each listens, to which network forwards
+	cloud           *standin.Cloud
+	network         *network
+	caller          *standin.Caller
+	cancel          context.CancelFunc
 }
 
-// hosts are the loopback IP numbers of one run: 127.<subnet>.<kind>.<n>.
+// host returns the loopback IP number 127.<subnet>.<kind>.<n+1> of the n-th host of a kind.
 func host(subnet, kind, n int) string { return fmt.Sprintf("127.%d.%d.%d", subnet, kind, n+1) }
 
 // Kinds of hosts.
@@ -59,17 +61,17 @@
 	hostServer
 )
 
-// newDeployment starts everything and returns when a lookup is served.
+// newDeployment starts the deployment and waits until a lookup is served.
 func newDeployment(ctx context.Context, cfg *Config) (*deployment, error) {
 	ports, err := standin.FreePorts()
 	if err != nil {
 		return nil, err
 	}
-	hidden, err := standin.FreePorts()
+	internalPorts, err := standin.FreePorts()
 	if err != nil {
 		return nil, err
 	}
-	de := &deployment{network: newNetwork(), behind: map[*standin.BackendServer]string{}}
+	de := &deployment{network: newNetwork(), listenAddresses: map[*standin.BackendServer]string{}}
 	ctx, de.cancel = context.WithCancel(ctx)
 	if de.cloud, err = standin.StartCloud(); err != nil {
 		return nil, err
@@ -82,7 +84,7 @@
 		for i := range n {
 			ip := host(cfg.Subnet, kind, i)
 			pr := &process{
-				role: role, ip: ip, binary: cfg.Binary, folder: cfg.Folder, peerListen: fmt.Sprintf("%s:%d", ip, hidden.Peers),
+				role: role, ip: ip, binary: cfg.Binary, folder: cfg.Folder, peerListen: fmt.Sprintf("%s:%d", ip, internalPorts.Peers),
 				boot: standin.Boot{
 					Name: fmt.Sprintf("%s-%d", role, i+1), IP: ip, Ports: ports, Controllers: de.caller.Control, Cloud: de.cloud.Address(),
 					Grace: gracePeriod, Window: 5 * time.Second, Lease: 3 * time.Second,
@@ -104,7 +106,7 @@
 	}
 	err = errors.Join(
 		add(program.RoleController, hostController, cfg.Controllers), add(program.RoleStore, hostStore, cfg.Stores),
-		add(program.RoleGateway, hostGateway, cfg.Gateways), de.addServers(ctx, cfg, ports.Clients, hidden.Clients),
+		add(program.RoleGateway, hostGateway, cfg.Gateways), de.addServers(ctx, cfg, ports.Clients, internalPorts.Clients),
 	)
 	if err == nil {
 		err = de.awaitReady(ctx)
@@ -116,7 +118,9 @@
 	return de, nil
 }
 
-func (de *deployment) addServers(ctx context.Context, cfg *Config, port, hidden int) error {
+// addServers starts the backend servers. They listen on internalPort; port is the one that
+// they announce and that network forwards.
+func (de *deployment) addServers(ctx context.Context, cfg *Config, port, internalPort int) error {
 	for i := range cfg.Plain + cfg.Engines {
 		bs := standin.NewBackendServer(fmt.Sprintf("p%d", i), servicePlain)
 		if i >= cfg.Plain {
@@ -125,19 +129,19 @@
 		}
 		ip := host(cfg.Subnet, hostServer, i)
 		bs.Address = fmt.Sprintf("%s:%d", ip, port)
-		de.behind[bs] = fmt.Sprintf("%s:%d", ip, hidden)
-		if err := de.network.forward(bs.Address, de.behind[bs], false); err != nil {
+		de.listenAddresses[bs] = fmt.Sprintf("%s:%d", ip, internalPort)
+		if err := de.network.forward(bs.Address, de.listenAddresses[bs], false); err != nil {
 			return err
 		}
-		if err := bs.Start(de.behind[bs]); err != nil {
+		if err := bs.Start(de.listenAddresses[bs]); err != nil {
 			return err
 		}
 		de.servers = append(de.servers, bs)
 		go func() {
 			for ctx.Err() == nil {
 				ip := de.caller.Control[rand.IntN(len(de.caller.Control))]
-				_ = bs.Beat(fmt.Sprintf("%s:%d", ip, de.caller.Ports.Control)) // the next one goes to any controller again
-				time.Sleep(beatPeriod)
+				_ = bs.Beat(fmt.Sprintf("%s:%d", ip, de.caller.Ports.Control)) // if it fails, the next heartbeat goes to a random controller again
+				time.Sleep(heartbeatPeriod)
 			}
 		}()
 	}
@@ -145,6 +149,7 @@
 	return nil
 }
 
+// awaitReady waits until a configuration is accepted and a lookup is served.
 func (de *deployment) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyWithin)
 	defer cancel()
@@ -153,9 +158,9 @@
 		n := 0
 		err = dep.Until(ctx, func() error {
 			n++
-			an, err := de.caller.Lookup(ctx, de.gateways()[0], fmt.Sprintf("%s%d", warmUp, n), false)
+			an, err := de.caller.Lookup(ctx, de.gateways()[0], fmt.Sprintf("%s%d", warmUpPrefix, n), false)
 			if err == nil && an.Stamp == "" {
-				err = fmt.Errorf("a lookup is answered %d", an.Status)
+				err = fmt.Errorf("a lookup ended with status %d without an answer of a backend server", an.Status)
 			}
 
 			return err
@@ -180,32 +185,34 @@
 	return out
 }
 
-// pairs returns the links between a host and all others that open connections.
+// pairs returns the pairs between the host ip and all processes, in both directions, and from
+// ip to all backend servers.
 func (de *deployment) pairs(ip string) []pair {
 	var out []pair
 	for _, pr := range de.processes {
 		out = append(out, pair{ip, pr.ip}, pair{pr.ip, ip})
 	}
-	for bs := range de.behind {
-		out = append(out, pair{ip, hostOf(bs)})
+	for bs := range de.listenAddresses {
+		out = append(out, pair{ip, serverIP(bs)})
 	}
 
 	return out
 }
 
-func hostOf(bs *standin.BackendServer) string {
-	ip, _, _ := net.SplitHostPort(bs.Address) // made by addServers
+// serverIP returns the IP number that a backend server announces.
+func serverIP(bs *standin.BackendServer) string {
+	ip, _, _ := net.SplitHostPort(bs.Address) // the address was formatted by addServers
 
 	return ip
 }
 
-// close ends every process that the run started.
+// close kills every process that the run started and stops the stand-ins and the network.
 func (de *deployment) close() error {
 	de.cancel()
 	var errs []error
 	for _, pr := range de.processes {
-		// One that is paused can be killed too.
-		if err := pr.end(syscall.SIGKILL); err != nil && !errors.Is(err, os.ErrProcessDone) {
+		// SIGKILL also ends a paused process.
+		if err := pr.stop(syscall.SIGKILL); err != nil && !errors.Is(err, os.ErrProcessDone) {
 			errs = append(errs, err)
 		}
 	}
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -11,28 +11,28 @@
 	"github.com/tamarackbay/tamarackbay/internal/program"
 )
 
-// The mean pause between two faults and the longest fault: several overlap, and
-// most groups still have a quorum now and then.
+// The values let several faults overlap, but leave most groups a quorum now and then.
 const (
-	faultGap     = 900 * time.Millisecond
-	longestFault = 4 * time.Second
+	meanFaultGap      = 900 * time.Millisecond // between the starts of two faults
+	maxRandomDuration = 4 * time.Second        // the random part of a fault, added to 200 ms
 )
 
-// fault is one disturbance, drawn before the run so that a seed replays it.
+// fault is one fault to inject. All faults are drawn before the run, so that a seed repeats
+// them.
 type fault struct {
-	at, lasts time.Duration
-	kind      string
-	target    int // index of the process or backend server
-	other     int // index of a second process
-	size      int
+	startsAt, duration time.Duration
+	kind               string
+	target             int // index of the process or backend server
+	other              int // index of the second process of a fault between two
+	size               int // bytes of garbage, milliseconds of delay, or which events break off (serverBreaksOff)
 }
 
 func (fa fault) String() string {
-	return fmt.Sprintf("%.2fs %s target %d other %d for %.2fs", fa.at.Seconds(), fa.kind, fa.target, fa.other, fa.lasts.Seconds())
+	return fmt.Sprintf("%.2fs %s target %d other %d for %.2fs", fa.startsAt.Seconds(), fa.kind, fa.target, fa.other, fa.duration.Seconds())
 }
 
-// kinds of faults with their weights.
-var kinds = []struct {
+// faultKinds lists the kinds of faults and how often each is drawn relative to the others.
+var faultKinds = []struct {
 	name   string
 	weight int
 }{
@@ -54,25 +54,25 @@
 	{"killAll", 1},
 }
 
-// draw returns the faults of a seed.
-func draw(rnd *rand.Rand, cfg *Config) []fault {
+// drawFaults draws the faults of a run in the order of their start.
+func drawFaults(rnd *rand.Rand, cfg *Config) []fault {
 	sum := 0
-	for _, k := range kinds {
+	for _, k := range faultKinds {
 		sum += k.weight
 	}
 	processes, servers := cfg.Controllers+cfg.Stores+cfg.Gateways, cfg.Plain+cfg.Engines
-	wiped := map[bool]bool{} // by whether it is a store: a second loss may meet an unfinished repair
+	wiped := map[bool]bool{} // key: is a store. A second emptied disk in a group could come before the repair of the first.
 	var out []fault
-	for at := time.Second; ; at += time.Duration(rnd.ExpFloat64() * float64(faultGap)) {
+	for at := time.Second; ; at += time.Duration(rnd.ExpFloat64() * float64(meanFaultGap)) {
 		if at > cfg.Length {
 			return out
 		}
 		n := rnd.IntN(sum)
 		fa := fault{
-			at: at, lasts: 200*time.Millisecond + time.Duration(rnd.Int64N(int64(longestFault))), target: rnd.IntN(processes), other: rnd.IntN(processes),
+			startsAt: at, duration: 200*time.Millisecond + time.Duration(rnd.Int64N(int64(maxRandomDuration))), target: rnd.IntN(processes), other: rnd.IntN(processes),
 			size: 1 + rnd.IntN(300),
 		}
-		for _, k := range kinds {
+		for _, k := range faultKinds {
 			if n < k.weight {
 				fa.kind = k.name
 
@@ -97,17 +97,18 @@
 	}
 }
 
-// injector carries faults out.
+// injector injects the faults of a run.
 type injector struct {
-	de    *deployment
-	tell  func(format string, args ...any)
-	busy  []sync.Mutex // one for each process: its faults come one after another
-	down  []sync.Mutex // one for each backend server: it ends and starts once at a time
-	errMu sync.Mutex
-	errs  []error
+	de           *deployment
+	logf         func(format string, args ...any)
+	processLocks []sync.Mutex // one per process: its faults are injected one after another
+	serverLocks  []sync.Mutex // one per backend server: only one fault at a time stops and starts it
+	errMu        sync.Mutex
+	errs         []error
 }
 
-func (in *injector) failed(err error) {
+// recordError records an error of the injection itself, if it is one.
+func (in *injector) recordError(err error) {
 	if err == nil {
 		return
 	}
@@ -116,55 +117,56 @@
 	in.errs = append(in.errs, err)
 }
 
-// run carries out all faults and returns when the last one is over.
+// run injects all faults and returns when the last one is over.
 func (in *injector) run(ctx context.Context, faults []fault) {
-	in.busy = make([]sync.Mutex, len(in.de.processes))
-	in.down = make([]sync.Mutex, len(in.de.servers))
+	in.processLocks = make([]sync.Mutex, len(in.de.processes))
+	in.serverLocks = make([]sync.Mutex, len(in.de.servers))
 	began := time.Now()
 	var wg sync.WaitGroup
 	for _, fa := range faults {
 		select {
-		case <-time.After(time.Until(began.Add(fa.at))):
+		case <-time.After(time.Until(began.Add(fa.startsAt))):
 		case <-ctx.Done():
 		}
-		in.tell("fault %v", fa)
+		in.logf("fault %v", fa)
 		wg.Go(func() { in.inject(fa) })
 	}
 	wg.Wait()
-	in.de.network.heal()
+	in.de.network.clearFaults()
 }
 
+// inject injects one fault and returns when it is over.
 func (in *injector) inject(fa fault) {
 	de := in.de
 	switch fa.kind {
 	case "serverCrash":
-		in.down[fa.target].Lock()
-		defer in.down[fa.target].Unlock()
+		in.serverLocks[fa.target].Lock()
+		defer in.serverLocks[fa.target].Unlock()
 		bs := de.servers[fa.target]
 		bs.Stop()
-		time.Sleep(fa.lasts)
-		in.failed(bs.Start(de.behind[bs]))
+		time.Sleep(fa.duration)
+		in.recordError(bs.Start(de.listenAddresses[bs]))
 	case "serverBreaksOff":
 		bs := de.servers[fa.target]
 		bs.BreakOff(func(_ string, event int) bool { return event%7 == fa.size%7 && rand.IntN(2) == 0 })
-		time.Sleep(fa.lasts)
+		time.Sleep(fa.duration)
 		bs.BreakOff(func(string, int) bool { return false })
 	case "serverSilent":
 		var ps []pair
 		for _, pr := range de.processes {
-			ps = append(ps, pair{pr.ip, hostOf(de.servers[fa.target])})
+			ps = append(ps, pair{pr.ip, serverIP(de.servers[fa.target])})
 		}
-		in.harm(link{isMuted: true}, fa, ps)
+		in.disturbLinks(linkFault{isMuted: true}, fa, ps)
 	case "delay":
-		in.harm(link{delay: time.Duration(fa.size) * time.Millisecond}, fa, in.between(fa))
+		in.disturbLinks(linkFault{delay: time.Duration(fa.size) * time.Millisecond}, fa, in.pairsBetween(fa))
 	case "cut":
-		in.harm(link{isCut: true, isMuted: true}, fa, in.between(fa))
+		in.disturbLinks(linkFault{isCut: true, isMuted: true}, fa, in.pairsBetween(fa))
 	case "cutOneWay":
-		in.harm(link{isCut: true}, fa, in.between(fa)[:1])
+		in.disturbLinks(linkFault{isCut: true}, fa, in.pairsBetween(fa)[:1])
 	case "mute":
-		in.harm(link{isMuted: true}, fa, in.between(fa)[:1])
+		in.disturbLinks(linkFault{isMuted: true}, fa, in.pairsBetween(fa)[:1])
 	case "isolate":
-		in.harm(link{isCut: true, isMuted: true}, fa, de.pairs(de.processes[fa.target].ip))
+		in.disturbLinks(linkFault{isCut: true, isMuted: true}, fa, de.pairs(de.processes[fa.target].ip))
 	case "reset":
 		de.network.reset(de.pairs(de.processes[fa.target].ip)...)
 	case "killAll":
@@ -172,64 +174,66 @@
 		var wg sync.WaitGroup
 		for i, pr := range de.processes {
 			if pr.role == role {
-				wg.Go(func() { in.harmProcess(fa, i) })
+				wg.Go(func() { in.disturbProcess(fa, i) })
 			}
 		}
 		wg.Wait()
 	default:
-		in.harmProcess(fa, fa.target)
+		in.disturbProcess(fa, fa.target)
 	}
 }
 
-// between returns the links between the two processes of a fault.
-func (in *injector) between(fa fault) []pair {
+// pairsBetween returns both directions between the two processes of a fault.
+func (in *injector) pairsBetween(fa fault) []pair {
 	a, b := in.de.processes[fa.target].ip, in.de.processes[fa.other].ip
 
 	return []pair{{a, b}, {b, a}}
 }
 
-func (in *injector) harm(li link, fa fault, ps []pair) {
-	in.de.network.harm(li, ps...)
-	time.Sleep(fa.lasts)
-	in.de.network.harm(link{}, ps...)
+// disturbLinks applies li to pairs for the duration of the fault.
+func (in *injector) disturbLinks(li linkFault, fa fault, ps []pair) {
+	in.de.network.setFault(li, ps...)
+	time.Sleep(fa.duration)
+	in.de.network.setFault(linkFault{}, ps...)
 }
 
-// harmProcess does something to one process and sets it right again.
-func (in *injector) harmProcess(fa fault, i int) {
-	in.busy[i].Lock()
-	defer in.busy[i].Unlock()
+// disturbProcess injects a fault into one process and restores it: a stopped process is
+// started again and a paused one resumed.
+func (in *injector) disturbProcess(fa fault, i int) {
+	in.processLocks[i].Lock()
+	defer in.processLocks[i].Unlock()
 
 	pr := in.de.processes[i]
 	switch fa.kind {
 	case "reload":
-		// Before a program has taken the signal over, the system ends it.
-		in.failed(pr.awaitStarted())
-		in.failed(pr.signal(syscall.SIGHUP))
+		// SIGHUP ends a program that has not installed its signal handler yet.
+		in.recordError(pr.awaitStarted())
+		in.recordError(pr.signal(syscall.SIGHUP))
 
 		return
 	case "pause":
-		in.failed(pr.signal(syscall.SIGSTOP))
-		time.Sleep(fa.lasts)
-		in.failed(pr.signal(syscall.SIGCONT))
+		in.recordError(pr.signal(syscall.SIGSTOP))
+		time.Sleep(fa.duration)
+		in.recordError(pr.signal(syscall.SIGCONT))
 
 		return
 	case "term":
-		in.failed(pr.end(syscall.SIGTERM))
+		in.recordError(pr.stop(syscall.SIGTERM))
 	default:
-		in.failed(pr.end(syscall.SIGKILL))
+		in.recordError(pr.stop(syscall.SIGKILL))
 	}
 	switch fa.kind {
 	case "wipe":
-		in.failed(pr.wipe())
+		in.recordError(pr.wipe())
 	case "tear":
 		b := make([]byte, fa.size)
 		for j := range b {
 			b[j] = byte(rand.IntN(256))
 		}
 		if pr.role != program.RoleGateway {
-			in.failed(pr.tear(b))
+			in.recordError(pr.appendGarbage(b))
 		}
 	}
-	time.Sleep(fa.lasts / 2)
-	in.failed(pr.start())
+	time.Sleep(fa.duration / 2)
+	in.recordError(pr.start())
 }
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -9,34 +9,34 @@
 	"time"
 )
 
-// pair names the link from the host that opens a connection to the one that accepts it.
+// pair identifies connections by the host that opens them and the one that accepts them.
 type pair struct{ from, to string }
 
-// link is how a pair is harmed now.
-type link struct {
-	delay   time.Duration // added to each chunk, both ways
-	isCut   bool          // nothing gets from the opener to the acceptor
-	isMuted bool          // nothing gets back
+// linkFault is the current fault of the connections of a pair. The zero value is no fault.
+type linkFault struct {
+	delay   time.Duration // added to each chunk in both directions
+	isCut   bool          // no bytes pass from the opener to the acceptor
+	isMuted bool          // no bytes pass from the acceptor to the opener
 }
 
-// network forwards connections over loopback and harms them. Bytes that a cut holds
-// back are passed on when it ends, as a transport protocol would send them again.
+// network forwards connections over loopback and injects faults into them. Bytes that are
+// held back are forwarded once the fault ends, as TCP would retransmit them.
 type network struct {
 	mu        sync.Mutex
-	healed    chan struct{} // closed and replaced with each change
-	links     map[pair]link
+	changed   chan struct{} // closed and replaced with each change of faults
+	faults    map[pair]linkFault
 	conns     map[net.Conn]pair
 	listeners []net.Listener
-	bytes     atomic.Int64 // between own processes
+	bytes     atomic.Int64 // forwarded between the programs
 	wg        sync.WaitGroup
 }
 
 func newNetwork() *network {
-	return &network{healed: make(chan struct{}), links: map[pair]link{}, conns: map[net.Conn]pair{}}
+	return &network{changed: make(chan struct{}), faults: map[pair]linkFault{}, conns: map[net.Conn]pair{}}
 }
 
-// forward accepts at address and connects to target. Bytes between own processes
-// are counted.
+// forward listens on address and forwards each connection to target. If isOwn is set, target
+// belongs to one of the programs and the bytes are counted.
 func (ne *network) forward(address, target string, isOwn bool) error {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -53,7 +53,7 @@
 		for {
 			co, err := ln.Accept()
 			if err != nil {
-				return // the network was closed
+				return // the listener was closed
 			}
 			from := co.RemoteAddr().(*net.TCPAddr).IP.String()
 			ne.wg.Go(func() { ne.serve(co, target, pair{from, to}, isOwn) })
@@ -63,11 +63,12 @@
 	return nil
 }
 
+// serve forwards one connection until either side closes it.
 func (ne *network) serve(co net.Conn, target string, pa pair, isOwn bool) {
 	defer co.Close()
 	up, err := net.DialTimeout("tcp", target, time.Second)
 	if err != nil {
-		reset(co) // nothing listens there
+		reset(co) // target does not listen
 
 		return
 	}
@@ -91,7 +92,7 @@
 				if isOwn {
 					ne.bytes.Add(int64(n))
 				}
-				ne.wait(pa, isBack)
+				ne.applyFault(pa, isBack)
 				if _, werr := dst.Write(b[:n]); werr != nil {
 					break
 				}
@@ -111,17 +112,17 @@
 	<-done
 }
 
-// passed returns the bytes that went between own processes so far.
-func (ne *network) passed() int64 { return ne.bytes.Load() }
+// forwardedBytes returns the number of bytes forwarded between the programs so far.
+func (ne *network) forwardedBytes() int64 { return ne.bytes.Load() }
 
-// wait holds a chunk back while its direction is cut, and delays it.
-func (ne *network) wait(pa pair, isBack bool) {
+// applyFault blocks while the direction of a chunk is cut, and then delays the chunk.
+func (ne *network) applyFault(pa pair, isBack bool) {
 	for {
 		ne.mu.Lock()
-		li, healed := ne.links[pa], ne.healed
+		li, changed := ne.faults[pa], ne.changed
 		ne.mu.Unlock()
 		if (isBack && li.isMuted) || (!isBack && li.isCut) {
-			<-healed
+			<-changed
 
 			continue
 		}
@@ -131,27 +132,27 @@
 	}
 }
 
-// harm sets how pairs are harmed, the zero link for not at all.
-func (ne *network) harm(li link, pairs ...pair) {
+// setFault sets the fault of pairs.
+func (ne *network) setFault(li linkFault, pairs ...pair) {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
 	for _, pa := range pairs {
-		ne.links[pa] = li
+		ne.faults[pa] = li
 	}
-	close(ne.healed)
-	ne.healed = make(chan struct{})
+	close(ne.changed)
+	ne.changed = make(chan struct{})
 }
 
-// heal ends all harm.
-func (ne *network) heal() {
+// clearFaults ends the faults of all pairs.
+func (ne *network) clearFaults() {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
-	clear(ne.links)
-	close(ne.healed)
-	ne.healed = make(chan struct{})
+	clear(ne.faults)
+	close(ne.changed)
+	ne.changed = make(chan struct{})
 }
 
-// reset cuts the open connections of pairs.
+// reset resets the open connections of pairs.
 func (ne *network) reset(pairs ...pair) {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
@@ -164,9 +165,9 @@
 	}
 }
 
-// close ends everything.
+// close closes all listeners and connections and waits for their goroutines.
 func (ne *network) close() {
-	ne.heal()
+	ne.clearFaults()
 	ne.mu.Lock()
 	for _, ln := range ne.listeners {
 		_ = ln.Close()
@@ -178,7 +179,7 @@
 	ne.wg.Wait()
 }
 
-// reset closes a connection so that its other end sees a reset.
+// reset closes a connection so that the other end receives a reset.
 func reset(co net.Conn) {
 	if tc, ok := co.(*net.TCPConn); ok {
 		_ = tc.SetLinger(0) // fails only on a closed connection
