--- a/internal/endtoend/key_test.go
+++ b/internal/endtoend/key_test.go
@@ -23,12 +23,13 @@
 	"github.com/tamarackbay/tamarackbay/internal/settings"
 )
 
-const longStream = `{"model":"m","prompt":"stream","max_tokens":4000,"stream":true}`
+// longStreamBody requests a stream that outlasts the test.
+const longStreamBody = `{"model":"m","prompt":"stream","max_tokens":4000,"stream":true}`
 
-// stream opens a long stream at gateway i and returns a channel that gets its
-// last lines when it ends.
-func (st *stage) stream(i int, workspace string) <-chan []string {
-	rq, err := http.NewRequestWithContext(st.ctx, http.MethodPost, st.URLs()[i]+"/v1/completions", strings.NewReader(longStream))
+// openStream opens a long stream at gateway i, waits for its first line, and returns a channel
+// that receives all lines once the stream ends.
+func (st *setup) openStream(i int, workspace string) <-chan []string {
+	rq, err := http.NewRequestWithContext(st.ctx, http.MethodPost, st.URLs()[i]+"/v1/completions", strings.NewReader(longStreamBody))
 	Expect(err).NotTo(HaveOccurred())
 	rq.Header.Set("Authorization", "Bearer "+st.token[workspace])
 	rs, err := http.DefaultClient.Do(rq)
@@ -52,23 +53,23 @@
 	return ended
 }
 
-var slowTokens = fake.EngineConfig{TokenTime: 20 * time.Millisecond}
+var slowEngine = fake.EngineConfig{TokenTime: 20 * time.Millisecond}
 
 var _ = Describe("a withdrawn key", func() {
-	const bound = 2 * time.Second // the promise is seconds; the issue says 2 s on a connected process
+	const withdrawalBound = 2 * time.Second // documented as seconds; required to be 2 s on a connected process
 
-	It("ends the running streams of its holder on every gateway and leaves others alone", func() {
-		st := newStage(stageConfig{engines: 2, services: 1, engine: slowTokens})
+	It("ends the streams that run under it on every gateway and no others", func() {
+		st := newSetup(setupConfig{engines: 2, services: 1, engine: slowEngine})
 		var ended []<-chan []string
 		for i := range 3 {
-			ended = append(ended, st.stream(i, "alpha"))
+			ended = append(ended, st.openStream(i, "alpha"))
 		}
-		other := st.stream(0, "beta")
+		other := st.openStream(0, "beta")
 		began := time.Now()
 		Expect(st.Operate(st.ctx, "POST", "/v1/keys/"+st.keyID["alpha"]+"/withdraw", nil, nil)).To(Succeed())
 		for i, ch := range ended {
 			var lines []string
-			Eventually(ch, bound).Should(Receive(&lines), "gateway %d", i)
+			Eventually(ch, withdrawalBound).Should(Receive(&lines), "gateway %d", i)
 			all := strings.Join(lines, "\n")
 			Expect(all).To(ContainSubstring(`"name":"withdrawnKey"`))
 			Expect(all).NotTo(ContainSubstring("[DONE]"))
@@ -83,10 +84,10 @@
 	orders := []struct {
 		name      string
 		killFirst bool
-	}{{"then a gateway is lost", false}, {"after a gateway was lost", true}}
+	}{{"before a gateway is killed", false}, {"after a gateway is killed", true}}
 	for _, tc := range orders {
-		It("stays withdrawn when it is withdrawn "+tc.name+" and the gateway comes back", func() {
-			st := newStage(stageConfig{services: 1})
+		It("stays withdrawn when it is withdrawn "+tc.name+" and the gateway is restarted", func() {
+			st := newSetup(setupConfig{services: 1})
 			lost := st.Leader()
 			Expect(lost).To(BeNumerically(">=", 0))
 			withdraw := func() {
@@ -100,12 +101,12 @@
 				st.KillGateway(lost)
 			}
 			Expect(st.StartGateway(lost)).To(Succeed())
-			// From its first answer on, the gateway knows of the withdrawal.
+			// The gateway must apply the withdrawal from its first response on.
 			Expect(st.eventually(func() error {
 				an := st.send(lost, "alpha", "GET", "/r/repeat/after", "")
 				Expect(an.status).NotTo(Equal(http.StatusOK))
 				if an.Error.Code != int(result.WithdrawnKey) {
-					return fmt.Errorf("answered %+v", an)
+					return fmt.Errorf("expected the refusal of a withdrawn key, got %+v", an)
 				}
 
 				return nil
@@ -114,31 +115,31 @@
 		})
 	}
 
-	It("ends within the freshness bound on a gateway that is cut off from the group", func() {
-		st := newStage(stageConfig{engines: 1, engine: slowTokens, tune: func(se *settings.Gateway) {
+	It("loses its streams within the freshness bound on a gateway that is cut off from the group", func() {
+		st := newSetup(setupConfig{engines: 1, engine: slowEngine, tune: func(se *settings.Gateway) {
 			se.Times.FreshnessMs = 1500
 		}})
 		i := st.follower()
-		ended := st.stream(i, "alpha")
+		ended := st.openStream(i, "alpha")
 		for o := range 3 {
 			if o != i {
-				st.KillGateway(o) // nobody is left to tell it anything
+				st.KillGateway(o) // no process is left that could send it a withdrawal
 			}
 		}
 		cut := time.Now()
 		var lines []string
-		Eventually(ended, 1500*time.Millisecond+bound).Should(Receive(&lines))
-		GinkgoWriter.Println("cut off stream ended after", time.Since(cut))
+		Eventually(ended, 1500*time.Millisecond+withdrawalBound).Should(Receive(&lines))
+		GinkgoWriter.Println("the stream of the gateway that was cut off ended after", time.Since(cut))
 		Expect(strings.Join(lines, "\n")).To(ContainSubstring(`"name":"staleProcess"`))
 		an := st.send(i, "alpha", "GET", "/r/repeat/x", "")
 		Expect(an.Error.Code).To(Equal(int(result.StaleProcess)))
 		Expect(an.Error.Execution).To(Equal("notRun"))
-		Expect(st.send(i, "", "GET", "/readyz", "").status).To(Equal(http.StatusServiceUnavailable), "the balancer moves on")
+		Expect(st.send(i, "", "GET", "/readyz", "").status).To(Equal(http.StatusServiceUnavailable), "the readiness check must fail so that a balancer uses other gateways")
 		Expect(st.send(i, "", "GET", "/healthz", "").status).To(Equal(http.StatusNoContent))
 	})
 })
 
-// lockedBuffer collects the logs of all processes.
+// lockedBuffer collects the logs of all processes and is safe for concurrent writes.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -152,17 +153,17 @@
 }
 
 var _ = Describe("a key", func() {
-	It("is seen by no backend server, log, metric, error or file, wherever a caller puts it", func() {
+	It("reaches no backend server, log, metric, error or file, wherever a caller puts it", func() {
 		logs := &lockedBuffer{}
 		folder := ""
-		st := newStage(stageConfig{engines: 1, services: 1, configure: func(cfg *deployment.Config) {
+		st := newSetup(setupConfig{engines: 1, services: 1, configure: func(cfg *deployment.Config) {
 			cfg.Log = &log.Logger{Handler: json.New(logs), Level: log.DebugLevel}
 			folder = cfg.Folder
 		}})
 		token := st.token["alpha"]
 		_, secret, ok := declaration.ParseToken(token)
 		Expect(ok).To(BeTrue())
-		tries := []struct {
+		requests := []struct {
 			path, body string
 			headers    []string
 			want       int
@@ -177,7 +178,7 @@
 			{"/v1/completions", `{"model":"m","prompt":"hello","max_tokens":4}`, nil, 200},
 		}
 		var answers strings.Builder
-		for _, tc := range tries {
+		for _, tc := range requests {
 			an := st.send(0, "alpha", http.MethodPost, tc.path, tc.body, tc.headers...)
 			Expect(an.status).To(Equal(tc.want), "%s: %+v", tc.path, an)
 			fmt.Fprintln(&answers, an.header, an.Error)
@@ -193,9 +194,9 @@
 				fmt.Fprintln(&seen, r.Headers, r.Prompt)
 			}
 		}
-		Expect(seen.String()).To(ContainSubstring("plain"), "the search has something to look at")
-		Expect(seen.String()).NotTo(ContainSubstring(secret), "a backend server saw the key")
-		Expect(answers.String()).NotTo(ContainSubstring(secret), "an answer holds the key")
+		Expect(seen.String()).To(ContainSubstring("plain"), "the plain request must have reached a backend server")
+		Expect(seen.String()).NotTo(ContainSubstring(secret), "a backend server received the key")
+		Expect(answers.String()).NotTo(ContainSubstring(secret), "a response contains the key")
 		rs, err := http.Get("http://" + st.Settings(0).OperatorAddress + "/metrics")
 		Expect(err).NotTo(HaveOccurred())
 		var metrics bytes.Buffer
@@ -214,22 +215,22 @@
 			}
 			files++
 			b, err := os.ReadFile(p)
-			Expect(bytes.Contains(b, []byte(secret))).To(BeFalse(), "file %s holds the key", p)
+			Expect(bytes.Contains(b, []byte(secret))).To(BeFalse(), "file %s contains the key", p)
 
 			return err
 		})).To(Succeed())
 		Expect(files).To(BeNumerically(">", 3))
 	})
 
-	It("cannot be smuggled or injected past the gateway", func() {
-		st := newStage(stageConfig{services: 1})
+	It("cannot be bypassed by request smuggling or header injection", func() {
+		st := newSetup(setupConfig{services: 1})
 		raw := []string{
 			"POST /r/repeat/a HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + st.token["alpha"] + "\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /r/alpha/smuggled HTTP/1.1\r\nHost: x\r\n\r\n",
 			"GET /r/repeat/b HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + st.token["beta"] + "\r\nX-Workspace: alpha\r\nX-A: 1\r\n X-Folded: alpha\r\n\r\n",
 			"GET /r/repeat/%0d%0aX-Injected:%201 HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + st.token["beta"] + "\r\n\r\n",
 		}
 		for _, r := range raw {
-			st.rawRequest(0, r)
+			st.sendRaw(0, r)
 		}
 		for _, sv := range st.Services() {
 			for _, r := range sv.Runs() {
--- a/internal/endtoend/suite_test.go
+++ b/internal/endtoend/suite_test.go
@@ -1,3 +1,5 @@
+// Package endtoend_test runs complete deployments in one process, injects faults, and
+// checks what callers, trainers, operators and backend servers observe.
 package endtoend_test
 
 import (
@@ -28,25 +30,28 @@
 	suite.Run(t, "end to end")
 }
 
-// testLimit ends a test that hangs; no verdict depends on it otherwise.
+// testLimit is the timeout of a test that hangs. No test result depends on it otherwise.
 const testLimit = 60 * time.Second
 
-// stage is a deployment with two workspaces, one model and one plain service.
-type stage struct {
+// setup is a running deployment with three gateways, two workspaces, one model and one
+// plain service.
+type setup struct {
 	*deployment.Deployment
 	ctx   context.Context
-	token map[string]string // by workspace
+	token map[string]string // keyed by workspace
 	keyID map[string]string
 }
 
-type stageConfig struct {
+// setupConfig selects the backend servers and settings of a setup.
+type setupConfig struct {
 	engines   int
 	services  int
 	engine    fake.EngineConfig
-	tune      func(se *settings.Gateway)
-	configure func(cfg *deployment.Config)
+	tune      func(se *settings.Gateway)   // changes the settings of each gateway
+	configure func(cfg *deployment.Config) // changes the configuration of the deployment
 }
 
+// declarations returns the initial configuration of a setup.
 func declarations() *declaration.Set {
 	set := declaration.NewSet()
 	for _, w := range []string{"alpha", "beta"} {
@@ -79,8 +84,8 @@
 	serviceClass = declaration.Class{Service: "s", Slots: 32, StartupMs: 1000}
 )
 
-// newStage starts a deployment and ends it with the test.
-func newStage(cfg stageConfig) *stage {
+// newSetup starts a deployment, waits until it serves, and stops it at the end of the test.
+func newSetup(cfg setupConfig) *setup {
 	folder, err := os.MkdirTemp("", "tamarackbay-test-")
 	Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
@@ -107,7 +112,7 @@
 	}
 	de, err := deployment.Start(ctx, dc)
 	Expect(err).NotTo(HaveOccurred())
-	st := &stage{Deployment: de, ctx: ctx, token: map[string]string{}, keyID: map[string]string{}}
+	st := &setup{Deployment: de, ctx: ctx, token: map[string]string{}, keyID: map[string]string{}}
 	DeferCleanup(func() {
 		cancel()
 		de.Close()
@@ -126,24 +131,26 @@
 	}
 	Expect(de.WaitServers(ctx, "m", cfg.engines, "v1")).To(Succeed())
 	Expect(de.WaitServers(ctx, "s", cfg.services, "")).To(Succeed())
-	Expect(st.eventually(st.keysKnown)).To(Succeed())
+	Expect(st.eventually(st.checkKeysKnown)).To(Succeed())
 
 	return st
 }
 
-func (st *stage) eventually(f func() error) error {
+// eventually retries f until it succeeds or the test times out.
+func (st *setup) eventually(f func() error) error {
 	return deployment.Until(st.ctx, f)
 }
 
-// keysKnown reports whether every gateway is ready and knows both keys.
-func (st *stage) keysKnown() error {
+// checkKeysKnown returns an error unless every gateway is ready and has the keys of both
+// workspaces.
+func (st *setup) checkKeysKnown() error {
 	for i := range 3 {
 		if err := st.Gateway(i).Gateway().Ready(); err != nil {
 			return err
 		}
 		for w, id := range st.keyID {
 			if _, ok := st.Gateway(i).Gateway().Group().View().Set.Keys[id]; !ok {
-				return fmt.Errorf("gateway %d does not know the key of %s", i, w)
+				return fmt.Errorf("gateway %d has not received the key of workspace %s", i, w)
 			}
 		}
 	}
@@ -151,12 +158,12 @@
 	return nil
 }
 
-// answer is a caller's view of one request.
+// answer is the response to one request as the caller receives it.
 type answer struct {
 	status int
 	header http.Header
 	body   string
-	err    error // the connection broke
+	err    error // the request failed or the response could not be read
 
 	Error struct {
 		Code      int    `json:"code"`
@@ -165,8 +172,9 @@
 	} `json:"error"`
 }
 
-// send makes one request at one gateway, without any retry.
-func (st *stage) send(i int, workspace, method, path, body string, headers ...string) answer {
+// send sends one request to gateway i, without retries. The headers are pairs of name and
+// value.
+func (st *setup) send(i int, workspace, method, path, body string, headers ...string) answer {
 	rq, err := http.NewRequestWithContext(st.ctx, method, st.URLs()[i]+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	if t := st.token[workspace]; t != "" {
@@ -182,13 +190,14 @@
 	defer rs.Body.Close()
 	b, err := io.ReadAll(rs.Body)
 	an := answer{status: rs.StatusCode, header: rs.Header, body: string(b), err: err}
-	_ = json.Unmarshal(b, &an) // answers that are no error stay without one
+	_ = json.Unmarshal(b, &an) // a response without an error leaves the field empty
 
 	return an
 }
 
-// runs counts the runs on all plain services whose path holds text.
-func (st *stage) runs(text string) int {
+// runs returns the number of requests that all plain services ran and whose path and query
+// contain text.
+func (st *setup) runs(text string) int {
 	n := 0
 	for _, sv := range st.Services() {
 		for _, r := range sv.Runs() {
@@ -201,15 +210,15 @@
 	return n
 }
 
-// follower returns a gateway that does not lead the group.
-func (st *stage) follower() int { return (st.awaitLeader() + 1) % 3 }
+// follower waits for a leader and returns the index of a gateway that is a follower.
+func (st *setup) follower() int { return (st.awaitLeader() + 1) % 3 }
 
-// awaitLeader returns the gateway that leads the group, once there is one.
-func (st *stage) awaitLeader() int {
+// awaitLeader waits for a leader of the group and returns its index.
+func (st *setup) awaitLeader() int {
 	ld := -1
 	Expect(st.eventually(func() error {
 		if ld = st.Leader(); ld < 0 {
-			return fmt.Errorf("no leader")
+			return fmt.Errorf("the group has no leader")
 		}
 
 		return nil
@@ -218,21 +227,23 @@
 	return ld
 }
 
-// rawRequest writes bytes to a gateway and returns what it answers until it closes or is silent.
-func (st *stage) rawRequest(i int, text string) string {
+// sendRaw writes text to the caller address of gateway i and returns what the gateway sends
+// until it closes the connection or a second passes.
+func (st *setup) sendRaw(i int, text string) string {
 	conn, err := net.Dial("tcp", st.Settings(i).CallerAddress)
 	Expect(err).NotTo(HaveOccurred())
 	defer conn.Close()
 	_, err = conn.Write([]byte(text))
 	Expect(err).NotTo(HaveOccurred())
 	Expect(conn.SetReadDeadline(time.Now().Add(time.Second))).To(Succeed())
-	b, _ := io.ReadAll(conn) // a gateway may keep the connection open
+	b, _ := io.ReadAll(conn) // the deadline ends the read if the gateway keeps the connection open
 
 	return string(b)
 }
 
-// startWith starts a gateway with other settings and returns why it did not go on.
-func (st *stage) startWith(se settings.Gateway) error {
+// startWithSettings starts a gateway with the settings se and returns the error that it ended
+// with. A gateway that still runs after 5 s is killed.
+func (st *setup) startWithSettings(se settings.Gateway) error {
 	pg, err := program.StartGateway(se, logging.Discard())
 	if err != nil {
 		return err
