--- a/internal/capacity/requestpath.go
+++ b/internal/capacity/requestpath.go
@@ -40,7 +40,7 @@
 	ro.Defaults()
 	set.Routes["r"] = ro
 	de, err := deployment.Start(ctx, deployment.Config{
-		Gateways: 1, Folder: folder, Declarations: set, NoOrdering: true, NoUsage: true, Tune: func(*settings.Gateway) {},
+		Gateways: 1, Folder: folder, Declarations: set, NoOrdering: true, NoUsage: true, AdjustSettings: func(*settings.Gateway) {},
 	})
 	if err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := de.WaitServers(ctx, "s", 1, ""); err != nil {
+	if err := de.WaitForReadyServers(ctx, "s", 1, ""); err != nil {
 		return nil, err
 	}
 
--- a/internal/demo/check.go
+++ b/internal/demo/check.go
@@ -69,7 +69,7 @@
 func (dr *demoRun) waitReports(ctx context.Context) error {
 	made, last, since := dr.engineTokens(), uint64(0), time.Now()
 
-	return deployment.Until(ctx, func() error {
+	return deployment.RetryUntil(ctx, func() error {
 		sum := dr.reportedUsage().Tokens
 		if sum != last {
 			last, since = sum, time.Now()
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -107,12 +107,12 @@
 	}
 	dr.logf("starting three gateways and the stand-ins, applying the declarations of %s", cfg.Deployment)
 	dr.de, err = deployment.Start(ctx, deployment.Config{
-		Gateways: 3, Folder: folder, Declarations: dr.set, StoreLimit: 3, Startup: engineStartup, ServiceDelay: 2 * time.Millisecond,
+		Gateways: 3, Folder: folder, Declarations: dr.set, StoreLimit: 3, ServerStartup: engineStartup, ServiceDelay: 2 * time.Millisecond,
 		Engine: fake.EngineConfig{
 			TokenTime: 4 * time.Millisecond, PrefillTime: 10 * time.Millisecond, SwapTime: 150 * time.Millisecond,
 			CacheSize: 64, Downtime: time.Second, Straggle: 97,
 		},
-		Tune: func(se *settings.Gateway) {
+		AdjustSettings: func(se *settings.Gateway) {
 			se.Times.LeaseMs, se.Times.MaxCallMs = 1500, 500
 		},
 	})
@@ -171,10 +171,10 @@
 		return err
 	}
 	dr.logf("keys issued, weight version v1 declared; waiting for the fleet to order backend servers")
-	if err := dr.de.WaitServers(ctx, dr.names.model, 6, "v1"); err != nil {
+	if err := dr.de.WaitForReadyServers(ctx, dr.names.model, 6, "v1"); err != nil {
 		return err
 	}
-	if err := dr.de.WaitServers(ctx, dr.names.service, 3, ""); err != nil {
+	if err := dr.de.WaitForReadyServers(ctx, dr.names.service, 3, ""); err != nil {
 		return err
 	}
 	dr.logf("6 engines serve v1, 3 plain services are ready")
@@ -353,14 +353,14 @@
 	_, secret, _ := declaration.ParseToken(token)
 	dr.secrets = append(dr.secrets, secret)
 	cl := dr.de.Client(token, 0)
-	if err := deployment.Until(ctx, func() error {
+	if err := deployment.RetryUntil(ctx, func() error {
 		_, err := cl.Call(ctx, "GET", dr.names.repeatRoute, "/before", nil, "")
 
 		return err
 	}); err != nil {
 		return err
 	}
-	if err := dr.de.Operate(ctx, "POST", "/v1/keys/"+id+"/withdraw", nil, nil); err != nil {
+	if err := dr.de.CallOperators(ctx, "POST", "/v1/keys/"+id+"/withdraw", nil, nil); err != nil {
 		return err
 	}
 	time.Sleep(2 * time.Second)
--- a/internal/demo/nodes.go
+++ b/internal/demo/nodes.go
@@ -126,7 +126,7 @@
 	ctx, cancel := context.WithTimeout(ctx, nodeRetryTimeout)
 	defer cancel()
 
-	return deployment.Until(ctx, f)
+	return deployment.RetryUntil(ctx, f)
 }
 
 // lookup sends one lookup and checks its response.
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -33,18 +33,18 @@
 
 // Config describes a deployment.
 type Config struct {
-	Gateways     int
-	Folder       string // parent of the data folders, one per gateway
-	Declarations *declaration.Set
-	Engine       fake.EngineConfig // its Model is set from the class
-	ServiceDelay time.Duration
-	StoreLimit   int           // concurrent fetches that the weight store serves, at least 1
-	Startup      time.Duration // startup time of an ordered backend server
-	NoOrdering   bool          // no ordering interface: the test starts backend servers itself
-	NoUsage      bool
-	NoScorer     bool
-	Tune         func(se *settings.Gateway) // changes the settings of each gateway
-	Log          log.Interface
+	Gateways       int
+	Folder         string // parent of the data folders, one per gateway
+	Declarations   *declaration.Set
+	Engine         fake.EngineConfig // its Model is set from the class
+	ServiceDelay   time.Duration
+	StoreLimit     int           // concurrent fetches that the weight store serves, at least 1
+	ServerStartup  time.Duration // startup time of an ordered backend server
+	NoOrdering     bool          // no ordering interface: the test starts backend servers itself
+	NoUsage        bool
+	NoScorer       bool
+	AdjustSettings func(se *settings.Gateway) // changes the settings of each gateway
+	Log            log.Interface
 }
 
 // Deployment is a running deployment.
@@ -168,8 +168,8 @@
 	}
 	for i := range de.settings {
 		de.settings[i].Founders = fos
-		if de.cfg.Tune != nil {
-			de.cfg.Tune(&de.settings[i])
+		if de.cfg.AdjustSettings != nil {
+			de.cfg.AdjustSettings(&de.settings[i])
 		}
 		if err := de.settings[i].Validate(); err != nil {
 			return err
@@ -207,8 +207,8 @@
 	<-pg.Done()
 }
 
-// EmptyDisk removes the data folder of gateway i, which must not be running.
-func (de *Deployment) EmptyDisk(i int) error { return os.RemoveAll(de.settings[i].DataFolder) }
+// RemoveDataFolder removes the data folder of gateway i, which must not be running.
+func (de *Deployment) RemoveDataFolder(i int) error { return os.RemoveAll(de.settings[i].DataFolder) }
 
 // Settings returns the settings of gateway i.
 func (de *Deployment) Settings(i int) *settings.Gateway { return &de.settings[i] }
@@ -251,9 +251,9 @@
 	return client.New(client.Config{Gateways: append(u[first:len(u):len(u)], u[:first]...), Token: token})
 }
 
-// Operate calls the operators' interface of the gateways in order, and retries until one
+// CallOperators calls the operators' interface of the gateways in order, and retries until one
 // responds without a server error or ctx ends.
-func (de *Deployment) Operate(ctx context.Context, method, path string, in, out any) error {
+func (de *Deployment) CallOperators(ctx context.Context, method, path string, in, out any) error {
 	var last error
 	for ctx.Err() == nil {
 		for i := range de.settings {
@@ -309,7 +309,7 @@
 			Set     *declaration.Set `json:"declarations"`
 		}
 		cur.Set = declaration.NewSet()
-		if err := de.Operate(ctx, http.MethodGet, "/v1/configuration", nil, &cur); err != nil {
+		if err := de.CallOperators(ctx, http.MethodGet, "/v1/configuration", nil, &cur); err != nil {
 			return err
 		}
 		ops, err := declaration.Diff(cur.Set, set, false)
@@ -317,7 +317,7 @@
 			return err
 		}
 		pa := declaration.Patch{ID: fmt.Sprintf("apply-%d-%d", cur.Version, time.Now().UnixNano()), Base: cur.Version, Ops: ops}
-		if err := de.Operate(ctx, http.MethodPost, "/v1/patches", pa, nil); err != nil {
+		if err := de.CallOperators(ctx, http.MethodPost, "/v1/patches", pa, nil); err != nil {
 			return err
 		}
 	}
@@ -326,7 +326,7 @@
 // IssueKey returns the ID and the token of a new key.
 func (de *Deployment) IssueKey(ctx context.Context, workspace string) (id, token string, err error) {
 	var out struct{ ID, Token string }
-	err = de.Operate(ctx, http.MethodPost, "/v1/keys", map[string]string{"workspace": workspace}, &out)
+	err = de.CallOperators(ctx, http.MethodPost, "/v1/keys", map[string]string{"workspace": workspace}, &out)
 
 	return out.ID, out.Token, err
 }
--- a/internal/deployment/servers.go
+++ b/internal/deployment/servers.go
@@ -15,7 +15,7 @@
 // startOrdered starts a backend server that was ordered at the ordering interface, after
 // its startup time.
 func (de *Deployment) startOrdered(server, class, failureDomain, orderID string) {
-	time.Sleep(de.cfg.Startup)
+	time.Sleep(de.cfg.ServerStartup)
 	cl, ok := de.cfg.Declarations.Classes[class]
 	if !ok {
 		return
@@ -144,11 +144,11 @@
 	return de.agents[server]
 }
 
-// WaitServers waits until every running gateway sees at least n ready backend servers of
+// WaitForReadyServers waits until every running gateway sees at least n ready backend servers of
 // the model or plain service serves. If version is set, only servers on which that
 // version was verified count.
-func (de *Deployment) WaitServers(ctx context.Context, serves string, n int, version string) error {
-	return Until(ctx, func() error {
+func (de *Deployment) WaitForReadyServers(ctx context.Context, serves string, n int, version string) error {
+	return RetryUntil(ctx, func() error {
 		for i := range de.settings {
 			pg := de.Gateway(i)
 			select {
@@ -174,8 +174,8 @@
 	})
 }
 
-// Until calls f periodically until it returns nil or ctx ends, and returns its last error.
-func Until(ctx context.Context, f func() error) error {
+// RetryUntil calls f periodically until it returns nil or ctx ends, and returns its last error.
+func RetryUntil(ctx context.Context, f func() error) error {
 	for {
 		err := f()
 		if err == nil {
--- a/internal/endtoend/call_test.go
+++ b/internal/endtoend/call_test.go
@@ -118,7 +118,7 @@
 		Expect(first.Error.Execution).To(Equal("notRun"))
 		Expect(first.header.Get("Retry-After")).NotTo(BeEmpty())
 		Expect(st.StartServer("service-0", "service", serviceClass, "a", "")).To(Succeed())
-		Expect(st.WaitServers(st.ctx, "s", 1, "")).To(Succeed())
+		Expect(st.WaitForReadyServers(st.ctx, "s", 1, "")).To(Succeed())
 		again := st.send(1, "alpha", http.MethodPost, "/r/once/later", "x", "Idempotency-Key", "later")
 		Expect(again.status).To(Equal(http.StatusOK), "%+v", again)
 		Expect(st.runs("later")).To(Equal(1))
--- a/internal/endtoend/drain_test.go
+++ b/internal/endtoend/drain_test.go
@@ -143,7 +143,7 @@
 func newFleetSetup(tune func(cfg *deployment.Config)) *setup {
 	return newSetup(setupConfig{configure: func(cfg *deployment.Config) {
 		cfg.NoOrdering, cfg.NoUsage = false, false
-		cfg.Startup = 50 * time.Millisecond
+		cfg.ServerStartup = 50 * time.Millisecond
 		cfg.Declarations.Classes["service"] = declaration.Class{Service: "s", Slots: 4, StartupMs: 300}
 		cfg.Declarations.Fleet["service"] = declaration.Fleet{
 			MinPerDomain: 1, MaxPerDomain: 2, FailureDomains: []string{"a", "b", "c"}, IdleMs: 1500, TargetLoad: 0.7,
@@ -189,7 +189,7 @@
 var _ = Describe("the fleet", func() {
 	It("starts each backend server once despite lost responses, an outage of the interface and leader changes", func() {
 		st := newFleetSetup(nil)
-		Expect(st.WaitServers(st.ctx, "s", 3, "")).To(Succeed())
+		Expect(st.WaitForReadyServers(st.ctx, "s", 3, "")).To(Succeed())
 		st.Ordering.DropAnswers(2)
 		st.KillServer(st.Ordering.Running()[0].Name) // without a drain: it must be replaced and its order stopped
 		Expect(st.eventually(func() error {
@@ -203,7 +203,7 @@
 				return fmt.Errorf("the order of the lost backend server is not stopped yet")
 			}
 
-			return st.WaitServers(st.ctx, "s", 3, "")
+			return st.WaitForReadyServers(st.ctx, "s", 3, "")
 		})).To(Succeed())
 		Expect(st.eventually(st.checkRunning(3))).To(Succeed())
 
@@ -231,7 +231,7 @@
 			}()
 		}
 		Expect(st.eventually(st.checkRunning(6))).To(Succeed(), "the load requires the maximum of backend servers")
-		Expect(st.WaitServers(st.ctx, "s", 6, "")).To(Succeed())
+		Expect(st.WaitForReadyServers(st.ctx, "s", 6, "")).To(Succeed())
 		close(stop)
 		wg.Wait()
 		Expect(st.eventually(st.checkRunning(3))).To(Succeed(), "backend servers that are not needed are not stopped")
@@ -280,7 +280,7 @@
 			class := engineClass
 			class.ChecksFencing = tc.checksFencing
 			Expect(st.StartServer("engine-x", "engine", class, "a", "")).To(Succeed())
-			Expect(st.WaitServers(st.ctx, "m", 1, "v1")).To(Succeed())
+			Expect(st.WaitForReadyServers(st.ctx, "m", 1, "v1")).To(Succeed())
 			for n := range 4 {
 				ld := st.awaitLeader()
 				cl := st.Client(st.token["alpha"], (ld+1)%3)
@@ -288,7 +288,7 @@
 				st.KillGateway(ld)
 				time.Sleep(200 * time.Millisecond)
 				Expect(st.StartGateway(ld)).To(Succeed())
-				Expect(st.WaitServers(st.ctx, "m", 1, fmt.Sprintf("v%d", n+2))).To(Succeed())
+				Expect(st.WaitForReadyServers(st.ctx, "m", 1, fmt.Sprintf("v%d", n+2))).To(Succeed())
 			}
 			st.checkFencing()
 			var top uint64
@@ -304,7 +304,7 @@
 	It("is reported with one content per window, and all reports add up to the tokens of the engines", func() {
 		st := newFleetSetup(func(cfg *deployment.Config) { cfg.Engine.TokenTime = time.Millisecond })
 		Expect(st.StartServer("engine-x", "engine", engineClass, "a", "")).To(Succeed())
-		Expect(st.WaitServers(st.ctx, "m", 1, "v1")).To(Succeed())
+		Expect(st.WaitForReadyServers(st.ctx, "m", 1, "v1")).To(Succeed())
 		cl := st.Client(st.token["alpha"], 0)
 		complete := func(n int) {
 			for i := range n {
--- a/internal/endtoend/group_test.go
+++ b/internal/endtoend/group_test.go
@@ -324,7 +324,7 @@
 		first := st.follower()
 		old := st.Gateway(first).Gateway().Group().Status().Replica
 		st.KillGateway(first)
-		Expect(st.EmptyDisk(first)).To(Succeed())
+		Expect(st.RemoveDataFolder(first)).To(Succeed())
 		Expect(st.StartGateway(first)).To(Succeed())
 		Expect(st.eventually(func() error {
 			s := st.Gateway(first).Gateway().Group().Status()
@@ -395,7 +395,7 @@
 		an := st.send(2, "alpha", "POST", "/r/once/learner-call", "", "Idempotency-Key", "k")
 		Expect(an.status).To(Equal(http.StatusOK), "%+v", an)
 		Expect(st.send(0, "alpha", "POST", "/r/once/learner-call", "", "Idempotency-Key", "k").header.Get("X-Replayed")).To(Equal("true"))
-		Expect(st.Operate(st.ctx, "POST", "/v1/keys/"+st.keyID["alpha"]+"/withdraw", nil, nil)).To(Succeed())
+		Expect(st.CallOperators(st.ctx, "POST", "/v1/keys/"+st.keyID["alpha"]+"/withdraw", nil, nil)).To(Succeed())
 		Eventually(func() int { return st.send(2, "alpha", "GET", "/r/repeat/learner", "").Error.Code }, 2*time.Second).
 			Should(Equal(int(result.WithdrawnKey)))
 		Expect(st.Gateway(2).Gateway().Meter().Value("feed.full")).To(Equal(int64(1)), "changes arrive as deltas, also through the relay")
--- a/internal/endtoend/key_test.go
+++ b/internal/endtoend/key_test.go
@@ -66,7 +66,7 @@
 		}
 		other := st.openStream(0, "beta")
 		began := time.Now()
-		Expect(st.Operate(st.ctx, "POST", "/v1/keys/"+st.keyID["alpha"]+"/withdraw", nil, nil)).To(Succeed())
+		Expect(st.CallOperators(st.ctx, "POST", "/v1/keys/"+st.keyID["alpha"]+"/withdraw", nil, nil)).To(Succeed())
 		for i, ch := range ended {
 			var lines []string
 			Eventually(ch, withdrawalBound).Should(Receive(&lines), "gateway %d", i)
@@ -91,7 +91,7 @@
 			lost := st.Leader()
 			Expect(lost).To(BeNumerically(">=", 0))
 			withdraw := func() {
-				Expect(st.Operate(st.ctx, "POST", "/v1/keys/"+st.keyID["alpha"]+"/withdraw", nil, nil)).To(Succeed())
+				Expect(st.CallOperators(st.ctx, "POST", "/v1/keys/"+st.keyID["alpha"]+"/withdraw", nil, nil)).To(Succeed())
 			}
 			if tc.killFirst {
 				st.KillGateway(lost)
--- a/internal/endtoend/step_test.go
+++ b/internal/endtoend/step_test.go
@@ -245,7 +245,7 @@
 				Expect(st.eventually(func() error { return st.Gateway(i).Gateway().Ready() })).To(Succeed())
 			}
 		}
-		Expect(st.WaitServers(st.ctx, "m", 2, "v1")).To(Succeed())
+		Expect(st.WaitForReadyServers(st.ctx, "m", 2, "v1")).To(Succeed())
 		pushed := 1
 		co := st.collect(cl, "s", &pushed, nil)
 		Expect(co.samples).To(HaveLen(40))
@@ -319,10 +319,10 @@
 		Expect(crashes()).To(Equal(2))
 
 		var q struct{ Fingerprints map[string]any }
-		Expect(st.Operate(st.ctx, http.MethodGet, "/v1/quarantine", nil, &q)).To(Succeed())
+		Expect(st.CallOperators(st.ctx, http.MethodGet, "/v1/quarantine", nil, &q)).To(Succeed())
 		Expect(q.Fingerprints).To(HaveLen(1), "the fingerprints of the other requests must be cleared")
 		for fp := range q.Fingerprints {
-			Expect(st.Operate(st.ctx, http.MethodPost, "/v1/quarantine/"+fp+"/release", nil, nil)).To(Succeed())
+			Expect(st.CallOperators(st.ctx, http.MethodPost, "/v1/quarantine/"+fp+"/release", nil, nil)).To(Succeed())
 		}
 		Expect(st.eventually(func() error {
 			if an = st.send(1, "alpha", http.MethodPost, "/v1/completions", poison); an.Error.Code == int(result.Quarantined) {
--- a/internal/endtoend/suite_test.go
+++ b/internal/endtoend/suite_test.go
@@ -100,7 +100,7 @@
 	dc := deployment.Config{
 		Gateways: 3, Folder: folder, Declarations: declarations(), Engine: en, ServiceDelay: time.Millisecond,
 		StoreLimit: 8, NoOrdering: true, NoUsage: true,
-		Tune: func(se *settings.Gateway) {
+		AdjustSettings: func(se *settings.Gateway) {
 			se.Times.ReplaceAfterMs, se.Times.LeaseMs, se.Times.MaxCallMs = 1500, 1000, 300
 			if cfg.tune != nil {
 				cfg.tune(se)
@@ -129,8 +129,8 @@
 	for i := range cfg.services {
 		Expect(de.StartServer(fmt.Sprintf("service-%d", i), "service", serviceClass, []string{"a", "b", "c"}[i%3], "")).To(Succeed())
 	}
-	Expect(de.WaitServers(ctx, "m", cfg.engines, "v1")).To(Succeed())
-	Expect(de.WaitServers(ctx, "s", cfg.services, "")).To(Succeed())
+	Expect(de.WaitForReadyServers(ctx, "m", cfg.engines, "v1")).To(Succeed())
+	Expect(de.WaitForReadyServers(ctx, "s", cfg.services, "")).To(Succeed())
 	Expect(st.eventually(st.checkKeysKnown)).To(Succeed())
 
 	return st
@@ -138,7 +138,7 @@
 
 // eventually retries f until it succeeds or the test times out.
 func (st *setup) eventually(f func() error) error {
-	return deployment.Until(st.ctx, f)
+	return deployment.RetryUntil(st.ctx, f)
 }
 
 // checkKeysKnown returns an error unless every gateway is ready and has the keys of both
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -181,7 +181,7 @@
 			Version: "v1", TokenTime: 3 * time.Millisecond, PrefillTime: 15 * time.Millisecond, SwapTime: 150 * time.Millisecond,
 			CacheSize: 32, Downtime: 800 * time.Millisecond, Straggle: 61,
 		},
-		Tune: func(se *settings.Gateway) { se.Policy = po.Settings },
+		AdjustSettings: func(se *settings.Gateway) { se.Policy = po.Settings },
 	})
 	if err != nil {
 		return Outcome{}, err
@@ -222,11 +222,11 @@
 			return err
 		}
 	}
-	if err := tr.deployment.WaitServers(ctx, "m", tr.workload.engines, "v1"); err != nil {
+	if err := tr.deployment.WaitForReadyServers(ctx, "m", tr.workload.engines, "v1"); err != nil {
 		return err
 	}
 
-	return tr.deployment.WaitServers(ctx, "s", tr.workload.services, "")
+	return tr.deployment.WaitForReadyServers(ctx, "s", tr.workload.services, "")
 }
 
 // measure runs the load and the fault script for d.
--- a/internal/experiment/overload.go
+++ b/internal/experiment/overload.go
@@ -57,7 +57,7 @@
 	}
 	de, err := deployment.Start(ctx, deployment.Config{
 		Gateways: 3, Folder: folder, Declarations: set, NoOrdering: true, NoUsage: true, ServiceDelay: overloadServiceTime,
-		Tune: func(*settings.Gateway) {},
+		AdjustSettings: func(*settings.Gateway) {},
 	})
 	if err != nil {
 		return nil, err
@@ -75,7 +75,7 @@
 			return nil, err
 		}
 	}
-	if err := de.WaitServers(ctx, "s", overloadServers, ""); err != nil {
+	if err := de.WaitForReadyServers(ctx, "s", overloadServers, ""); err != nil {
 		return nil, err
 	}
 
--- a/internal/experiment/spending.go
+++ b/internal/experiment/spending.go
@@ -95,9 +95,9 @@
 	set.Classes[spendingClass] = declaration.Class{Model: "m", Slots: spendingSlots, StartupMs: int(spendingStartup.Milliseconds())}
 	set.Fleet[spendingClass] = fp.Fleet
 	de, err := deployment.Start(ctx, deployment.Config{
-		Gateways: 3, Folder: folder, Declarations: set, StoreLimit: 3, NoUsage: true, Startup: spendingStartup,
-		Engine: fake.EngineConfig{Version: "v1", TokenTime: 5 * time.Millisecond},
-		Tune:   func(se *settings.Gateway) { se.Times.LeaseMs, se.Times.MaxCallMs = 1500, 500 },
+		Gateways: 3, Folder: folder, Declarations: set, StoreLimit: 3, NoUsage: true, ServerStartup: spendingStartup,
+		Engine:         fake.EngineConfig{Version: "v1", TokenTime: 5 * time.Millisecond},
+		AdjustSettings: func(se *settings.Gateway) { se.Times.LeaseMs, se.Times.MaxCallMs = 1500, 500 },
 	})
 	if err != nil {
 		return SpendingResult{}, err
--- a/soak/deployment_test.go
+++ b/soak/deployment_test.go
@@ -153,10 +153,10 @@
 func (de *deployment) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyWithin)
 	defer cancel()
-	err := dep.Until(ctx, func() error { return de.caller.Configure(ctx, 1) })
+	err := dep.RetryUntil(ctx, func() error { return de.caller.Configure(ctx, 1) })
 	if err == nil {
 		n := 0
-		err = dep.Until(ctx, func() error {
+		err = dep.RetryUntil(ctx, func() error {
 			n++
 			an, err := de.caller.Lookup(ctx, de.gateways()[0], fmt.Sprintf("%s%d", warmUpPrefix, n), false)
 			if err == nil && an.Stamp == "" {
