--- a/cmd/tamarackbay/fake.go
+++ b/cmd/tamarackbay/fake.go
@@ -71,7 +71,7 @@
 	return command{c, func() error {
 		_, err := fake.NewEngine(*listen, fake.EngineConfig{
 			Model: *model, Version: *weights, Slots: *slots, TokenTime: *token, PrefillTime: 5 * *token,
-			SwapTime: time.Second, CacheSize: 64, Downtime: 2 * time.Second,
+			SwapTime: time.Second, CacheSize: 64, RestartDelay: 2 * time.Second,
 		})
 		if err != nil {
 			return err
--- a/internal/demo/check.go
+++ b/internal/demo/check.go
@@ -260,7 +260,7 @@
 	for _, en := range dr.de.AllEngines() {
 		top = 0
 		for _, o := range en.Orders() {
-			if o.Taken && o.Fencing < top {
+			if o.Accepted && o.Fencing < top {
 				return fmt.Errorf("engine order %s from %s was accepted with fencing number %d after %d", o.ID, o.Giver, o.Fencing, top)
 			}
 			top = max(top, o.Fencing)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -110,7 +110,7 @@
 		Gateways: 3, Folder: folder, Declarations: dr.set, StoreLimit: 3, ServerStartup: engineStartup, ServiceDelay: 2 * time.Millisecond,
 		Engine: fake.EngineConfig{
 			TokenTime: 4 * time.Millisecond, PrefillTime: 10 * time.Millisecond, SwapTime: 150 * time.Millisecond,
-			CacheSize: 64, Downtime: time.Second, Straggle: 97,
+			CacheSize: 64, RestartDelay: time.Second, StraggleEvery: 97,
 		},
 		AdjustSettings: func(se *settings.Gateway) {
 			se.Times.LeaseMs, se.Times.MaxCallMs = 1500, 500
--- a/internal/endtoend/call_test.go
+++ b/internal/endtoend/call_test.go
@@ -39,7 +39,7 @@
 			}
 		}, nil, 1, []int{int(result.CallOutcomeUnknown)}},
 		{"when the service drops the connection", nil, []string{fake.HeaderDrop, "1"}, 1, []int{int(result.CallOutcomeUnknown)}},
-		{"when the response belongs to another request", nil, []string{fake.HeaderCross, "1"}, 1, []int{int(result.CallOutcomeUnknown)}},
+		{"when the response belongs to another request", nil, []string{fake.HeaderWrongID, "1"}, 1, []int{int(result.CallOutcomeUnknown)}},
 		{"when the response is truncated", nil, []string{fake.HeaderShort, "1"}, 1, []int{int(result.CallOutcomeUnknown)}},
 	}
 	for n, tc := range cases {
--- a/internal/endtoend/drain_test.go
+++ b/internal/endtoend/drain_test.go
@@ -178,7 +178,7 @@
 // checkRunning returns a function that fails unless n ordered backend servers run.
 func (st *setup) checkRunning(n int) func() error {
 	return func() error {
-		if r := len(st.Ordering.Running()); r != n {
+		if r := len(st.Ordering.RunningServers()); r != n {
 			return fmt.Errorf("%d backend servers run, expected %d", r, n)
 		}
 
@@ -191,7 +191,7 @@
 		st := newFleetSetup(nil)
 		Expect(st.WaitForReadyServers(st.ctx, "s", 3, "")).To(Succeed())
 		st.Ordering.DropAnswers(2)
-		st.KillServer(st.Ordering.Running()[0].Name) // without a drain: it must be replaced and its order stopped
+		st.KillServer(st.Ordering.RunningServers()[0].Name) // without a drain: it must be replaced and its order stopped
 		Expect(st.eventually(func() error {
 			stops := 0
 			for _, r := range st.Ordering.Records() {
@@ -207,12 +207,12 @@
 		})).To(Succeed())
 		Expect(st.eventually(st.checkRunning(3))).To(Succeed())
 
-		st.Ordering.Down(true)
+		st.Ordering.SetDown(true)
 		ld := st.Leader()
 		st.KillGateway(ld)
 		time.Sleep(500 * time.Millisecond)
 		Expect(st.StartGateway(ld)).To(Succeed())
-		st.Ordering.Down(false)
+		st.Ordering.SetDown(false)
 		var wg sync.WaitGroup
 		stop := make(chan struct{})
 		for w := range 40 {
@@ -316,11 +316,11 @@
 		st.Usage.DropAnswers(2)
 		time.Sleep(1200 * time.Millisecond)
 		complete(20)
-		st.Usage.Down(true)
+		st.Usage.SetDown(true)
 		time.Sleep(1500 * time.Millisecond)
 		complete(20)
 		st.KillGateway(st.Leader())
-		st.Usage.Down(false)
+		st.Usage.SetDown(false)
 		complete(20)
 		made := uint64(0)
 		for _, r := range st.Engines()["engine-x"].Runs() {
--- a/internal/endtoend/step_test.go
+++ b/internal/endtoend/step_test.go
@@ -131,11 +131,11 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 		}},
-		{"while weights change on engines that do not report their weight version", fake.EngineConfig{IsSilent: true}, func(st *setup, cl *client.Client, pushed *int) {
+		{"while weights change on engines that do not report their weight version", fake.EngineConfig{OmitVersion: true}, func(st *setup, cl *client.Client, pushed *int) {
 			Expect(cl.PushVersion(st.ctx, "m", "v2", "x")).To(Succeed())
 			*pushed++
 		}},
-		{"while weights change and engines crash that do not report their weight version", fake.EngineConfig{IsSilent: true, SwapTime: 5 * time.Millisecond}, func(st *setup, cl *client.Client, pushed *int) {
+		{"while weights change and engines crash that do not report their weight version", fake.EngineConfig{OmitVersion: true, SwapTime: 5 * time.Millisecond}, func(st *setup, cl *client.Client, pushed *int) {
 			Expect(cl.PushVersion(st.ctx, "m", "v2", "x")).To(Succeed())
 			*pushed++
 			time.Sleep(30 * time.Millisecond)
@@ -268,7 +268,7 @@
 
 var _ = Describe("a request that crashes engines", func() {
 	It("is refused after the second crash by every gateway and after a restart, while other requests are served", func() {
-		st := newSetup(setupConfig{engines: 4, engine: fake.EngineConfig{TokenTime: 5 * time.Millisecond, Downtime: 300 * time.Millisecond}})
+		st := newSetup(setupConfig{engines: 4, engine: fake.EngineConfig{TokenTime: 5 * time.Millisecond, RestartDelay: 300 * time.Millisecond}})
 		cl := st.Client(st.token["beta"], 1)
 		others := make(chan error, 24)
 		for n := range 24 {
--- a/internal/endtoend/suite_test.go
+++ b/internal/endtoend/suite_test.go
@@ -94,8 +94,8 @@
 	if en.TokenTime == 0 {
 		en.TokenTime = 2 * time.Millisecond
 	}
-	if en.Downtime == 0 {
-		en.Downtime = 200 * time.Millisecond
+	if en.RestartDelay == 0 {
+		en.RestartDelay = 200 * time.Millisecond
 	}
 	dc := deployment.Config{
 		Gateways: 3, Folder: folder, Declarations: declarations(), Engine: en, ServiceDelay: time.Millisecond,
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -179,7 +179,7 @@
 		Gateways: 3, Folder: folder, Declarations: wl.declarations(), StoreLimit: 2, NoOrdering: true, NoUsage: true, ServiceDelay: 2 * time.Millisecond,
 		Engine: fake.EngineConfig{
 			Version: "v1", TokenTime: 3 * time.Millisecond, PrefillTime: 15 * time.Millisecond, SwapTime: 150 * time.Millisecond,
-			CacheSize: 32, Downtime: 800 * time.Millisecond, Straggle: 61,
+			CacheSize: 32, RestartDelay: 800 * time.Millisecond, StraggleEvery: 61,
 		},
 		AdjustSettings: func(se *settings.Gateway) { se.Policy = po.Settings },
 	})
@@ -411,7 +411,7 @@
 			time.Sleep(500 * time.Millisecond)
 			_ = tr.deployment.StartGateway(i) // if this fails, the run continues with two gateways
 		}},
-		{0.80, func() { tr.deployment.Engines()["engine-2"].Slow(20 * time.Millisecond) }},
+		{0.80, func() { tr.deployment.Engines()["engine-2"].SetExtraTokenTime(20 * time.Millisecond) }},
 	}
 	began := time.Now()
 	for _, s := range script {
--- a/internal/fake/engine.go
+++ b/internal/fake/engine.go
@@ -26,11 +26,11 @@
 	SwapTime      time.Duration // time to load a version
 	CacheSize     int           // capacity of the prefix cache, 0 for no cache
 	ChecksFencing bool          // refuse orders with a fencing number below the highest seen
-	IsSilent      bool          // omit the weight version from the chunks
-	Downtime      time.Duration // time between a crash and the restart
+	OmitVersion   bool          // omit the weight version from the chunks
+	RestartDelay  time.Duration // time between a crash and the restart
 	Store         *WeightStore  // grants a permit for each load, nil for loads without limit
-	// Straggle makes about one in this many requests ten times slower per token, 0 for none.
-	Straggle int
+	// StraggleEvery makes about one in this many requests ten times slower per token, 0 for none.
+	StraggleEvery int
 }
 
 // Run records one request to an engine.
@@ -44,15 +44,15 @@
 	Versions []string
 }
 
-// GivenOrder records an order to load or activate a weight version.
-type GivenOrder struct {
-	ID      string
-	Kind    string
-	Version string
-	Giver   string
-	Fencing uint64
-	At      time.Time
-	Taken   bool // false if refused because of its fencing number
+// WeightOrder records an order to load or activate a weight version.
+type WeightOrder struct {
+	ID       string
+	Kind     string
+	Version  string
+	Giver    string
+	Fencing  uint64
+	At       time.Time
+	Accepted bool // false if refused because of its fencing number
 }
 
 // Engine is a stand-in for a model engine. The text of each token contains the weight
@@ -71,7 +71,7 @@
 	running        int
 	queued         int
 	runs           map[string]*Run
-	orders         []GivenOrder
+	orders         []WeightOrder
 	swapsToFail    int
 	cache          map[string]uint64 // cache key to time of last use, in Unix ns
 	cacheSequence  uint64
@@ -181,7 +181,7 @@
 func (en *Engine) generate(w http.ResponseWriter, r *http.Request, rq *completionBody, run *Run, down chan struct{}) {
 	pace := en.cfg.TokenTime
 	en.mu.Lock()
-	if en.cfg.Straggle > 0 && en.requestCount%en.cfg.Straggle == 0 {
+	if en.cfg.StraggleEvery > 0 && en.requestCount%en.cfg.StraggleEvery == 0 {
 		pace *= 10
 	}
 	pace += en.extraTokenTime
@@ -247,7 +247,7 @@
 		"choices": []map[string]any{{"text": fmt.Sprintf(" %s:%d", v, n), "finish_reason": finish}},
 		"usage":   map[string]int{"completion_tokens": 1, "prompt_tokens": promptTokens(rq.Prompt, n)},
 	}
-	if !en.cfg.IsSilent {
+	if !en.cfg.OmitVersion {
 		body["weight_version"] = v
 	}
 	b, err := json.Marshal(body)
@@ -344,7 +344,7 @@
 		return
 	}
 
-	given := GivenOrder{ID: or.ID, Kind: kind, Version: or.Version, Giver: or.Giver, Fencing: or.Fencing, At: time.Now()}
+	given := WeightOrder{ID: or.ID, Kind: kind, Version: or.Version, Giver: or.Giver, Fencing: or.Fencing, At: time.Now()}
 	en.mu.Lock()
 	if en.cfg.ChecksFencing && or.Fencing < en.highestFencing {
 		en.orders = append(en.orders, given)
@@ -353,7 +353,7 @@
 
 		return
 	}
-	given.Taken = true
+	given.Accepted = true
 	en.highestFencing = max(en.highestFencing, or.Fencing)
 	en.orders = append(en.orders, given)
 	fails := en.swapsToFail > 0
@@ -415,7 +415,7 @@
 
 	go func() {
 		en.kill()
-		time.Sleep(en.cfg.Downtime)
+		time.Sleep(en.cfg.RestartDelay)
 		en.mu.Lock()
 		en.instance++
 		en.state, en.crashed = "ready", make(chan struct{})
@@ -446,8 +446,8 @@
 	en.swapsToFail = n
 }
 
-// Slow sets an additional time per token for requests that start from now on.
-func (en *Engine) Slow(d time.Duration) {
+// SetExtraTokenTime sets an additional time per token for requests that start from now on.
+func (en *Engine) SetExtraTokenTime(d time.Duration) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 
@@ -468,11 +468,11 @@
 }
 
 // Orders returns the records of all orders.
-func (en *Engine) Orders() []GivenOrder {
+func (en *Engine) Orders() []WeightOrder {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 
-	return append([]GivenOrder(nil), en.orders...)
+	return append([]WeightOrder(nil), en.orders...)
 }
 
 // Tokens returns the number of tokens generated.
--- a/internal/fake/platform.go
+++ b/internal/fake/platform.go
@@ -217,9 +217,9 @@
 	or.answersToDrop = n
 }
 
-// Down makes the interface refuse orders with status 503 if isDown is true, and accept
+// SetDown makes the interface refuse orders with status 503 if isDown is true, and accept
 // them again if it is false. The list of servers is served in both cases.
-func (or *Ordering) Down(isDown bool) {
+func (or *Ordering) SetDown(isDown bool) {
 	or.mu.Lock()
 	defer or.mu.Unlock()
 
@@ -234,8 +234,8 @@
 	return append([]OrderRecord(nil), or.records...)
 }
 
-// Running returns the backend servers that are billed now.
-func (or *Ordering) Running() []RunningServer {
+// RunningServers returns the backend servers that are billed now.
+func (or *Ordering) RunningServers() []RunningServer {
 	or.mu.Lock()
 	defer or.mu.Unlock()
 
@@ -333,9 +333,9 @@
 	us.answersToDrop = n
 }
 
-// Down makes the interface refuse all calls with status 503 if isDown is true, and serve
+// SetDown makes the interface refuse all calls with status 503 if isDown is true, and serve
 // again if it is false.
-func (us *UsageSink) Down(isDown bool) {
+func (us *UsageSink) SetDown(isDown bool) {
 	us.mu.Lock()
 	defer us.mu.Unlock()
 
--- a/internal/fake/service.go
+++ b/internal/fake/service.go
@@ -30,10 +30,10 @@
 
 // Headers of a request that change how a Service responds to it.
 const (
-	HeaderCross = "X-Fake-Cross" // the response carries the ID of another request
-	HeaderShort = "X-Fake-Short" // the body is shorter than its Content-Length
-	HeaderDrop  = "X-Fake-Drop"  // the connection closes without a response
-	HeaderDelay = "X-Fake-Delay" // time until the response, in the syntax of time.ParseDuration
+	HeaderWrongID = "X-Fake-Cross" // the response carries the ID of another request
+	HeaderShort   = "X-Fake-Short" // the body is shorter than its Content-Length
+	HeaderDrop    = "X-Fake-Drop"  // the connection closes without a response
+	HeaderDelay   = "X-Fake-Delay" // time until the response, in the syntax of time.ParseDuration
 )
 
 // NewService starts a service on address. It responds after delay.
@@ -74,7 +74,7 @@
 	}
 
 	id := run.ID
-	if r.Header.Get(HeaderCross) != "" {
+	if r.Header.Get(HeaderWrongID) != "" {
 		id = "of-another-request"
 	}
 	w.Header().Set("X-Request-Id", id)
