--- a/internal/demo/nodes.go
+++ b/internal/demo/nodes.go
@@ -42,10 +42,10 @@
 	wg      sync.WaitGroup
 }
 
-// RunNodes starts three controllers, three stores and a gateway on loopback addresses
+// RunPlatform starts three controllers, three stores and a gateway on loopback addresses
 // against a stand-in for the platform, serves lookups and batch jobs while the
 // configuration and the weights change, and checks what the stand-in received.
-func RunNodes(ctx context.Context, out io.Writer) error {
+func RunPlatform(ctx context.Context, out io.Writer) error {
 	folder, err := os.MkdirTemp("", "tamarackbay-demo-")
 	if err != nil {
 		return err
@@ -126,7 +126,7 @@
 	ctx, cancel := context.WithTimeout(ctx, nodeRetryTimeout)
 	defer cancel()
 
-	return deployment.Until(ctx, f)
+	return deployment.RetryUntil(ctx, f)
 }
 
 // lookup sends one lookup and checks its response.
--- a/internal/endtoend/step_test.go
+++ b/internal/endtoend/step_test.go
@@ -131,11 +131,11 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 		}},
-		{"while weights change on engines that do not report their weight version", fake.EngineConfig{IsSilent: true}, func(st *setup, cl *client.Client, pushed *int) {
+		{"while weights change on engines that do not report their weight version", fake.EngineConfig{OmitVersion: true}, func(st *setup, cl *client.Client, pushed *int) {
 			Expect(cl.PushVersion(st.ctx, "m", "v2", "x")).To(Succeed())
 			*pushed++
 		}},
-		{"while weights change and engines crash that do not report their weight version", fake.EngineConfig{IsSilent: true, SwapTime: 5 * time.Millisecond}, func(st *setup, cl *client.Client, pushed *int) {
+		{"while weights change and engines crash that do not report their weight version", fake.EngineConfig{OmitVersion: true, SwapTime: 5 * time.Millisecond}, func(st *setup, cl *client.Client, pushed *int) {
 			Expect(cl.PushVersion(st.ctx, "m", "v2", "x")).To(Succeed())
 			*pushed++
 			time.Sleep(30 * time.Millisecond)
@@ -245,7 +245,7 @@
 				Expect(st.eventually(func() error { return st.Gateway(i).Gateway().Ready() })).To(Succeed())
 			}
 		}
-		Expect(st.WaitServers(st.ctx, "m", 2, "v1")).To(Succeed())
+		Expect(st.WaitForReadyServers(st.ctx, "m", 2, "v1")).To(Succeed())
 		pushed := 1
 		co := st.collect(cl, "s", &pushed, nil)
 		Expect(co.samples).To(HaveLen(40))
@@ -268,7 +268,7 @@
 
 var _ = Describe("a request that crashes engines", func() {
 	It("is refused after the second crash by every gateway and after a restart, while other requests are served", func() {
-		st := newSetup(setupConfig{engines: 4, engine: fake.EngineConfig{TokenTime: 5 * time.Millisecond, Downtime: 300 * time.Millisecond}})
+		st := newSetup(setupConfig{engines: 4, engine: fake.EngineConfig{TokenTime: 5 * time.Millisecond, RestartDelay: 300 * time.Millisecond}})
 		cl := st.Client(st.token["beta"], 1)
 		others := make(chan error, 24)
 		for n := range 24 {
@@ -319,10 +319,10 @@
 		Expect(crashes()).To(Equal(2))
 
 		var q struct{ Fingerprints map[string]any }
-		Expect(st.Operate(st.ctx, http.MethodGet, "/v1/quarantine", nil, &q)).To(Succeed())
+		Expect(st.CallOperators(st.ctx, http.MethodGet, "/v1/quarantine", nil, &q)).To(Succeed())
 		Expect(q.Fingerprints).To(HaveLen(1), "the fingerprints of the other requests must be cleared")
 		for fp := range q.Fingerprints {
-			Expect(st.Operate(st.ctx, http.MethodPost, "/v1/quarantine/"+fp+"/release", nil, nil)).To(Succeed())
+			Expect(st.CallOperators(st.ctx, http.MethodPost, "/v1/quarantine/"+fp+"/release", nil, nil)).To(Succeed())
 		}
 		Expect(st.eventually(func() error {
 			if an = st.send(1, "alpha", http.MethodPost, "/v1/completions", poison); an.Error.Code == int(result.Quarantined) {
