--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -69,23 +69,23 @@
 	keysByAge []string // keys, oldest first
 }
 
-// Image is the content of a Ledger in a snapshot.
-type Image struct {
+// Snapshot is the encoded form of a Ledger.
+type Snapshot struct {
 	Records map[string]*Record `cbor:"1,keyasint"`
 	Order   []string           `cbor:"2,keyasint"`
 }
 
-// NewLedger returns a ledger with the content of an image.
-func NewLedger(im Image) *Ledger {
-	if im.Records == nil {
-		im.Records = map[string]*Record{}
+// NewLedger returns a ledger with the content of a snapshot.
+func NewLedger(sn Snapshot) *Ledger {
+	if sn.Records == nil {
+		sn.Records = map[string]*Record{}
 	}
 
-	return &Ledger{records: im.Records, keysByAge: im.Order}
+	return &Ledger{records: sn.Records, keysByAge: sn.Order}
 }
 
-// Image returns the ledger's content for a snapshot.
-func (le *Ledger) Image() Image { return Image{Records: le.records, Order: le.keysByAge} }
+// Snapshot returns the ledger's encoded form.
+func (le *Ledger) Snapshot() Snapshot { return Snapshot{Records: le.records, Order: le.keysByAge} }
 
 // Begin returns the record of the call, and adds one if there is none. The sender of
 // the command may run the call only if it is the record's owner and the state is Begun.
--- a/internal/capacity/groups.go
+++ b/internal/capacity/groups.go
@@ -202,7 +202,7 @@
 		ma.Apply(en.Index, en.Data)
 	}
 	d := time.Since(at)
-	if v := ma.Book().Version(); v != restartChanges {
+	if v := ma.Configuration().Version(); v != restartChanges {
 		return Figure{}, fmt.Errorf("capacity: configuration version is %d after the restart, expected %d", v, restartChanges)
 	}
 
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -196,7 +196,7 @@
 	}
 	calls, err := series("call ledger held", "call with an answer of 200 bytes", "byte", sizes, func(n int) (float64, error) {
 		return heapOf(func() any {
-			le := call.NewLedger(call.Image{})
+			le := call.NewLedger(call.Snapshot{})
 			for i := range n {
 				k := fmt.Sprintf("workspace/route/key-%08d", i)
 				_, _ = le.Begin(call.Begin{Key: k, Digest: k, Owner: k, Gateway: "192.0.2.1:8082"}, 1)
@@ -251,17 +251,17 @@
 	return le
 }
 
-// newFilledUsage returns a book with n counters, of 8 workspaces on each agent.
-func newFilledUsage(n int) *usage.Book {
-	bo := usage.NewBook(usage.Image{})
+// newFilledUsage returns a ledger with n counters, of 8 workspaces on each agent.
+func newFilledUsage(n int) *usage.Ledger {
+	le := usage.NewLedger(usage.Snapshot{})
 	for i := range n {
-		bo.Fold(usage.Fold{Counters: []usage.Counter{{
+		le.Fold(usage.Fold{Counters: []usage.Counter{{
 			Agent: fmt.Sprintf("server-%05d", i/8), Incarnation: uint64(i), Workspace: fmt.Sprintf("w%d", i%8), Window: 1,
 			Figures: usage.Figures{Requests: 1, Tokens: 100},
 		}}})
 	}
 
-	return bo
+	return le
 }
 
 func measurePool() ([]Slope, error) {
--- a/internal/declaration/declaration_test.go
+++ b/internal/declaration/declaration_test.go
@@ -21,12 +21,12 @@
 	op("classes/c", `{"model":"m"}`), op("routes/r", `{"model":"m","repeatable":true}`),
 }
 
-func newBook() *declaration.Book {
-	bo := declaration.NewBook()
-	an := bo.Apply(declaration.Patch{ID: "base", Ops: base}, 1)
+func newBook() *declaration.Configuration {
+	co := declaration.NewConfiguration()
+	an := co.Apply(declaration.Patch{ID: "base", Ops: base}, 1)
 	Expect(an.Err()).NotTo(HaveOccurred())
 
-	return bo
+	return co
 }
 
 var _ = Describe("a patch", func() {
@@ -55,35 +55,35 @@
 	}
 	for _, tc := range refusedPatches {
 		It("is refused without any change if it is "+tc.name, func() {
-			bo := newBook()
-			before, err := json.Marshal(bo.Set())
+			co := newBook()
+			before, err := json.Marshal(co.Set())
 			Expect(err).NotTo(HaveOccurred())
-			an := bo.Apply(declaration.Patch{ID: "p", Base: 1, Ops: tc.ops}, 2)
+			an := co.Apply(declaration.Patch{ID: "p", Base: 1, Ops: tc.ops}, 2)
 			Expect(an.Code).To(Equal(tc.code), an.Message)
 			Expect(an.Message).To(ContainSubstring(tc.text))
-			Expect(json.Marshal(bo.Set())).To(Equal(before))
-			Expect(bo.Version()).To(Equal(uint64(1)))
+			Expect(json.Marshal(co.Set())).To(Equal(before))
+			Expect(co.Version()).To(Equal(uint64(1)))
 		})
 	}
 
 	It("is refused with the current version and the conflicting path if its base version is old", func() {
-		bo := newBook()
-		Expect(bo.Apply(declaration.Patch{ID: "a", Base: 1, Ops: []declaration.Op{op("workspaces/w", `{"weight":2}`)}}, 2).Err()).NotTo(HaveOccurred())
-		an := bo.Apply(declaration.Patch{ID: "b", Base: 1, Ops: []declaration.Op{op("workspaces/w", `{"weight":3}`)}}, 3)
+		co := newBook()
+		Expect(co.Apply(declaration.Patch{ID: "a", Base: 1, Ops: []declaration.Op{op("workspaces/w", `{"weight":2}`)}}, 2).Err()).NotTo(HaveOccurred())
+		an := co.Apply(declaration.Patch{ID: "b", Base: 1, Ops: []declaration.Op{op("workspaces/w", `{"weight":3}`)}}, 3)
 		Expect(an.Code).To(Equal(result.PatchVersionOld))
 		Expect(an.Message).To(ContainSubstring("the current one is 2; workspaces/w changed in version 2"))
-		Expect(bo.Apply(declaration.Patch{ID: "b", Base: 2, Ops: base}, 4)).To(Equal(an), "the same ID gets the same answer")
+		Expect(co.Apply(declaration.Patch{ID: "b", Base: 2, Ops: base}, 4)).To(Equal(an), "the same ID gets the same answer")
 	})
 
-	It("is preserved, with the history, by a snapshot of the book", func() {
-		bo := newBook()
-		bo.Apply(declaration.Patch{ID: "a", Base: 1, Ops: []declaration.Op{op("workspaces/x", `{"weight":2}`)}}, 2)
-		im, err := bo.Image()
+	It("is preserved, with the history, by a snapshot of the configuration", func() {
+		co := newBook()
+		co.Apply(declaration.Patch{ID: "a", Base: 1, Ops: []declaration.Op{op("workspaces/x", `{"weight":2}`)}}, 2)
+		sn, err := co.Snapshot()
 		Expect(err).NotTo(HaveOccurred())
-		other, err := declaration.NewBookFrom(im)
+		other, err := declaration.NewConfigurationFrom(sn)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(other.Set()).To(Equal(bo.Set()))
-		Expect(other.History(5)).To(Equal(bo.History(5)))
+		Expect(other.Set()).To(Equal(co.Set()))
+		Expect(other.History(5)).To(Equal(co.History(5)))
 		ds, ok := other.Since(1)
 		Expect(ok).To(BeTrue())
 		Expect(ds).To(HaveLen(1))
--- a/internal/declaration/patch.go
+++ b/internal/declaration/patch.go
@@ -46,8 +46,8 @@
 	return result.New(an.Code, "%s", an.Message)
 }
 
-// Book holds the replicated configuration, its history and the answers to patches.
-type Book struct {
+// Configuration holds the replicated declarations, their history and the answers to patches.
+type Configuration struct {
 	version     uint64
 	set         *Set
 	history     []Change          // oldest first; only the last maxDeltas have their operations
@@ -55,66 +55,66 @@
 	answerOrder []string          // patch IDs in answers, oldest first
 }
 
-// NewBook returns an empty configuration at version 0.
-func NewBook() *Book {
-	return &Book{set: NewSet(), answers: map[string]Answer{}}
+// NewConfiguration returns an empty configuration at version 0.
+func NewConfiguration() *Configuration {
+	return &Configuration{set: NewSet(), answers: map[string]Answer{}}
 }
 
 // Version returns the current version number.
-func (bo *Book) Version() uint64 { return bo.version }
+func (co *Configuration) Version() uint64 { return co.version }
 
 // Set returns the current configuration, which callers must not change.
-func (bo *Book) Set() *Set { return bo.set }
+func (co *Configuration) Set() *Set { return co.set }
 
 // Apply applies a patch or refuses it. A patch whose ID was already answered gets the
 // same answer again.
-func (bo *Book) Apply(pa Patch, atMs int64) Answer {
-	if an, ok := bo.answers[pa.ID]; ok {
+func (co *Configuration) Apply(pa Patch, atMs int64) Answer {
+	if an, ok := co.answers[pa.ID]; ok {
 		return an
 	}
 
-	an := bo.applyNew(pa, atMs)
+	an := co.applyNew(pa, atMs)
 	if pa.ID != "" {
-		bo.recordAnswer(pa.ID, an)
+		co.recordAnswer(pa.ID, an)
 	}
 
 	return an
 }
 
 // applyNew applies a patch whose ID is new, or refuses it.
-func (bo *Book) applyNew(pa Patch, atMs int64) Answer {
+func (co *Configuration) applyNew(pa Patch, atMs int64) Answer {
 	if pa.ID == "" || len(pa.Ops) == 0 {
-		return Answer{Version: bo.version, Code: result.InvalidDeclaration, Message: "patch: id and ops must be set"}
+		return Answer{Version: co.version, Code: result.InvalidDeclaration, Message: "patch: id and ops must be set"}
 	}
-	if pa.Base != bo.version {
+	if pa.Base != co.version {
 		er := result.New(result.PatchVersionOld, "patch %s: made against version %d, the current one is %d%s",
-			pa.ID, pa.Base, bo.version, bo.describeConflict(pa))
+			pa.ID, pa.Base, co.version, co.describeConflict(pa))
 
-		return Answer{Version: bo.version, Code: er.Code, Message: er.Message}
+		return Answer{Version: co.version, Code: er.Code, Message: er.Message}
 	}
-	if err := bo.set.Apply(pa.Ops); err != nil {
+	if err := co.set.Apply(pa.Ops); err != nil {
 		er := result.From(err)
 
-		return Answer{Version: bo.version, Code: er.Code, Message: er.Message}
+		return Answer{Version: co.version, Code: er.Code, Message: er.Message}
 	}
 
-	bo.version++
-	bo.history = append(bo.history, Change{Version: bo.version, PatchID: pa.ID, Author: pa.Author, AtMs: atMs, Ops: pa.Ops})
-	if n := len(bo.history); n > maxDeltas {
-		bo.history[n-maxDeltas-1].Ops = nil
+	co.version++
+	co.history = append(co.history, Change{Version: co.version, PatchID: pa.ID, Author: pa.Author, AtMs: atMs, Ops: pa.Ops})
+	if n := len(co.history); n > maxDeltas {
+		co.history[n-maxDeltas-1].Ops = nil
 	}
-	if len(bo.history) > maxHistory {
-		bo.history = bo.history[1:]
+	if len(co.history) > maxHistory {
+		co.history = co.history[1:]
 	}
 
-	return Answer{Version: bo.version}
+	return Answer{Version: co.version}
 }
 
 // describeConflict names the first path of a patch that has changed since its base
 // version.
-func (bo *Book) describeConflict(pa Patch) string {
+func (co *Configuration) describeConflict(pa Patch) string {
 	changed := map[string]uint64{}
-	for _, ch := range bo.history {
+	for _, ch := range co.history {
 		if ch.Version > pa.Base {
 			for _, op := range ch.Ops {
 				changed[op.Path] = ch.Version
@@ -138,20 +138,20 @@
 }
 
 // recordAnswer records the answer to a patch and removes the oldest one above maxHistory.
-func (bo *Book) recordAnswer(id string, an Answer) {
-	bo.answers[id] = an
-	bo.answerOrder = append(bo.answerOrder, id)
-	if len(bo.answerOrder) > maxHistory {
-		delete(bo.answers, bo.answerOrder[0])
-		bo.answerOrder = bo.answerOrder[1:]
+func (co *Configuration) recordAnswer(id string, an Answer) {
+	co.answers[id] = an
+	co.answerOrder = append(co.answerOrder, id)
+	if len(co.answerOrder) > maxHistory {
+		delete(co.answers, co.answerOrder[0])
+		co.answerOrder = co.answerOrder[1:]
 	}
 }
 
 // History returns the last n changes, newest first.
-func (bo *Book) History(n int) []Change {
+func (co *Configuration) History(n int) []Change {
 	var out []Change
-	for i := len(bo.history) - 1; i >= 0 && len(out) < n; i-- {
-		out = append(out, bo.history[i])
+	for i := len(co.history) - 1; i >= 0 && len(out) < n; i-- {
+		out = append(out, co.history[i])
 	}
 
 	return out
@@ -159,21 +159,21 @@
 
 // Since returns the changes after version. It returns false if some of them are no
 // longer retained.
-func (bo *Book) Since(version uint64) ([]Change, bool) {
-	if version > bo.version {
+func (co *Configuration) Since(version uint64) ([]Change, bool) {
+	if version > co.version {
 		return nil, false
 	}
 
-	missing := int(bo.version - version)
-	if missing > len(bo.history) || missing > maxDeltas {
+	missing := int(co.version - version)
+	if missing > len(co.history) || missing > maxDeltas {
 		return nil, false
 	}
 
-	return bo.history[len(bo.history)-missing:], true
+	return co.history[len(co.history)-missing:], true
 }
 
-// Image is the snapshot of a Book.
-type Image struct {
+// Snapshot is the encoded form of a Configuration.
+type Snapshot struct {
 	Version uint64            `cbor:"1,keyasint"`
 	Ops     []Op              `cbor:"2,keyasint"`
 	History []Change          `cbor:"3,keyasint"`
@@ -181,22 +181,22 @@
 	Order   []string          `cbor:"5,keyasint"`
 }
 
-// Image returns a snapshot of the book.
-func (bo *Book) Image() (Image, error) {
-	ops, err := bo.set.Ops()
+// Snapshot returns the configuration's encoded form.
+func (co *Configuration) Snapshot() (Snapshot, error) {
+	ops, err := co.set.Ops()
 
-	return Image{Version: bo.version, Ops: ops, History: bo.history, Answers: bo.answers, Order: bo.answerOrder}, err
+	return Snapshot{Version: co.version, Ops: ops, History: co.history, Answers: co.answers, Order: co.answerOrder}, err
 }
 
-// NewBookFrom restores a book from a snapshot.
-func NewBookFrom(im Image) (*Book, error) {
-	bo := &Book{version: im.Version, set: NewSet(), history: im.History, answers: im.Answers, answerOrder: im.Order}
-	if bo.answers == nil {
-		bo.answers = map[string]Answer{}
+// NewConfigurationFrom restores a configuration from a snapshot.
+func NewConfigurationFrom(sn Snapshot) (*Configuration, error) {
+	co := &Configuration{version: sn.Version, set: NewSet(), history: sn.History, answers: sn.Answers, answerOrder: sn.Order}
+	if co.answers == nil {
+		co.answers = map[string]Answer{}
 	}
-	if len(im.Ops) == 0 {
-		return bo, nil
+	if len(sn.Ops) == 0 {
+		return co, nil
 	}
 
-	return bo, bo.set.Apply(im.Ops)
+	return co, co.set.Apply(sn.Ops)
 }
--- a/internal/handlers/operator.go
+++ b/internal/handlers/operator.go
@@ -160,7 +160,7 @@
 		n = 20
 	}
 	var out []declaration.Change
-	if !op.gateway.Group().Read(func(ma *machine.Machine) { out = ma.Book().History(n) }) {
+	if !op.gateway.Group().Read(func(ma *machine.Machine) { out = ma.Configuration().History(n) }) {
 		op.refuse(w, result.New(result.NotLeader, "this gateway has no disk and no history: ask a gateway with a disk"))
 
 		return
--- a/internal/machine/machine.go
+++ b/internal/machine/machine.go
@@ -47,20 +47,20 @@
 // Machine is the state of a group after the log entries applied so far. It is not
 // safe for concurrent use.
 type Machine struct {
-	applied    uint64 // position of the last entry applied
-	atMs       int64  // latest time of a command, Unix milliseconds
-	book       *declaration.Book
-	leases     *lease.Table
-	orders     *order.Log
-	steps      *step.Ledger
-	calls      *call.Ledger
-	usage      *usage.Book
-	quarantine *quarantine.Book
-	replicas   map[consensus.ReplicaID]Register
-	routing    *routing.Book
-	versions   *weights.Names
-	roster     *roster.Book
-	jobs       *job.Ledger
+	applied       uint64 // position of the last entry applied
+	atMs          int64  // latest time of a command, Unix milliseconds
+	configuration *declaration.Configuration
+	leases        *lease.Table
+	orders        *order.Log
+	steps         *step.Ledger
+	calls         *call.Ledger
+	usage         *usage.Ledger
+	quarantine    *quarantine.State
+	replicas      map[consensus.ReplicaID]Register
+	routing       *routing.State
+	versions      *weights.Names
+	roster        *roster.Roster
+	jobs          *job.Ledger
 
 	deltas      []Delta
 	deltasAfter uint64 // position after which deltas holds every change
@@ -69,31 +69,31 @@
 
 // New returns the state before the first log entry.
 func New() *Machine {
-	ma, err := restore(image{})
+	ma, err := restore(snapshot{})
 	if err != nil {
-		panic(err) // the empty image is valid
+		panic(err) // the empty snapshot is valid
 	}
 
 	return ma
 }
 
-// image is the snapshot form of a Machine.
-type image struct {
-	Applied    uint64                           `cbor:"1,keyasint"`
-	AtMs       int64                            `cbor:"2,keyasint"`
-	Book       declaration.Image                `cbor:"3,keyasint"`
-	Leases     map[string]lease.Lease           `cbor:"4,keyasint"`
-	Orders     order.Image                      `cbor:"5,keyasint"`
-	Steps      map[string]*step.Step            `cbor:"6,keyasint"`
-	Calls      call.Image                       `cbor:"7,keyasint"`
-	Usage      usage.Image                      `cbor:"8,keyasint"`
-	Quarantine map[string]quarantine.Entry      `cbor:"9,keyasint"`
-	Replicas   map[consensus.ReplicaID]Register `cbor:"10,keyasint"`
-	Revision   uint64                           `cbor:"11,keyasint"`
-	Routing    routing.Image                    `cbor:"12,keyasint"`
-	Versions   map[string]uint64                `cbor:"13,keyasint"`
-	Roster     roster.Image                     `cbor:"14,keyasint"`
-	Jobs       map[string]*job.Job              `cbor:"15,keyasint"`
+// snapshot is the encoded form of a Machine.
+type snapshot struct {
+	Applied       uint64                           `cbor:"1,keyasint"`
+	AtMs          int64                            `cbor:"2,keyasint"`
+	Configuration declaration.Snapshot             `cbor:"3,keyasint"`
+	Leases        map[string]lease.Lease           `cbor:"4,keyasint"`
+	Orders        order.Snapshot                   `cbor:"5,keyasint"`
+	Steps         map[string]*step.Step            `cbor:"6,keyasint"`
+	Calls         call.Snapshot                    `cbor:"7,keyasint"`
+	Usage         usage.Snapshot                   `cbor:"8,keyasint"`
+	Quarantine    map[string]quarantine.Entry      `cbor:"9,keyasint"`
+	Replicas      map[consensus.ReplicaID]Register `cbor:"10,keyasint"`
+	Revision      uint64                           `cbor:"11,keyasint"`
+	Routing       routing.Snapshot                 `cbor:"12,keyasint"`
+	Versions      map[string]uint64                `cbor:"13,keyasint"`
+	Roster        roster.Snapshot                  `cbor:"14,keyasint"`
+	Jobs          map[string]*job.Job              `cbor:"15,keyasint"`
 }
 
 // Snapshot returns the encoded state.
@@ -110,15 +110,15 @@
 // with further commands. Only the ledger of jobs grows large: Freeze takes a snapshot
 // of it and encodes the rest immediately.
 func (ma *Machine) Freeze() (encode func() ([]byte, error), err error) {
-	bo, err := ma.book.Image()
+	cs, err := ma.configuration.Snapshot()
 	if err != nil {
 		return nil, err
 	}
-	rest, err := codec.Append(nil, image{
-		Applied: ma.applied, AtMs: ma.atMs, Book: bo, Leases: ma.leases.Leases(), Orders: ma.orders.Image(),
-		Steps: ma.steps.Steps(), Calls: ma.calls.Image(), Usage: ma.usage.Image(),
+	rest, err := codec.Append(nil, snapshot{
+		Applied: ma.applied, AtMs: ma.atMs, Configuration: cs, Leases: ma.leases.Leases(), Orders: ma.orders.Snapshot(),
+		Steps: ma.steps.Steps(), Calls: ma.calls.Snapshot(), Usage: ma.usage.Snapshot(),
 		Quarantine: ma.quarantine.Entries(), Replicas: ma.replicas, Revision: ma.revision,
-		Routing: ma.routing.Image(), Versions: ma.versions.All(), Roster: ma.roster.Image(),
+		Routing: ma.routing.Snapshot(), Versions: ma.versions.All(), Roster: ma.roster.Snapshot(),
 	})
 	if err != nil {
 		return nil, err
@@ -130,43 +130,43 @@
 	}
 
 	return func() ([]byte, error) {
-		var im image
-		if err := cbor.Unmarshal(rest, &im); err != nil {
+		var sn snapshot
+		if err := cbor.Unmarshal(rest, &sn); err != nil {
 			return nil, result.New(result.Internal, "machine: decode state while encoding a snapshot: %v", err)
 		}
-		im.Jobs = jobs
+		sn.Jobs = jobs
 
 		// Allocated at full size, as a growing buffer would take twice the memory.
-		return codec.Append(make([]byte, 0, len(rest)+job.EncodedBytes(jobs)), im)
+		return codec.Append(make([]byte, 0, len(rest)+job.EncodedBytes(jobs)), sn)
 	}, nil
 }
 
 // Restore returns the state that a snapshot holds.
 func Restore(data []byte) (*Machine, error) {
-	var im image
-	if err := cbor.Unmarshal(data, &im); err != nil {
+	var sn snapshot
+	if err := cbor.Unmarshal(data, &sn); err != nil {
 		return nil, result.New(result.DataFolderDamaged, "machine: decode snapshot: %v", err)
 	}
 
-	return restore(im)
+	return restore(sn)
 }
 
-func restore(im image) (*Machine, error) {
-	bo, err := declaration.NewBookFrom(im.Book)
+func restore(sn snapshot) (*Machine, error) {
+	cs, err := declaration.NewConfigurationFrom(sn.Configuration)
 	if err != nil {
 		return nil, err
 	}
-	if im.Replicas == nil {
-		im.Replicas = map[consensus.ReplicaID]Register{}
+	if sn.Replicas == nil {
+		sn.Replicas = map[consensus.ReplicaID]Register{}
 	}
 
 	return &Machine{
-		applied: im.Applied, atMs: im.AtMs, book: bo, leases: lease.NewTable(im.Leases),
-		orders: order.NewLog(im.Orders), steps: step.NewLedger(im.Steps), calls: call.NewLedger(im.Calls),
-		usage: usage.NewBook(im.Usage), quarantine: quarantine.NewBook(im.Quarantine), replicas: im.Replicas,
-		deltasAfter: im.Applied, revision: im.Revision,
-		routing: routing.NewBook(im.Routing), versions: weights.NewNames(im.Versions),
-		roster: roster.NewBook(im.Roster), jobs: job.NewLedger(im.Jobs),
+		applied: sn.Applied, atMs: sn.AtMs, configuration: cs, leases: lease.NewTable(sn.Leases),
+		orders: order.NewLog(sn.Orders), steps: step.NewLedger(sn.Steps), calls: call.NewLedger(sn.Calls),
+		usage: usage.NewLedger(sn.Usage), quarantine: quarantine.NewState(sn.Quarantine), replicas: sn.Replicas,
+		deltasAfter: sn.Applied, revision: sn.Revision,
+		routing: routing.NewState(sn.Routing), versions: weights.NewNames(sn.Versions),
+		roster: roster.NewRoster(sn.Roster), jobs: job.NewLedger(sn.Jobs),
 	}, nil
 }
 
@@ -176,8 +176,8 @@
 // Revision returns the position of the last change that subscribers follow.
 func (ma *Machine) Revision() uint64 { return ma.revision }
 
-// Book returns the configuration.
-func (ma *Machine) Book() *declaration.Book { return ma.book }
+// Configuration returns the configuration.
+func (ma *Machine) Configuration() *declaration.Configuration { return ma.configuration }
 
 // Leases returns the leases.
 func (ma *Machine) Leases() *lease.Table { return ma.leases }
@@ -191,23 +191,23 @@
 // Calls returns the ledger of calls that may not be repeated.
 func (ma *Machine) Calls() *call.Ledger { return ma.calls }
 
-// Usage returns the book of usage windows.
-func (ma *Machine) Usage() *usage.Book { return ma.usage }
+// Usage returns the ledger of usage windows.
+func (ma *Machine) Usage() *usage.Ledger { return ma.usage }
 
 // Quarantine returns the fingerprints of suspect and refused requests.
-func (ma *Machine) Quarantine() *quarantine.Book { return ma.quarantine }
+func (ma *Machine) Quarantine() *quarantine.State { return ma.quarantine }
 
 // Replicas returns the registered addresses of replicas.
 func (ma *Machine) Replicas() map[consensus.ReplicaID]Register { return ma.replicas }
 
 // Routing returns the routing configuration by host and path.
-func (ma *Machine) Routing() *routing.Book { return ma.routing }
+func (ma *Machine) Routing() *routing.State { return ma.routing }
 
 // Versions returns the newest weight version named for each model.
 func (ma *Machine) Versions() *weights.Names { return ma.versions }
 
 // Roster returns the VMs that store batch jobs.
-func (ma *Machine) Roster() *roster.Book { return ma.roster }
+func (ma *Machine) Roster() *roster.Roster { return ma.roster }
 
 // Jobs returns the ledger of batch jobs.
 func (ma *Machine) Jobs() *job.Ledger { return ma.jobs }
@@ -333,10 +333,10 @@
 }
 
 func (ma *Machine) patch(pa declaration.Patch) (any, error) {
-	before := ma.book.Version()
-	an := ma.book.Apply(pa, ma.atMs)
-	if ma.book.Version() != before {
-		ma.appendDelta(Delta{Change: &ma.book.History(1)[0]})
+	before := ma.configuration.Version()
+	an := ma.configuration.Apply(pa, ma.atMs)
+	if ma.configuration.Version() != before {
+		ma.appendDelta(Delta{Change: &ma.configuration.History(1)[0]})
 	}
 
 	return an, an.Err()
@@ -364,7 +364,7 @@
 	if err != nil {
 		return nil, err
 	}
-	latest, _ := ma.book.Set().LatestVersion(st.Model)
+	latest, _ := ma.configuration.Set().LatestVersion(st.Model)
 
 	return ma.steps.FormPage(fp, latest.Sequence, ma.atMs)
 }
@@ -443,7 +443,7 @@
 
 // Full returns the complete state that subscribers follow.
 func (ma *Machine) Full() (Full, error) {
-	ops, err := ma.book.Set().Ops()
+	ops, err := ma.configuration.Set().Ops()
 
-	return Full{Revision: ma.revision, Version: ma.book.Version(), Ops: ops, Quarantine: ma.quarantine.Entries()}, err
+	return Full{Revision: ma.revision, Version: ma.configuration.Version(), Ops: ops, Quarantine: ma.quarantine.Entries()}, err
 }
--- a/internal/machine/machine_test.go
+++ b/internal/machine/machine_test.go
@@ -49,9 +49,9 @@
 		Expect(err).NotTo(HaveOccurred())
 
 		Expect(re.Applied()).To(Equal(ma.Applied()))
-		Expect(re.Routing().Image()).To(Equal(ma.Routing().Image()))
+		Expect(re.Routing().Snapshot()).To(Equal(ma.Routing().Snapshot()))
 		Expect(re.Versions().All()).To(Equal(map[string]uint64{"m": 3}))
-		Expect(re.Roster().Image()).To(Equal(ma.Roster().Image()))
+		Expect(re.Roster().Snapshot()).To(Equal(ma.Roster().Snapshot()))
 		Expect(re.Jobs().Jobs()).To(Equal(ma.Jobs().Jobs()))
 
 		for _, m := range []*machine.Machine{ma, re} {
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -57,23 +57,23 @@
 	settled []string // IDs, oldest first
 }
 
-// Image is the content of a Log in a snapshot.
-type Image struct {
+// Snapshot is the encoded form of a Log.
+type Snapshot struct {
 	Intents map[string]Intent `cbor:"1,keyasint"`
 	Settled []string          `cbor:"2,keyasint"`
 }
 
-// NewLog returns a log with the content of an image.
-func NewLog(im Image) *Log {
-	if im.Intents == nil {
-		im.Intents = map[string]Intent{}
+// NewLog returns a log with the content of a snapshot.
+func NewLog(sn Snapshot) *Log {
+	if sn.Intents == nil {
+		sn.Intents = map[string]Intent{}
 	}
 
-	return &Log{intents: im.Intents, settled: im.Settled}
+	return &Log{intents: sn.Intents, settled: sn.Settled}
 }
 
-// Image returns the log's content for a snapshot.
-func (lo *Log) Image() Image { return Image{Intents: lo.intents, Settled: lo.settled} }
+// Snapshot returns the log's encoded form.
+func (lo *Log) Snapshot() Snapshot { return Snapshot{Intents: lo.intents, Settled: lo.settled} }
 
 // Open records an intent, or returns the one recorded under its ID before. The caller
 // has checked the lease.
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -47,22 +47,22 @@
 	maxEntries  = 50_000              // further fingerprints are not recorded
 )
 
-// Book holds the entries of a replicated group by fingerprint.
-type Book struct {
+// State holds the entries of a replicated group by fingerprint.
+type State struct {
 	entries map[string]Entry
 }
 
-// NewBook returns a book with the entries, which may be nil.
-func NewBook(entries map[string]Entry) *Book {
+// NewState returns a state with the entries, which may be nil.
+func NewState(entries map[string]Entry) *State {
 	if entries == nil {
 		entries = map[string]Entry{}
 	}
 
-	return &Book{entries: entries}
+	return &State{entries: entries}
 }
 
 // Entries returns all entries; they must not be changed.
-func (bo *Book) Entries() map[string]Entry { return bo.entries }
+func (st *State) Entries() map[string]Entry { return st.entries }
 
 // Verdict returns the verdict on a fingerprint.
 func (en Entry) Verdict() Verdict {
@@ -78,11 +78,11 @@
 
 // Crash records the crash of a backend server and removes expired entries. Reports of
 // the same crash count once.
-func (bo *Book) Crash(cr Crash, atMs int64) {
-	bo.dropExpired(atMs)
+func (st *State) Crash(cr Crash, atMs int64) {
+	st.dropExpired(atMs)
 	for _, fp := range cr.Fingerprints {
-		en, ok := bo.entries[fp]
-		if !ok && len(bo.entries) >= maxEntries {
+		en, ok := st.entries[fp]
+		if !ok && len(st.entries) >= maxEntries {
 			continue
 		}
 		if contains(en.Crashes, cr.Server) || en.Released {
@@ -91,7 +91,7 @@
 		en.Crashes = append(append([]string(nil), en.Crashes...), cr.Server)
 		en.Alone = en.Alone || cr.Alone
 		en.AtMs = atMs
-		bo.entries[fp] = en
+		st.entries[fp] = en
 	}
 }
 
@@ -106,28 +106,28 @@
 }
 
 // Cleared removes a suspect that completed. A refused fingerprint stays refused.
-func (bo *Book) Cleared(cl Cleared) {
-	if en, ok := bo.entries[cl.Fingerprint]; ok && en.Verdict() == Suspect {
-		delete(bo.entries, cl.Fingerprint)
+func (st *State) Cleared(cl Cleared) {
+	if en, ok := st.entries[cl.Fingerprint]; ok && en.Verdict() == Suspect {
+		delete(st.entries, cl.Fingerprint)
 	}
 }
 
 // Release ends the quarantine of a fingerprint and reports whether it had an entry.
 // Further crashes don't count until the entry expires.
-func (bo *Book) Release(re Release) bool {
-	en, ok := bo.entries[re.Fingerprint]
+func (st *State) Release(re Release) bool {
+	en, ok := st.entries[re.Fingerprint]
 	if ok {
 		en.Released = true
-		bo.entries[re.Fingerprint] = en
+		st.entries[re.Fingerprint] = en
 	}
 
 	return ok
 }
 
-func (bo *Book) dropExpired(atMs int64) {
-	for fp, en := range bo.entries {
+func (st *State) dropExpired(atMs int64) {
+	for fp, en := range st.entries {
 		if atMs > en.AtMs+retentionMs {
-			delete(bo.entries, fp)
+			delete(st.entries, fp)
 		}
 	}
 }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -7,7 +7,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/quarantine"
 )
 
-var _ = Describe("a quarantine book", func() {
+var _ = Describe("the quarantine state", func() {
 	crash := func(server string, alone bool, fps ...string) quarantine.Crash {
 		return quarantine.Crash{Server: server, Fingerprints: fps, Alone: alone}
 	}
@@ -24,24 +24,24 @@
 	}
 	for _, tc := range cases {
 		It("returns the verdict on a fingerprint after "+tc.name, func() {
-			bo := quarantine.NewBook(nil)
+			st := quarantine.NewState(nil)
 			for _, c := range tc.crashes {
-				bo.Crash(c, 1)
+				st.Crash(c, 1)
 			}
-			Expect(bo.Entries()["x"].Verdict()).To(Equal(tc.want))
+			Expect(st.Entries()["x"].Verdict()).To(Equal(tc.want))
 		})
 	}
 
 	It("clears a suspect that completes, keeps a refused fingerprint, and releases it on request", func() {
-		bo := quarantine.NewBook(nil)
-		bo.Crash(crash("s1", false, "x", "y"), 1)
-		bo.Cleared(quarantine.Cleared{Fingerprint: "y"})
-		Expect(bo.Entries()).NotTo(HaveKey("y"))
-		bo.Crash(crash("s2", true, "x"), 1)
-		bo.Cleared(quarantine.Cleared{Fingerprint: "x"})
-		Expect(bo.Entries()["x"].Verdict()).To(Equal(quarantine.Refused))
-		Expect(bo.Release(quarantine.Release{Fingerprint: "x"})).To(BeTrue())
-		Expect(bo.Entries()["x"].Verdict()).To(Equal(quarantine.Clear))
-		Expect(bo.Release(quarantine.Release{Fingerprint: "none"})).To(BeFalse())
+		st := quarantine.NewState(nil)
+		st.Crash(crash("s1", false, "x", "y"), 1)
+		st.Cleared(quarantine.Cleared{Fingerprint: "y"})
+		Expect(st.Entries()).NotTo(HaveKey("y"))
+		st.Crash(crash("s2", true, "x"), 1)
+		st.Cleared(quarantine.Cleared{Fingerprint: "x"})
+		Expect(st.Entries()["x"].Verdict()).To(Equal(quarantine.Refused))
+		Expect(st.Release(quarantine.Release{Fingerprint: "x"})).To(BeTrue())
+		Expect(st.Entries()["x"].Verdict()).To(Equal(quarantine.Clear))
+		Expect(st.Release(quarantine.Release{Fingerprint: "none"})).To(BeFalse())
 	})
 })
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -49,90 +49,90 @@
 	Name string `cbor:"1,keyasint"`
 }
 
-// Book is the replicated roster.
-type Book struct {
-	image Image
+// Roster holds the replicated members, formation and retirements.
+type Roster struct {
+	snapshot Snapshot
 }
 
-// Image is the content of a Book as stored in a snapshot.
-type Image struct {
+// Snapshot is the encoded form of a Roster.
+type Snapshot struct {
 	Members     map[string]Member     `cbor:"1,keyasint"` // by name
 	Formation   []consensus.ReplicaID `cbor:"2,keyasint"`
 	Retirements map[string]Retirement `cbor:"3,keyasint"` // by name
 }
 
-// NewBook returns a book with the content of an image.
-func NewBook(im Image) *Book {
-	if im.Members == nil {
-		im.Members = map[string]Member{}
+// NewRoster returns a roster with the content of a snapshot.
+func NewRoster(sn Snapshot) *Roster {
+	if sn.Members == nil {
+		sn.Members = map[string]Member{}
 	}
-	if im.Retirements == nil {
-		im.Retirements = map[string]Retirement{}
+	if sn.Retirements == nil {
+		sn.Retirements = map[string]Retirement{}
 	}
 
-	return &Book{image: im}
+	return &Roster{snapshot: sn}
 }
 
-// Image returns the book's content for a snapshot.
-func (bo *Book) Image() Image { return bo.image }
+// Snapshot returns the roster's encoded form.
+func (ro *Roster) Snapshot() Snapshot { return ro.snapshot }
 
 // Announce records a member and reports whether that changed anything.
-func (bo *Book) Announce(an Announce) bool {
-	if bo.image.Members[an.Member.Name] == an.Member {
+func (ro *Roster) Announce(an Announce) bool {
+	if ro.snapshot.Members[an.Member.Name] == an.Member {
 		return false
 	}
-	bo.image.Members[an.Member.Name] = an.Member
+	ro.snapshot.Members[an.Member.Name] = an.Member
 
 	return true
 }
 
 // Form sets the replicas that form the store group and reports whether it did. It has no
 // effect if they are already set.
-func (bo *Book) Form(fo Form) bool {
-	if len(bo.image.Formation) > 0 || len(fo.Replicas) == 0 {
+func (ro *Roster) Form(fo Form) bool {
+	if len(ro.snapshot.Formation) > 0 || len(fo.Replicas) == 0 {
 		return false
 	}
-	bo.image.Formation = slices.Clone(fo.Replicas)
+	ro.snapshot.Formation = slices.Clone(fo.Replicas)
 
 	return true
 }
 
 // Retire starts to drain a VM. It returns an error if too few members would remain.
-func (bo *Book) Retire(re Retire) error {
-	if _, ok := bo.image.Members[re.Name]; !ok {
+func (ro *Roster) Retire(re Retire) error {
+	if _, ok := ro.snapshot.Members[re.Name]; !ok {
 		return result.New(result.UnknownObject, "roster: no VM %q stores batch jobs", re.Name)
 	}
-	if bo.image.Retirements[re.Name] != 0 {
+	if ro.snapshot.Retirements[re.Name] != 0 {
 		return nil
 	}
-	if n := len(bo.image.Members) - len(bo.image.Retirements) - 1; n < re.Keep {
+	if n := len(ro.snapshot.Members) - len(ro.snapshot.Retirements) - 1; n < re.Keep {
 		return result.New(result.MembershipRefused, "roster: only %d VMs would be left to store batch jobs, at least %d must be", n, re.Keep)
 	}
-	bo.image.Retirements[re.Name] = Retiring
+	ro.snapshot.Retirements[re.Name] = Retiring
 
 	return nil
 }
 
 // Finish ends the retirement of a VM and reports whether one was in progress.
-func (bo *Book) Finish(fi Finish) bool {
-	if bo.image.Retirements[fi.Name] != Retiring {
+func (ro *Roster) Finish(fi Finish) bool {
+	if ro.snapshot.Retirements[fi.Name] != Retiring {
 		return false
 	}
-	bo.image.Retirements[fi.Name] = Retired
+	ro.snapshot.Retirements[fi.Name] = Retired
 
 	return true
 }
 
 // Retirement returns the state of the retirement of a VM, 0 if none was requested.
-func (bo *Book) Retirement(name string) Retirement { return bo.image.Retirements[name] }
+func (ro *Roster) Retirement(name string) Retirement { return ro.snapshot.Retirements[name] }
 
 // Formation returns the replicas that formed the store group, none before they are set.
-func (bo *Book) Formation() []consensus.ReplicaID { return bo.image.Formation }
+func (ro *Roster) Formation() []consensus.ReplicaID { return ro.snapshot.Formation }
 
 // Members returns all members in the order of their names.
-func (bo *Book) Members() []Member {
-	out := make([]Member, 0, len(bo.image.Members))
-	for _, me := range bo.image.Members {
+func (ro *Roster) Members() []Member {
+	out := make([]Member, 0, len(ro.snapshot.Members))
+	for _, me := range ro.snapshot.Members {
 		out = append(out, me)
 	}
 	slices.SortFunc(out, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -15,24 +15,24 @@
 func TestSuite(t *testing.T) { suite.Run(t, "roster") }
 
 var _ = ginkgo.Describe("the roster of stores", func() {
-	four := func() *roster.Book {
-		bo := roster.NewBook(roster.Image{})
+	four := func() *roster.Roster {
+		ro := roster.NewRoster(roster.Snapshot{})
 		for _, name := range []string{"a", "b", "c", "d"} {
-			Expect(bo.Announce(roster.Announce{Member: roster.Member{Name: name, Replica: consensus.ReplicaID(name + "-1")}})).To(BeTrue())
+			Expect(ro.Announce(roster.Announce{Member: roster.Member{Name: name, Replica: consensus.ReplicaID(name + "-1")}})).To(BeTrue())
 		}
 
-		return bo
+		return ro
 	}
 
 	ginkgo.It("is formed once", func() {
-		bo := four()
-		Expect(bo.Form(roster.Form{Replicas: []consensus.ReplicaID{"a-1", "b-1", "c-1"}})).To(BeTrue())
-		Expect(bo.Form(roster.Form{Replicas: []consensus.ReplicaID{"d-1"}})).To(BeFalse())
-		Expect(bo.Formation()).To(HaveLen(3))
+		ro := four()
+		Expect(ro.Form(roster.Form{Replicas: []consensus.ReplicaID{"a-1", "b-1", "c-1"}})).To(BeTrue())
+		Expect(ro.Form(roster.Form{Replicas: []consensus.ReplicaID{"d-1"}})).To(BeFalse())
+		Expect(ro.Formation()).To(HaveLen(3))
 	})
 
 	ginkgo.It("lets a VM be drained as long as enough others remain", func() {
-		bo := four()
+		ro := four()
 		for _, tc := range []struct {
 			name string
 			code result.Code // 0 for accepted
@@ -42,14 +42,14 @@
 			{"b", 0}, // requested again
 			{"c", result.MembershipRefused},
 		} {
-			err := bo.Retire(roster.Retire{Name: tc.name, Keep: 3})
+			err := ro.Retire(roster.Retire{Name: tc.name, Keep: 3})
 			Expect(err == nil).To(Equal(tc.code == 0), tc.name)
 			Expect(tc.code == 0 || result.Is(err, tc.code)).To(BeTrue(), tc.name)
 		}
-		Expect(bo.Retirement("b")).To(Equal(roster.Retiring))
-		Expect(bo.Finish(roster.Finish{Name: "b"})).To(BeTrue())
-		Expect(bo.Finish(roster.Finish{Name: "b"})).To(BeFalse())
-		Expect(bo.Finish(roster.Finish{Name: "a"})).To(BeFalse())
-		Expect(bo.Retirement("b")).To(Equal(roster.Retired))
+		Expect(ro.Retirement("b")).To(Equal(roster.Retiring))
+		Expect(ro.Finish(roster.Finish{Name: "b"})).To(BeTrue())
+		Expect(ro.Finish(roster.Finish{Name: "b"})).To(BeFalse())
+		Expect(ro.Finish(roster.Finish{Name: "a"})).To(BeFalse())
+		Expect(ro.Retirement("b")).To(Equal(roster.Retired))
 	})
 })
--- a/internal/routing/book.go
+++ b/internal/routing/state.go
@@ -13,36 +13,36 @@
 	Replaced bool   `cbor:"2,keyasint"`
 }
 
-// Book holds the configuration in force, replicated in a group.
-type Book struct {
-	image Image
+// State holds the configuration in force, replicated in a group.
+type State struct {
+	snapshot Snapshot
 }
 
-// Image is the content of a Book, as stored in a snapshot.
-type Image struct {
+// Snapshot is the encoded form of a State.
+type Snapshot struct {
 	Config   Config `cbor:"1,keyasint"`
 	Document []byte `cbor:"2,keyasint"`
 }
 
-// NewBook returns a book with the content of an image.
-func NewBook(im Image) *Book { return &Book{image: im} }
+// NewState returns the state with the content of a snapshot.
+func NewState(sn Snapshot) *State { return &State{snapshot: sn} }
 
-// Image returns the book's content for a snapshot.
-func (bo *Book) Image() Image { return bo.image }
+// Snapshot returns the state's encoded form.
+func (st *State) Snapshot() Snapshot { return st.snapshot }
 
 // Put applies pu. A version that is not higher is ignored and is not an error, as
 // operators may send an older configuration again.
-func (bo *Book) Put(pu Put) PutReply {
-	if pu.Config.Version <= bo.image.Config.Version {
-		return PutReply{Version: bo.image.Config.Version}
+func (st *State) Put(pu Put) PutReply {
+	if pu.Config.Version <= st.snapshot.Config.Version {
+		return PutReply{Version: st.snapshot.Config.Version}
 	}
-	bo.image = Image(pu)
+	st.snapshot = Snapshot(pu)
 
 	return PutReply{Version: pu.Config.Version, Replaced: true}
 }
 
 // Config returns the configuration in force. Its version is 0 before the first Put.
-func (bo *Book) Config() *Config { return &bo.image.Config }
+func (st *State) Config() *Config { return &st.snapshot.Config }
 
 // Document returns the configuration in force as the operator sent it.
-func (bo *Book) Document() []byte { return bo.image.Document }
+func (st *State) Document() []byte { return st.snapshot.Document }
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -19,7 +19,7 @@
 
 	mu        sync.Mutex
 	counts    map[tallyKey]uint64
-	confirmed map[tallyKey]uint64 // highest counts that are recorded in the book
+	confirmed map[tallyKey]uint64 // highest counts that are recorded in the ledger
 }
 
 type tallyKey struct {
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -30,7 +30,7 @@
 	Figures     Figures `cbor:"5,keyasint"`
 }
 
-// Fold is the command that adds counters to the book.
+// Fold is the command that adds counters to the ledger.
 type Fold struct {
 	Counters []Counter `cbor:"1,keyasint"`
 }
@@ -75,36 +75,36 @@
 // that only the increase of a late counter is added.
 const retainedWindows = 48
 
-// Book holds the usage windows of a consensus group.
-type Book struct {
+// Ledger holds the usage windows of a consensus group.
+type Ledger struct {
 	windows    map[uint64]*Window
 	lastClosed uint64 // number of the last closed window; all before it are closed too
 }
 
-// Image is the snapshot form of a Book.
-type Image struct {
+// Snapshot is the encoded form of a Ledger.
+type Snapshot struct {
 	Windows map[uint64]*Window `cbor:"1,keyasint"`
 	Closed  uint64             `cbor:"2,keyasint"`
 }
 
-// NewBook returns the book with the content of an image.
-func NewBook(im Image) *Book {
-	if im.Windows == nil {
-		im.Windows = map[uint64]*Window{}
+// NewLedger returns the ledger with the content of a snapshot.
+func NewLedger(sn Snapshot) *Ledger {
+	if sn.Windows == nil {
+		sn.Windows = map[uint64]*Window{}
 	}
 
-	return &Book{windows: im.Windows, lastClosed: im.Closed}
+	return &Ledger{windows: sn.Windows, lastClosed: sn.Closed}
 }
 
-// Image returns the book's content for a snapshot.
-func (bo *Book) Image() Image { return Image{Windows: bo.windows, Closed: bo.lastClosed} }
+// Snapshot returns the ledger's encoded form.
+func (le *Ledger) Snapshot() Snapshot { return Snapshot{Windows: le.windows, Closed: le.lastClosed} }
 
 // window returns window n and adds it if it is missing.
-func (bo *Book) window(n uint64) *Window {
-	wi, ok := bo.windows[n]
+func (le *Ledger) window(n uint64) *Window {
+	wi, ok := le.windows[n]
 	if !ok {
 		wi = &Window{Number: n, Folded: map[string]Figures{}, Lines: map[string]*Line{}}
-		bo.windows[n] = wi
+		le.windows[n] = wi
 	}
 	if wi.Folded == nil {
 		wi.Folded = map[string]Figures{}
@@ -129,16 +129,16 @@
 
 // Fold adds the increase of each counter since it was last added. It returns the
 // number of counters rejected because their window is no longer retained.
-func (bo *Book) Fold(fo Fold) int {
+func (le *Ledger) Fold(fo Fold) int {
 	tooOld := 0
 	for _, co := range fo.Counters {
-		if bo.lastClosed > retainedWindows && co.Window < bo.lastClosed-retainedWindows {
+		if le.lastClosed > retainedWindows && co.Window < le.lastClosed-retainedWindows {
 			tooOld++
 
 			continue
 		}
 
-		wi := bo.window(co.Window)
+		wi := le.window(co.Window)
 		k := counterKey(co)
 		old := wi.Folded[k]
 		if co.Figures.Requests < old.Requests || co.Figures.Tokens < old.Tokens {
@@ -149,9 +149,9 @@
 			continue
 		}
 		wi.Folded[k] = co.Figures
-		if wi.IsClosed || co.Window <= bo.lastClosed {
+		if wi.IsClosed || co.Window <= le.lastClosed {
 			// Late usage is adjusted in the first open window.
-			li := bo.window(bo.lastClosed + 1).line(co.Workspace)
+			li := le.window(le.lastClosed + 1).line(co.Workspace)
 			li.Adjustment.add(grown)
 
 			continue
@@ -178,39 +178,39 @@
 
 // Close closes every window up to cl.Window and removes reported windows that are
 // past their retention.
-func (bo *Book) Close(cl Close) {
-	if cl.Window <= bo.lastClosed {
+func (le *Ledger) Close(cl Close) {
+	if cl.Window <= le.lastClosed {
 		return
 	}
 
-	first := bo.lastClosed + 1
-	if bo.lastClosed == 0 {
+	first := le.lastClosed + 1
+	if le.lastClosed == 0 {
 		first = cl.Window
-		for n := range bo.windows {
+		for n := range le.windows {
 			first = min(first, n)
 		}
 	}
 	for n := first; n <= cl.Window; n++ {
-		if wi, ok := bo.windows[n]; ok {
+		if wi, ok := le.windows[n]; ok {
 			wi.IsClosed = true
 		}
 	}
-	bo.lastClosed = cl.Window
-	for n, wi := range bo.windows {
-		if wi.IsSent && bo.lastClosed > retainedWindows && n < bo.lastClosed-retainedWindows {
-			delete(bo.windows, n)
+	le.lastClosed = cl.Window
+	for n, wi := range le.windows {
+		if wi.IsSent && le.lastClosed > retainedWindows && n < le.lastClosed-retainedWindows {
+			delete(le.windows, n)
 		}
 	}
 }
 
 // Closed returns the number of the last closed window.
-func (bo *Book) Closed() uint64 { return bo.lastClosed }
+func (le *Ledger) Closed() uint64 { return le.lastClosed }
 
 // Unreported returns the numbers of the closed windows that are not reported yet,
 // oldest first.
-func (bo *Book) Unreported() []uint64 {
+func (le *Ledger) Unreported() []uint64 {
 	var out []uint64
-	for n, wi := range bo.windows {
+	for n, wi := range le.windows {
 		if wi.IsClosed && !wi.IsSent {
 			out = append(out, n)
 		}
@@ -221,8 +221,8 @@
 }
 
 // Report returns the report of a closed window, sorted by workspace.
-func (bo *Book) Report(n uint64) (Report, error) {
-	wi, ok := bo.windows[n]
+func (le *Ledger) Report(n uint64) (Report, error) {
+	wi, ok := le.windows[n]
 	if !ok || !wi.IsClosed {
 		return Report{}, result.New(result.UnknownObject, "usage: window %d is not closed", n)
 	}
@@ -237,8 +237,8 @@
 }
 
 // Reported marks a window as reported.
-func (bo *Book) Reported(re Reported) error {
-	wi, ok := bo.windows[re.Window]
+func (le *Ledger) Reported(re Reported) error {
+	wi, ok := le.windows[re.Window]
 	if !ok || !wi.IsClosed {
 		return result.New(result.UnknownObject, "usage: window %d is not closed", re.Window)
 	}
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -14,10 +14,10 @@
 	return usage.Counter{Agent: agent, Incarnation: 7, Workspace: "w", Window: window, Figures: usage.Figures{Requests: tokens / 10, Tokens: tokens}}
 }
 
-func fold(bo *usage.Book, cs ...usage.Counter) { bo.Fold(usage.Fold{Counters: cs}) }
+func fold(le *usage.Ledger, cs ...usage.Counter) { le.Fold(usage.Fold{Counters: cs}) }
 
-func tokens(bo *usage.Book, window uint64) (figures, adjustment uint64) {
-	re, err := bo.Report(window)
+func tokens(le *usage.Ledger, window uint64) (figures, adjustment uint64) {
+	re, err := le.Report(window)
 	Expect(err).NotTo(HaveOccurred())
 	for _, li := range re.Lines {
 		figures += li.Figures.Tokens
@@ -27,65 +27,65 @@
 	return figures, adjustment
 }
 
-var _ = Describe("the usage book", func() {
+var _ = Describe("the usage ledger", func() {
 	It("adds a counter only once if it is sent repeatedly or out of order", func() {
-		bo := usage.NewBook(usage.Image{})
-		fold(bo, counter("a", 5, 100), counter("a", 5, 100), counter("a", 5, 40), counter("b", 5, 10), counter("a", 5, 130))
-		bo.Close(usage.Close{Window: 5})
-		f, _ := tokens(bo, 5)
+		le := usage.NewLedger(usage.Snapshot{})
+		fold(le, counter("a", 5, 100), counter("a", 5, 100), counter("a", 5, 40), counter("b", 5, 10), counter("a", 5, 130))
+		le.Close(usage.Close{Window: 5})
+		f, _ := tokens(le, 5)
 		Expect(f).To(Equal(uint64(140)))
 	})
 
 	It("adds late usage to the next window and leaves the closed window unchanged", func() {
-		bo := usage.NewBook(usage.Image{})
-		fold(bo, counter("a", 5, 100))
-		bo.Close(usage.Close{Window: 5})
-		before, err := bo.Report(5)
+		le := usage.NewLedger(usage.Snapshot{})
+		fold(le, counter("a", 5, 100))
+		le.Close(usage.Close{Window: 5})
+		before, err := le.Report(5)
 		Expect(err).NotTo(HaveOccurred())
 		first, err := json.Marshal(before)
 		Expect(err).NotTo(HaveOccurred())
-		fold(bo, counter("a", 5, 160), counter("a", 6, 7))
-		after, err := bo.Report(5)
+		fold(le, counter("a", 5, 160), counter("a", 6, 7))
+		after, err := le.Report(5)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(json.Marshal(after)).To(Equal(first))
-		bo.Close(usage.Close{Window: 6})
-		f, adj := tokens(bo, 6)
+		le.Close(usage.Close{Window: 6})
+		f, adj := tokens(le, 6)
 		Expect([]uint64{f, adj}).To(Equal([]uint64{7, 60}))
 	})
 
 	It("lists closed windows until they are reported, also after a snapshot", func() {
-		bo := usage.NewBook(usage.Image{})
-		fold(bo, counter("a", 5, 1), counter("a", 6, 1), counter("a", 7, 1))
-		bo.Close(usage.Close{Window: 6})
-		Expect(bo.Unreported()).To(Equal([]uint64{5, 6}))
-		Expect(bo.Reported(usage.Reported{Window: 5})).To(Succeed())
-		Expect(usage.NewBook(bo.Image()).Unreported()).To(Equal([]uint64{6}))
-		Expect(bo.Reported(usage.Reported{Window: 7})).NotTo(Succeed())
-		_, err := bo.Report(7)
+		le := usage.NewLedger(usage.Snapshot{})
+		fold(le, counter("a", 5, 1), counter("a", 6, 1), counter("a", 7, 1))
+		le.Close(usage.Close{Window: 6})
+		Expect(le.Unreported()).To(Equal([]uint64{5, 6}))
+		Expect(le.Reported(usage.Reported{Window: 5})).To(Succeed())
+		Expect(usage.NewLedger(le.Snapshot()).Unreported()).To(Equal([]uint64{6}))
+		Expect(le.Reported(usage.Reported{Window: 7})).NotTo(Succeed())
+		_, err := le.Report(7)
 		Expect(err).To(HaveOccurred())
 	})
 
 	It("reports the total that the agents counted, for any order of counters and closed windows", func() {
 		for seed := range uint64(100) {
 			rnd := rand.New(rand.NewPCG(seed, 2))
-			bo := usage.NewBook(usage.Image{})
+			le := usage.NewLedger(usage.Snapshot{})
 			counted := map[[2]uint64]uint64{} // by agent and window
 			window, sum := uint64(10), uint64(0)
 			for range 400 {
 				k := [2]uint64{rnd.Uint64N(4), window - rnd.Uint64N(3)}
 				counted[k] += rnd.Uint64N(50)
-				fold(bo, counter(string(rune('a'+k[0])), k[1], counted[k]))
+				fold(le, counter(string(rune('a'+k[0])), k[1], counted[k]))
 				if rnd.IntN(3) == 0 {
-					fold(bo, counter(string(rune('a'+k[0])), k[1], rnd.Uint64N(counted[k]+1))) // a repeated older counter
+					fold(le, counter(string(rune('a'+k[0])), k[1], rnd.Uint64N(counted[k]+1))) // a repeated older counter
 				}
 				if rnd.IntN(20) == 0 {
 					window++
-					bo.Close(usage.Close{Window: window - 1})
+					le.Close(usage.Close{Window: window - 1})
 				}
 			}
-			bo.Close(usage.Close{Window: window + 1})
-			for _, n := range bo.Unreported() {
-				f, adj := tokens(bo, n)
+			le.Close(usage.Close{Window: window + 1})
+			for _, n := range le.Unreported() {
+				f, adj := tokens(le, n)
 				sum += f + adj
 			}
 			want := uint64(0)
