--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -127,11 +127,11 @@
 // graceful shutdown.
 func (ag *Agent) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	start := func(duty func(context.Context)) {
+	start := func(loop func(context.Context)) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			duty(ctx)
+			loop(ctx)
 		}()
 	}
 	for i, li := range ag.links {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -16,10 +16,10 @@
 
 	"github.com/tamarackbay/tamarackbay/internal/backend"
 	"github.com/tamarackbay/tamarackbay/internal/consensus"
-	"github.com/tamarackbay/tamarackbay/internal/duty"
 	"github.com/tamarackbay/tamarackbay/internal/feed"
 	"github.com/tamarackbay/tamarackbay/internal/group"
 	"github.com/tamarackbay/tamarackbay/internal/lease"
+	"github.com/tamarackbay/tamarackbay/internal/leasedtask"
 	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/meter"
 	"github.com/tamarackbay/tamarackbay/internal/peer"
@@ -209,8 +209,8 @@
 	defer wg.Wait()
 	wg.Go(func() { co.publishLoop(ctx) })
 	wg.Go(func() { co.rosterLoop(ctx) })
-	for _, du := range co.duties() {
-		wg.Go(func() { du.Run(ctx) })
+	for _, ta := range co.leasedTasks() {
+		wg.Go(func() { ta.Run(ctx) })
 	}
 	err := co.group.Run(ctx)
 	cancel()
@@ -218,14 +218,14 @@
 	return err
 }
 
-func (co *Controller) duties() []*duty.Duty {
-	with := func(name string, wake <-chan struct{}, work func(ctx context.Context, held duty.Held)) *duty.Duty {
-		return duty.New(duty.Config{
+func (co *Controller) leasedTasks() []*leasedtask.Task {
+	with := func(name string, wake <-chan struct{}, work func(ctx context.Context, held leasedtask.Held)) *leasedtask.Task {
+		return leasedtask.New(leasedtask.Config{
 			Name: name, Holder: co.cfg.Settings.Name, Terms: leaseTerms, Group: co.group, Now: co.cfg.Now, Work: work, Wake: wake,
-			Stopped: co.stopped, TurnPause: co.cfg.Settings.TurnPause, Log: co.cfg.Log,
+			Stopped: co.stopped, ReacquireDelay: co.cfg.Settings.ReacquireDelay, Log: co.cfg.Log,
 		})
 	}
-	out := []*duty.Duty{with(leaseWeights, co.swapWake, co.rollOut)}
+	out := []*leasedtask.Task{with(leaseWeights, co.swapWake, co.rollOut)}
 	if co.cfg.ReportUsage != nil {
 		out = append(out, with(machine.UsageLease, nil, co.reportUsage))
 	}
@@ -237,8 +237,8 @@
 // numbers themselves: a successor may act as soon as it holds a higher one.
 var leaseTerms = lease.Terms{Duration: 1500 * time.Millisecond, MaxCall: 500 * time.Millisecond, Drift: 0.01}
 
-// StopDuties releases the leases and transfers leadership before the process stops.
-func (co *Controller) StopDuties(ctx context.Context) {
+// HandOver releases the leases and transfers leadership before the process stops.
+func (co *Controller) HandOver(ctx context.Context) {
 	co.stop.Do(func() { close(co.stopped) })
 	select {
 	case <-time.After(handOverDelay):
--- a/internal/controller/usage.go
+++ b/internal/controller/usage.go
@@ -6,7 +6,7 @@
 
 	"github.com/apex/log"
 
-	"github.com/tamarackbay/tamarackbay/internal/duty"
+	"github.com/tamarackbay/tamarackbay/internal/leasedtask"
 	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/result"
 	"github.com/tamarackbay/tamarackbay/internal/usage"
@@ -28,7 +28,7 @@
 
 // reportUsage closes the usage windows that have ended and reports them. The figures
 // are committed first, and only committed figures are sent.
-func (co *Controller) reportUsage(ctx context.Context, held duty.Held) {
+func (co *Controller) reportUsage(ctx context.Context, held leasedtask.Held) {
 	now := co.cfg.Now()
 	if now < co.usage.pausedUntil {
 		return
@@ -68,7 +68,7 @@
 	}
 }
 
-func (co *Controller) reportWindow(ctx context.Context, held duty.Held, re usage.Report) bool {
+func (co *Controller) reportWindow(ctx context.Context, held leasedtask.Held, re usage.Report) bool {
 	fencing, ok := held()
 	if !ok {
 		return false
--- a/internal/controller/weights.go
+++ b/internal/controller/weights.go
@@ -7,7 +7,7 @@
 	"github.com/apex/log"
 
 	"github.com/tamarackbay/tamarackbay/internal/backend"
-	"github.com/tamarackbay/tamarackbay/internal/duty"
+	"github.com/tamarackbay/tamarackbay/internal/leasedtask"
 	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/registry"
 	"github.com/tamarackbay/tamarackbay/internal/weights"
@@ -30,7 +30,7 @@
 )
 
 // rollOut orders engines to load the newest recorded versions of their models.
-func (co *Controller) rollOut(ctx context.Context, held duty.Held) {
+func (co *Controller) rollOut(ctx context.Context, held leasedtask.Held) {
 	named := map[string]uint64{}
 	single := map[string]bool{} // services with routes that allow one version per text
 	co.group.Read(func(ma *machine.Machine) {
@@ -129,7 +129,7 @@
 
 // swap orders an engine to load a version, waits until it serves that version and
 // records the result.
-func (co *Controller) swap(ctx context.Context, held duty.Held, jo *weights.Joint, re registry.Record, we *backend.Weights) {
+func (co *Controller) swap(ctx context.Context, held leasedtask.Held, jo *weights.Joint, re registry.Record, we *backend.Weights) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 
@@ -157,7 +157,7 @@
 	co.wakeSwaps()
 }
 
-func (co *Controller) performSwap(ctx context.Context, held duty.Held, re registry.Record, we *backend.Weights) error {
+func (co *Controller) performSwap(ctx context.Context, held leasedtask.Held, re registry.Record, we *backend.Weights) error {
 	before, err := co.fetchReport(ctx, re)
 	for ; err == nil && before.IsBusy; before, err = co.fetchReport(ctx, re) {
 		// The engine carries out another order, possibly from a former lease holder.
@@ -190,7 +190,7 @@
 	return co.awaitVersion(ctx, re, we)
 }
 
-// wakeSwaps makes the duty plan the next orders at once.
+// wakeSwaps makes the leased task plan the next orders at once.
 func (co *Controller) wakeSwaps() {
 	select {
 	case co.swapWake <- struct{}{}:
--- a/internal/demo/nodes.go
+++ b/internal/demo/nodes.go
@@ -35,7 +35,7 @@
 type nodeRun struct {
 	out     io.Writer
 	caller  *standin.Caller
-	cloud   *standin.Cloud
+	cloud   *standin.UsageInterface
 	nodes   []*program.Node
 	servers []*standin.BackendServer
 	gateway string
@@ -75,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	if nr.cloud, err = standin.StartCloud(); err != nil {
+	if nr.cloud, err = standin.StartUsageInterface(); err != nil {
 		return err
 	}
 	nr.caller = &standin.Caller{Ports: ports, Timeout: nodeTimeout, Control: []string{"127.0.9.11", "127.0.9.12", "127.0.9.13"}}
@@ -225,7 +225,7 @@
 }
 
 // check compares what was requested with what the backend servers and the platform's
-// interface for duties received.
+// usage interface received.
 func (nr *nodeRun) check() error {
 	runs, keys := map[string]int{}, 0
 	holders := map[uint64]string{}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -17,7 +17,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/controller"
 	"github.com/tamarackbay/tamarackbay/internal/feed"
 	"github.com/tamarackbay/tamarackbay/internal/ingress"
-	"github.com/tamarackbay/tamarackbay/internal/jobgate"
+	"github.com/tamarackbay/tamarackbay/internal/jobproxy"
 	"github.com/tamarackbay/tamarackbay/internal/meter"
 	"github.com/tamarackbay/tamarackbay/internal/peer"
 	"github.com/tamarackbay/tamarackbay/internal/result"
@@ -58,7 +58,7 @@
 	follower  *feed.Follower
 	balancer  *balance.Balancer
 	ingress   *ingress.Ingress
-	jobGate   *jobgate.Gate
+	jobProxy  *jobproxy.Proxy
 	tally     *usage.Tally
 	isClosing atomic.Bool
 }
@@ -77,7 +77,7 @@
 		Table: ed.Table, Fresh: ed.fresh, Balancer: ed.balancer, Client: cfg.Client, Random: rand.Float64, Began: ed.tally.Count,
 		Meter: cfg.Meter, Log: cfg.Log,
 	})
-	ed.jobGate = jobgate.New(jobgate.Config{
+	ed.jobProxy = jobproxy.New(jobproxy.Config{
 		Ingress: ed.ingress, Table: ed.Table, View: ed.follower.View, Changed: ed.follower.Changed, Links: ed.links,
 		Meter: cfg.Meter, Log: cfg.Log,
 	})
@@ -88,8 +88,8 @@
 // Ingress serves plain and streamed requests.
 func (ed *Edge) Ingress() *ingress.Ingress { return ed.ingress }
 
-// Gate serves requests that concern batch jobs.
-func (ed *Edge) Gate() *jobgate.Gate { return ed.jobGate }
+// JobProxy serves requests that concern batch jobs.
+func (ed *Edge) JobProxy() *jobproxy.Proxy { return ed.jobProxy }
 
 // Table returns the routing table of the configuration in force, or nil before the
 // first configuration has arrived.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -173,7 +173,7 @@
 // PeerAddress returns the address that peers connect to.
 func (ga *Gateway) PeerAddress() string { return ga.listener.Address() }
 
-// Run runs the gateway until ctx ends. For a graceful shutdown, call StopDuties first.
+// Run runs the gateway until ctx ends. For a graceful shutdown, call HandOver first.
 func (ga *Gateway) Run(ctx context.Context) error {
 	defer ga.listener.Close()
 
@@ -194,8 +194,8 @@
 		run(func() { pt.loop(ctx) })
 	}
 	if ga.group.HasDisk() {
-		for _, du := range ga.duties() {
-			run(func() { du.Run(ctx) })
+		for _, ta := range ga.leasedTasks() {
+			run(func() { ta.Run(ctx) })
 		}
 	}
 	err := ga.group.Run(ctx)
@@ -206,9 +206,9 @@
 	return err
 }
 
-// StopDuties releases the leases and transfers leadership of the group if this
+// HandOver releases the leases and transfers leadership of the group if this
 // gateway is the leader.
-func (ga *Gateway) StopDuties(ctx context.Context) {
+func (ga *Gateway) HandOver(ctx context.Context) {
 	ga.BeginShutdown()
 	for ctx.Err() == nil && ga.holdsLease() {
 		time.Sleep(leaseReleasePoll)
--- a/internal/gateway/duty.go
+++ b/internal/gateway/leasedtask.go
@@ -4,26 +4,26 @@
 	"context"
 
 	"github.com/tamarackbay/tamarackbay/internal/agent"
-	"github.com/tamarackbay/tamarackbay/internal/duty"
+	"github.com/tamarackbay/tamarackbay/internal/leasedtask"
 	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
 // leaseCheck returns the fencing number of a lease, and whether enough of the lease
 // is left to start an outside call now.
-type leaseCheck = duty.Held
+type leaseCheck = leasedtask.Held
 
-// duties returns the work that only the holder of a lease may do.
-func (ga *Gateway) duties() []*duty.Duty {
-	we, fl := newWeightsDuty(ga), newFleetDuty(ga)
-	with := func(name string, work func(ctx context.Context, held leaseCheck)) *duty.Duty {
-		return duty.New(duty.Config{
+// leasedTasks returns the work that only the holder of a lease may do.
+func (ga *Gateway) leasedTasks() []*leasedtask.Task {
+	we, fl := newWeightsTask(ga), newFleetTask(ga)
+	with := func(name string, work func(ctx context.Context, held leaseCheck)) *leasedtask.Task {
+		return leasedtask.New(leasedtask.Config{
 			Name: name, Holder: ga.leaseHolder(), Terms: ga.leaseTerms(), Group: ga.group, Now: ga.now, Work: work,
 			Stopped: ga.stopped, Log: ga.cfg.Log,
 		})
 	}
 
-	return []*duty.Duty{
+	return []*leasedtask.Task{
 		with(agent.LeaseWeights, we.run), with(agent.LeaseFleet, fl.run), with(machine.UsageLease, ga.reportUsage),
 	}
 }
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -231,11 +231,11 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var wg sync.WaitGroup
-	for _, duty := range []func(context.Context){gr.confirmDuty, gr.membershipDuty, gr.registerDuty, gr.rejoinDuty} {
+	for _, loop := range []func(context.Context){gr.confirmLoop, gr.membershipLoop, gr.registerLoop, gr.rejoinLoop} {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			duty(ctx)
+			loop(ctx)
 		}()
 	}
 	err = n.run(ctx)
--- a/internal/group/membership.go
+++ b/internal/group/membership.go
@@ -206,9 +206,9 @@
 	return gr.callAddress(ctx, address, methodJoin, req, &wire.Empty{})
 }
 
-// rejoinDuty asks to join again after a time without a leader: the group may have
+// rejoinLoop asks to join again after a time without a leader: the group may have
 // replaced this replica while it was unreachable.
-func (gr *Group) rejoinDuty(ctx context.Context) {
+func (gr *Group) rejoinLoop(ctx context.Context) {
 	leaderless := gr.now()
 	for ctx.Err() == nil {
 		select {
@@ -274,8 +274,8 @@
 	})
 }
 
-// registerDuty keeps this replica's address registered in the group.
-func (gr *Group) registerDuty(ctx context.Context) {
+// registerLoop keeps this replica's address registered in the group.
+func (gr *Group) registerLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		want := machine.Register{
 			Replica: gr.identity.Replica, Name: gr.cfg.Name, Address: gr.cfg.Address, FailureDomain: gr.cfg.FailureDomain,
@@ -324,8 +324,8 @@
 	gr.storedPeers = peers
 }
 
-// membershipDuty repairs the membership while this replica is the leader.
-func (gr *Group) membershipDuty(ctx context.Context) {
+// membershipLoop repairs the membership while this replica is the leader.
+func (gr *Group) membershipLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-time.After(membershipPeriod):
--- a/internal/group/propose.go
+++ b/internal/group/propose.go
@@ -279,8 +279,8 @@
 	return nil
 }
 
-// confirmDuty renews the freshness time of a replica periodically.
-func (gr *Group) confirmDuty(ctx context.Context) {
+// confirmLoop renews the freshness time of a replica periodically.
+func (gr *Group) confirmLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		cctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 		err := gr.Barrier(cctx)
--- a/internal/jobgate/jobgate.go
+++ b/internal/jobproxy/jobproxy.go
@@ -1,6 +1,6 @@
-// Package jobgate forwards requests of clients about batch jobs to the leader of the
+// Package jobproxy forwards requests of clients about batch jobs to the leader of the
 // store group. It never reports a job as accepted or as rejected unless that is known.
-package jobgate
+package jobproxy
 
 import (
 	"context"
@@ -39,7 +39,7 @@
 	retryAfter = 500 * time.Millisecond
 )
 
-// Config holds the dependencies of a Gate.
+// Config holds the dependencies of a Proxy.
 type Config struct {
 	Ingress *ingress.Ingress // identifies callers
 	Table   func() *routing.Table
@@ -50,11 +50,11 @@
 	Log     log.Interface
 }
 
-// Gate forwards requests of clients to stores. It is safe for concurrent use.
-type Gate struct{ cfg Config }
+// Proxy forwards requests of clients to stores. It is safe for concurrent use.
+type Proxy struct{ cfg Config }
 
-// New returns a gate.
-func New(cfg Config) *Gate { return &Gate{cfg: cfg} }
+// New returns a proxy.
+func New(cfg Config) *Proxy { return &Proxy{cfg: cfg} }
 
 // BodyRequest requests the body of an item whose result is not listed yet.
 type BodyRequest struct {
@@ -64,8 +64,8 @@
 }
 
 // IsBatch reports whether requests to host and path submit batch jobs.
-func (ga *Gate) IsBatch(host, path string) bool {
-	ta := ga.cfg.Table()
+func (pr *Proxy) IsBatch(host, path string) bool {
+	ta := pr.cfg.Table()
 	if ta == nil {
 		return false
 	}
@@ -76,16 +76,16 @@
 
 // Submit submits a batch job. After it has returned nil, the job survives every loss
 // of VMs that the deployment tolerates.
-func (ga *Gate) Submit(ctx context.Context, path, key string, sp *job.Spec) error {
-	ro, ws, err := ga.cfg.Ingress.Admit(sp.Host, path, key)
+func (pr *Proxy) Submit(ctx context.Context, path, key string, sp *job.Spec) error {
+	ro, ws, err := pr.cfg.Ingress.Admit(sp.Host, path, key)
 	if err == nil {
 		if ws != nil {
 			sp.Workspace = ws.Name
 		}
 		sp.ResultDeadline, sp.MaxQueue = ro.ResultDeadline.Milliseconds(), ro.MaxQueue.Milliseconds()
-		err = ga.callStores(ctx, MethodSubmit, &job.Submit{Spec: *sp}, nil, true)
+		err = pr.callStores(ctx, MethodSubmit, &job.Submit{Spec: *sp}, nil, true)
 	}
-	ga.logOutcome("request to submit a job", sp.ID, sp.Workspace, err, log.Fields{
+	pr.logOutcome("request to submit a job", sp.ID, sp.Workspace, err, log.Fields{
 		"items": len(sp.Items), "step": sp.Step, "model": sp.Model, "minVersion": sp.MinVersion, "targetGroups": sp.TargetGroups,
 	})
 
@@ -93,43 +93,43 @@
 }
 
 // Read returns a page of the results of a job.
-func (ga *Gate) Read(ctx context.Context, rd *job.Read) (*job.Page, error) {
+func (pr *Proxy) Read(ctx context.Context, rd *job.Read) (*job.Page, error) {
 	var pa job.Page
-	err := ga.identify(rd.Key, &rd.Workspace)
+	err := pr.identify(rd.Key, &rd.Workspace)
 	if err == nil {
-		err = ga.callStores(ctx, MethodRead, rd, &pa, false)
+		err = pr.callStores(ctx, MethodRead, rd, &pa, false)
 	}
-	ga.logOutcome("request to read results of a job", rd.Job, rd.Workspace, err, log.Fields{"from": rd.From, "next": pa.Next, "total": pa.Total})
+	pr.logOutcome("request to read results of a job", rd.Job, rd.Workspace, err, log.Fields{"from": rd.From, "next": pa.Next, "total": pa.Total})
 
 	return &pa, err
 }
 
 // Body returns the body of an item whose result is not listed yet.
-func (ga *Gate) Body(ctx context.Context, key, id, item string) ([]byte, error) {
+func (pr *Proxy) Body(ctx context.Context, key, id, item string) ([]byte, error) {
 	rq, body := BodyRequest{Job: id, Item: item}, []byte(nil)
-	err := ga.identify(key, &rq.Workspace)
+	err := pr.identify(key, &rq.Workspace)
 	if err == nil {
-		err = ga.callStores(ctx, MethodBody, &rq, &body, false)
+		err = pr.callStores(ctx, MethodBody, &rq, &body, false)
 	}
-	ga.logOutcome("request to read the body of an item", id, rq.Workspace, err, log.Fields{"item": item, "bytes": len(body)})
+	pr.logOutcome("request to read the body of an item", id, rq.Workspace, err, log.Fields{"item": item, "bytes": len(body)})
 
 	return body, err
 }
 
 // End ends a job.
-func (ga *Gate) End(ctx context.Context, key, id string) error {
+func (pr *Proxy) End(ctx context.Context, key, id string) error {
 	en := job.End{Job: id}
-	err := ga.identify(key, &en.Workspace)
+	err := pr.identify(key, &en.Workspace)
 	if err == nil {
-		err = ga.callStores(ctx, MethodEnd, &en, nil, false)
+		err = pr.callStores(ctx, MethodEnd, &en, nil, false)
 	}
-	ga.logOutcome("request to end a job", id, en.Workspace, err, log.Fields{})
+	pr.logOutcome("request to end a job", id, en.Workspace, err, log.Fields{})
 
 	return err
 }
 
-func (ga *Gate) identify(key string, workspace *string) error {
-	ws, err := ga.cfg.Ingress.Identify(key, false)
+func (pr *Proxy) identify(key string, workspace *string) error {
+	ws, err := pr.cfg.Ingress.Identify(key, false)
 	if ws != nil {
 		*workspace = ws.Name
 	}
@@ -138,23 +138,23 @@
 }
 
 // logOutcome logs a request about a job and counts it as refused if err is not nil.
-func (ga *Gate) logOutcome(msg, id, workspace string, err error, fl log.Fields) {
+func (pr *Proxy) logOutcome(msg, id, workspace string, err error, fl log.Fields) {
 	fl["job"], fl["workspace"] = id, workspace
 	if err == nil {
-		ga.cfg.Log.WithFields(fl).Info(msg)
+		pr.cfg.Log.WithFields(fl).Info(msg)
 
 		return
 	}
-	ga.cfg.Meter.Refused(err)
+	pr.cfg.Meter.Refused(err)
 	fl["error"] = err.Error()
-	ga.cfg.Log.WithFields(fl).Warn(msg)
+	pr.cfg.Log.WithFields(fl).Warn(msg)
 }
 
 // callStores calls the leader of the store group, and the other stores as well if the
 // leader fails or is unknown, until one answers or requestTimeout has passed. If
 // isWrite is set and a store may have executed a failed call, the error says that its
 // outcome is unknown.
-func (ga *Gate) callStores(ctx context.Context, method string, in, out any, isWrite bool) error {
+func (pr *Proxy) callStores(ctx context.Context, method string, in, out any, isWrite bool) error {
 	b, err := cbor.Marshal(in)
 	if err != nil {
 		return result.New(result.Internal, "jobgate: encode the request: %v", err)
@@ -165,9 +165,9 @@
 	var last error = result.New(result.NoLeader, "jobgate: the store group has no known leader").After(retryAfter)
 	mayHaveRun := false
 	for try := 0; ; try++ {
-		changed := ga.cfg.Changed()
-		if st, ok := ga.pickStore(try); ok {
-			err := ga.callStore(ctx, st, method, b, out)
+		changed := pr.cfg.Changed()
+		if st, ok := pr.pickStore(try); ok {
+			err := pr.callStore(ctx, st, method, b, out)
 			if err == nil || !canRetryElsewhere(err) {
 				return err
 			}
@@ -190,8 +190,8 @@
 
 // pickStore returns the store for a try, counted from 0: the last known leader on even
 // tries, and the stores one after another on odd ones or if no leader is known.
-func (ga *Gate) pickStore(try int) (feed.Store, bool) {
-	vi := ga.cfg.View()
+func (pr *Proxy) pickStore(try int) (feed.Store, bool) {
+	vi := pr.cfg.View()
 	if st, ok := vi.Leader(); ok && try%2 == 0 {
 		return st, true
 	}
@@ -202,7 +202,7 @@
 	return vi.Stores[(try/2)%len(vi.Stores)], true
 }
 
-func (ga *Gate) callStore(ctx context.Context, st feed.Store, method string, b []byte, out any) error {
+func (pr *Proxy) callStore(ctx context.Context, st feed.Store, method string, b []byte, out any) error {
 	limit := callTimeout
 	if method == MethodRead {
 		limit += maxReadWait
@@ -211,7 +211,7 @@
 	defer cancel()
 
 	var rep wire.Payload
-	if err := ga.cfg.Links.Call(ctx, st.Address, method, &wire.Payload{Record: b}, &rep); err != nil {
+	if err := pr.cfg.Links.Call(ctx, st.Address, method, &wire.Payload{Record: b}, &rep); err != nil {
 		return err
 	}
 	if out == nil {
--- a/internal/jobstore/jobstore.go
+++ b/internal/jobstore/jobstore.go
@@ -21,7 +21,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/feed"
 	"github.com/tamarackbay/tamarackbay/internal/group"
 	"github.com/tamarackbay/tamarackbay/internal/job"
-	"github.com/tamarackbay/tamarackbay/internal/jobgate"
+	"github.com/tamarackbay/tamarackbay/internal/jobproxy"
 	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/meter"
 	"github.com/tamarackbay/tamarackbay/internal/peer"
@@ -157,8 +157,8 @@
 	return err
 }
 
-// StopDuties transfers the leadership before the process stops.
-func (st *Store) StopDuties(ctx context.Context) { st.group.TransferLeadership(ctx) }
+// HandOver transfers the leadership before the process stops.
+func (st *Store) HandOver(ctx context.Context) { st.group.TransferLeadership(ctx) }
 
 // announceLoop announces this store to every controller, periodically and after each
 // change of its status.
@@ -208,7 +208,7 @@
 // Handlers returns the handlers for calls from other processes of this system.
 func (st *Store) Handlers() peer.Mux {
 	mux := st.group.Handlers()
-	mux[jobgate.MethodSubmit] = handle(st, func(ctx context.Context, su *job.Submit) (any, error) {
+	mux[jobproxy.MethodSubmit] = handle(st, func(ctx context.Context, su *job.Submit) (any, error) {
 		if err := st.group.ProposeLocal(ctx, machine.KindSubmitJob, su, nil); err != nil {
 			return nil, err
 		}
@@ -216,7 +216,7 @@
 
 		return nil, nil
 	})
-	mux[jobgate.MethodEnd] = handle(st, func(ctx context.Context, en *job.End) (any, error) {
+	mux[jobproxy.MethodEnd] = handle(st, func(ctx context.Context, en *job.End) (any, error) {
 		if err := st.group.ProposeLocal(ctx, machine.KindEndJob, en, nil); err != nil {
 			return nil, err
 		}
@@ -224,8 +224,8 @@
 
 		return nil, nil
 	})
-	mux[jobgate.MethodRead] = handle(st, st.read)
-	mux[jobgate.MethodBody] = handle(st, st.body)
+	mux[jobproxy.MethodRead] = handle(st, st.read)
+	mux[jobproxy.MethodBody] = handle(st, st.body)
 
 	return mux
 }
@@ -323,7 +323,7 @@
 	}
 }
 
-func (st *Store) body(ctx context.Context, rq *jobgate.BodyRequest) (any, error) {
+func (st *Store) body(ctx context.Context, rq *jobproxy.BodyRequest) (any, error) {
 	if err := st.barrier(ctx); err != nil {
 		return nil, err
 	}
--- a/internal/duty/duty.go
+++ b/internal/leasedtask/leasedtask.go
@@ -1,6 +1,6 @@
-// Package duty runs work that only the holder of a lease may do: it acquires and
+// Package leasedtask runs work that only the holder of a lease may do: it acquires and
 // renews the lease and runs the work while it is held.
-package duty
+package leasedtask
 
 import (
 	"context"
@@ -24,7 +24,7 @@
 // Held returns the fencing number of a lease, and whether an outside call may start now.
 type Held func() (fencing uint64, ok bool)
 
-// Config builds a Duty.
+// Config builds a Task.
 type Config struct {
 	Name   string // of the lease
 	Holder string
@@ -37,14 +37,14 @@
 	Wake <-chan struct{}
 	// Stopped is closed when the lease is to be released.
 	Stopped <-chan struct{}
-	// TurnPause is how long a former holder waits, once another process has held the
+	// ReacquireDelay is how long a former holder waits, once another process has held the
 	// lease, before it acquires it again. It counts from when it last held the lease.
-	TurnPause time.Duration
-	Log       log.Interface
+	ReacquireDelay time.Duration
+	Log            log.Interface
 }
 
-// Duty acquires one lease, renews it and runs the work under it.
-type Duty struct {
+// Task acquires one lease, renews it and runs the work under it.
+type Task struct {
 	cfg    Config
 	mu     sync.Mutex
 	keeper *lease.Keeper
@@ -54,32 +54,32 @@
 	wasHeld     bool // at the last call of nextAction
 }
 
-// New returns a duty that holds no lease yet.
-func New(cfg Config) *Duty {
+// New returns a task that holds no lease yet.
+func New(cfg Config) *Task {
 	nonce := func() string { return fmt.Sprintf("%016x", rand.Uint64()) }
 
-	return &Duty{cfg: cfg, keeper: lease.NewKeeper(cfg.Name, cfg.Holder, cfg.Terms, nonce)}
+	return &Task{cfg: cfg, keeper: lease.NewKeeper(cfg.Name, cfg.Holder, cfg.Terms, nonce)}
 }
 
 // Run maintains the lease and runs the work until ctx ends.
-func (du *Duty) Run(ctx context.Context) {
+func (ta *Task) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
 		for ctx.Err() == nil {
-			if _, ok := du.Held(); ok {
-				du.cfg.Work(ctx, du.Held)
+			if _, ok := ta.Held(); ok {
+				ta.cfg.Work(ctx, ta.Held)
 			}
 			select {
-			case <-du.cfg.Wake:
+			case <-ta.cfg.Wake:
 			case <-time.After(workPeriod):
 			case <-ctx.Done():
 			}
 		}
 	}()
 	for ctx.Err() == nil {
-		du.maintainLease(ctx)
+		ta.maintainLease(ctx)
 		select {
 		case <-time.After(keeperPeriod):
 		case <-ctx.Done():
@@ -89,75 +89,75 @@
 }
 
 // Held returns the fencing number, and whether an outside call may start now.
-func (du *Duty) Held() (uint64, bool) {
-	du.mu.Lock()
-	defer du.mu.Unlock()
+func (ta *Task) Held() (uint64, bool) {
+	ta.mu.Lock()
+	defer ta.mu.Unlock()
 
-	return du.keeper.Held(du.cfg.Now())
+	return ta.keeper.Held(ta.cfg.Now())
 }
 
 // nextAction passes the observed lease to the keeper and returns the action that is due.
-func (du *Duty) nextAction(le lease.Lease) (lease.Action, bool) {
-	du.mu.Lock()
-	defer du.mu.Unlock()
+func (ta *Task) nextAction(le lease.Lease) (lease.Action, bool) {
+	ta.mu.Lock()
+	defer ta.mu.Unlock()
 
 	select {
-	case <-du.cfg.Stopped:
-		du.keeper.Stop()
+	case <-ta.cfg.Stopped:
+		ta.keeper.Stop()
 	default:
 	}
-	now := du.cfg.Now()
-	du.keeper.Observe(now, le)
-	fencing, ok := du.keeper.Held(now)
+	now := ta.cfg.Now()
+	ta.keeper.Observe(now, le)
+	fencing, ok := ta.keeper.Held(now)
 	switch {
 	case ok:
-		du.lastFencing, du.lastHeldAt = fencing, now
-	case du.wasHeld:
-		du.cfg.Log.WithFields(log.Fields{"lease": du.cfg.Name, "fencing": du.lastFencing, "seenFencing": le.Fencing, "holder": le.Holder}).
+		ta.lastFencing, ta.lastHeldAt = fencing, now
+	case ta.wasHeld:
+		ta.cfg.Log.WithFields(log.Fields{"lease": ta.cfg.Name, "fencing": ta.lastFencing, "seenFencing": le.Fencing, "holder": le.Holder}).
 			Warn("lease lost")
 	}
-	du.wasHeld = ok
-	if !ok && du.lastFencing > 0 && le.Fencing > du.lastFencing && now < du.lastHeldAt+du.cfg.TurnPause {
+	ta.wasHeld = ok
+	if !ok && ta.lastFencing > 0 && le.Fencing > ta.lastFencing && now < ta.lastHeldAt+ta.cfg.ReacquireDelay {
 		return lease.Action{}, false
 	}
 
-	return du.keeper.Next(now)
+	return ta.keeper.Next(now)
 }
 
 // maintainLease observes the lease and proposes the keeper's next action.
-func (du *Duty) maintainLease(ctx context.Context) {
-	if du.cfg.Group.Fresh() != nil {
+func (ta *Task) maintainLease(ctx context.Context) {
+	if ta.cfg.Group.Fresh() != nil {
 		return // the applied state may be stale: neither observe the lease nor propose
 	}
 	var le lease.Lease
-	if !du.cfg.Group.Read(func(ma *machine.Machine) { le = ma.Leases().Get(du.cfg.Name) }) {
+	if !ta.cfg.Group.Read(func(ma *machine.Machine) { le = ma.Leases().Get(ta.cfg.Name) }) {
 		return
 	}
-	ac, ok := du.nextAction(le)
+	ac, ok := ta.nextAction(le)
 	if !ok {
 		return
 	}
 
-	cctx, cancel := context.WithTimeout(ctx, du.cfg.Terms.Duration/2)
+	cctx, cancel := context.WithTimeout(ctx, ta.cfg.Terms.Duration/2)
 	defer cancel()
 	var got lease.Lease
 	var err error
 	switch {
 	case ac.Acquire != nil:
-		err = du.cfg.Group.Propose(cctx, machine.KindAcquireLease, ac.Acquire, &got)
+		err = ta.cfg.Group.Propose(cctx, machine.KindAcquireLease, ac.Acquire, &got)
 		if err == nil {
-			du.cfg.Log.WithFields(log.Fields{"lease": du.cfg.Name, "fencing": got.Fencing}).Info("lease acquired")
+			ta.cfg.Log.WithFields(log.Fields{"lease": ta.cfg.Name, "fencing": got.Fencing}).Info("lease acquired")
 		}
 	case ac.Renew != nil:
-		err = du.cfg.Group.Propose(cctx, machine.KindRenewLease, ac.Renew, &got)
+		err = ta.cfg.Group.Propose(cctx, machine.KindRenewLease, ac.Renew, &got)
 	case ac.Release != nil:
-		if err := du.cfg.Group.Propose(cctx, machine.KindReleaseLease, ac.Release, nil); err != nil {
-			du.cfg.Log.WithError(err).WithField("lease", du.cfg.Name).Warn("lease not released, it expires")
+		if err := ta.cfg.Group.Propose(cctx, machine.KindReleaseLease, ac.Release, nil); err != nil {
+			ta.cfg.Log.WithError(err).WithField("lease", ta.cfg.Name).Warn("lease not released, it expires")
 		}
 
 		return
 	}
-	du.mu.Lock()
-	du.keeper.Answered(du.cfg.Now(), got, err)
-	du.mu.Unlock()
+	ta.mu.Lock()
+	ta.keeper.Answered(ta.cfg.Now(), got, err)
+	ta.mu.Unlock()
 }
--- a/internal/peer/coalesce.go
+++ b/internal/peer/coalesce.go
@@ -25,7 +25,7 @@
 func newCoalescer(conn net.Conn) *coalescer {
 	co := &coalescer{Conn: conn}
 	co.changed = sync.NewCond(&co.mu)
-	go co.flushDuty()
+	go co.flushLoop()
 
 	return co
 }
@@ -50,8 +50,8 @@
 	return len(b), nil
 }
 
-// flushDuty writes what is queued until the connection is closed or fails.
-func (co *coalescer) flushDuty() {
+// flushLoop writes what is queued until the connection is closed or fails.
+func (co *coalescer) flushLoop() {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 
@@ -79,7 +79,7 @@
 	}
 }
 
-// Close returns at once; flushDuty writes what is queued and then closes the connection.
+// Close returns at once; flushLoop writes what is queued and then closes the connection.
 func (co *coalescer) Close() error {
 	co.mu.Lock()
 	defer co.mu.Unlock()
--- a/internal/program/node.go
+++ b/internal/program/node.go
@@ -243,8 +243,8 @@
 	nd.edge = ed
 	nd.updateGauges = func() { ed.Measure(nd.meter) }
 	front := &platform.Front{
-		Serve: ed.Ingress().Serve, IsBatch: ed.Gate().IsBatch, Submit: ed.Gate().Submit, Read: ed.Gate().Read, Body: ed.Gate().Body,
-		End: ed.Gate().End, MaxBodyBytes: ed.MaxBodyBytes, IsReady: ed.IsReady, IsClosing: ed.IsClosing,
+		Serve: ed.Ingress().Serve, IsBatch: ed.JobProxy().IsBatch, Submit: ed.JobProxy().Submit, Read: ed.JobProxy().Read, Body: ed.JobProxy().Body,
+		End: ed.JobProxy().End, MaxBodyBytes: ed.MaxBodyBytes, IsReady: ed.IsReady, IsClosing: ed.IsClosing,
 	}
 	if err := nd.serve("readiness", nd.settings.ReadinessAddress, http.HandlerFunc(front.Ready)); err != nil {
 		return err
@@ -270,8 +270,8 @@
 		Settings: nd.settings, Controllers: nd.seeds, Files: nd.countedFiles(), Peer: nd.peerConfig(),
 		Client: platform.NewBackendClient(hc), Now: timeSinceBoot, WallMs: wallMs, Log: nd.log,
 	}
-	if nd.settings.DutiesAddress != "" {
-		cfg.ReportUsage = platform.NewDuties(nd.settings.DutiesAddress, hc).ReportUsage
+	if nd.settings.UsageAddress != "" {
+		cfg.ReportUsage = platform.NewUsageClient(nd.settings.UsageAddress, hc).ReportUsage
 	}
 	co, err := controller.New(cfg)
 	if err != nil {
@@ -287,7 +287,7 @@
 	if err := nd.serve("control", nd.settings.ControlAddress, withControlTimeout(ctl.Handler())); err != nil {
 		return err
 	}
-	nd.handOver, nd.isLeader = co.StopDuties, co.Group().IsLeader
+	nd.handOver, nd.isLeader = co.HandOver, co.Group().IsLeader
 	nd.updateGauges = func() { co.Measure(nd.meter) }
 	nd.run("controller", func() error { return co.Run(ctx) })
 
@@ -326,7 +326,7 @@
 	if err := nd.servePeers(nd.replicaPeerConfig(string(st.Group().Replica())), st.Handlers()); err != nil {
 		return err
 	}
-	nd.handOver, nd.isLeader = st.StopDuties, st.Group().IsLeader
+	nd.handOver, nd.isLeader = st.HandOver, st.Group().IsLeader
 	nd.updateGauges = func() { st.Measure(nd.meter) }
 	nd.run("store", func() error { return st.Run(ctx) })
 
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -145,7 +145,7 @@
 	time.Sleep(settings.Duration(pg.settings.Times.BalancerLagMs))
 
 	hctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
-	pg.gateway.StopDuties(hctx)
+	pg.gateway.HandOver(hctx)
 	cancel()
 
 	dctx, cancel := context.WithTimeout(context.Background(), settings.Duration(pg.settings.Times.DrainMs))
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -36,13 +36,13 @@
 	DataFolder       string   // "" if the node has no disk
 	Losses           int      // number of VMs that may be lost at the same time, with their disks
 	MemoryBytes      int64    // the process is terminated above this limit
-	DutiesAddress    string   // of the platform's interface for usage reports; "" for none
+	UsageAddress     string   // of the platform's interface for usage reports; "" for none
 
 	BeatPeriod     time.Duration // period of the heartbeats of backend servers
 	FreshnessBound time.Duration // maximum age of the replicated state at which requests are accepted; 0 for no limit
 	StopGrace      time.Duration // from the stop signal until the process is killed
 	UsageWindow    time.Duration // length of a usage window
-	TurnPause      time.Duration // how long a former lease holder must wait before it takes the lease over from its successor
+	ReacquireDelay time.Duration // how long a former lease holder must wait before it takes the lease over from its successor
 }
 
 // Voters returns the number of voters that a replica group needs to survive the loss
--- a/soak/deployment_test.go
+++ b/soak/deployment_test.go
@@ -42,7 +42,7 @@
 	processes []*process
 	servers   []*standin.BackendServer
 	behind    map[*standin.BackendServer]string // where each listens, behind the network
-	cloud     *standin.Cloud
+	cloud     *standin.UsageInterface
 	network   *network
 	caller    *standin.Caller
 	cancel    context.CancelFunc
@@ -71,7 +71,7 @@
 	}
 	de := &deployment{network: newNetwork(), behind: map[*standin.BackendServer]string{}}
 	ctx, de.cancel = context.WithCancel(ctx)
-	if de.cloud, err = standin.StartCloud(); err != nil {
+	if de.cloud, err = standin.StartUsageInterface(); err != nil {
 		return nil, err
 	}
 	de.caller = &standin.Caller{Ports: ports, Timeout: callTimeout}
--- a/soak/promises_test.go
+++ b/soak/promises_test.go
@@ -150,8 +150,8 @@
 	return pr.version, pr.ackedAt
 }
 
-// judge compares what was promised with what backend servers and the interface of
-// duties saw, after everything has come to rest.
+// judge compares what was promised with what backend servers and the usage
+// interface saw, after everything has come to rest.
 func (pr *promises) judge(de *deployment) {
 	runs := map[string]int{}
 	holders := map[uint64]string{}
