--- a/internal/agent/order.go
+++ b/internal/agent/order.go
@@ -163,7 +163,7 @@
 		return result.New(result.InvalidField, "agent %s: a plain service has no weights", ag.cfg.Server)
 	}
 
-	eo := engine.Order{ID: or.GetOrderId(), Model: or.GetModel(), Version: or.GetVersion(), Fencing: or.GetFencing(), Giver: or.GetGiver()}
+	eo := engine.Order{ID: or.GetOrderId(), Model: or.GetModel(), Version: or.GetVersion(), Fencing: or.GetFencing(), LeaseHolder: or.GetGiver()}
 	if or.GetKind() == order.KindLoad {
 		if err := ag.engine.Load(ctx, eo); err != nil {
 			return err
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -92,8 +92,8 @@
 	Swap func(ctx context.Context, address string, we *Weights) error
 	// Report requests the state of a backend server.
 	Report func(ctx context.Context, address string) (Report, error)
-	// KeepIdle returns how long an idle connection is kept open.
-	KeepIdle func() time.Duration
+	// IdleTimeout returns how long an idle connection is kept open.
+	IdleTimeout func() time.Duration
 }
 
 // HasRun reports whether a failed call may have run.
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -19,9 +19,9 @@
 	Scheduler     scheduler.Config
 	Now           func() time.Duration
 	Random        func(n int) int
-	// KeepIdle returns how long an idle connection is kept open. Idle connections
+	// IdleTimeout returns how long an idle connection is kept open. Idle connections
 	// are not tracked if it is nil.
-	KeepIdle func() time.Duration
+	IdleTimeout func() time.Duration
 }
 
 // Balancer holds the backend servers by service. It is safe for concurrent use.
@@ -148,8 +148,8 @@
 		Tokens: rq.Tokens, Gateways: 1,
 	}
 	idleTimeout := time.Duration(0)
-	if ba.cfg.KeepIdle != nil {
-		idleTimeout = ba.cfg.KeepIdle()
+	if ba.cfg.IdleTimeout != nil {
+		idleTimeout = ba.cfg.IdleTimeout()
 	}
 	for i, sv := range se.servers {
 		if now-sv.loadReportedAt > maxLoadAge {
@@ -245,7 +245,7 @@
 	now := ba.cfg.Now()
 	ca := &gr.set.cands[i]
 	ca.Mine--
-	if (oc == Succeeded || oc == Busy) && ba.cfg.KeepIdle != nil {
+	if (oc == Succeeded || oc == Busy) && ba.cfg.IdleTimeout != nil {
 		gr.server.idleSince = append(gr.server.idleSince, now)
 	}
 	ca.Tokens -= gr.tokens
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -103,7 +103,7 @@
 			cl := &cluster{now: now}
 			draws := 0
 			cl.Balancer = balance.New(balance.Config{
-				FailureDomain: "a", Now: func() time.Duration { return cl.now }, KeepIdle: func() time.Duration { return idleTimeout },
+				FailureDomain: "a", Now: func() time.Duration { return cl.now }, IdleTimeout: func() time.Duration { return idleTimeout },
 				Random: func(n int) int { draws++; return draws % n },
 			})
 			for i := range 9 {
--- a/internal/demo/check.go
+++ b/internal/demo/check.go
@@ -252,7 +252,7 @@
 	starts := map[string]bool{}
 	for _, r := range dr.de.Ordering.Records() {
 		if r.Fencing < top {
-			return fmt.Errorf("order %s from %s has fencing number %d after %d", r.ID, r.Giver, r.Fencing, top)
+			return fmt.Errorf("order %s from %s has fencing number %d after %d", r.ID, r.LeaseHolder, r.Fencing, top)
 		}
 		top = r.Fencing
 		starts[r.ID] = true
@@ -261,7 +261,7 @@
 		top = 0
 		for _, o := range en.Orders() {
 			if o.Taken && o.Fencing < top {
-				return fmt.Errorf("engine order %s from %s was accepted with fencing number %d after %d", o.ID, o.Giver, o.Fencing, top)
+				return fmt.Errorf("engine order %s from %s was accepted with fencing number %d after %d", o.ID, o.LeaseHolder, o.Fencing, top)
 			}
 			top = max(top, o.Fencing)
 		}
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -151,15 +151,15 @@
 		se.FailureDomain = domains[i%len(domains)]
 		se.DataFolder = filepath.Join(de.cfg.Folder, se.Name)
 		se.Operators = []settings.Operator{{Name: "demo", TokenHash: declaration.HashSecret(OperatorToken)}}
-		se.Outside = settings.Outside{WeightStore: de.Store.Address()}
+		se.ExternalServices = settings.ExternalServices{WeightStore: de.Store.Address()}
 		if !de.cfg.NoScorer {
-			se.Outside.Scorer = de.Scorer.Address()
+			se.ExternalServices.Scorer = de.Scorer.Address()
 		}
 		if !de.cfg.NoOrdering {
-			se.Outside.Ordering = de.Ordering.Address()
+			se.ExternalServices.Ordering = de.Ordering.Address()
 		}
 		if !de.cfg.NoUsage {
-			se.Outside.Usage = de.Usage.Address()
+			se.ExternalServices.Usage = de.Usage.Address()
 		}
 		se.Times.BalancerLagMs = 100
 		fos = append(fos, settings.Founder{Name: se.Name, Address: se.PeerAddress})
--- a/internal/dialer/dialer.go
+++ b/internal/dialer/dialer.go
@@ -17,9 +17,9 @@
 
 // Config configures a dialer.
 type Config struct {
-	Bind    string        // local IP number to dial from, "" for any
-	Timeout time.Duration // for opening a connection
-	Silence time.Duration // a connection is cut if the peer acknowledges nothing for this long; 0 for the kernel's limit
+	Bind       string        // local IP number to dial from, "" for any
+	Timeout    time.Duration // for opening a connection
+	AckTimeout time.Duration // a connection is cut if the peer acknowledges nothing for this long; 0 for the kernel's limit
 }
 
 // New returns a dialer of TCP connections.
@@ -28,10 +28,10 @@
 	if cfg.Bind != "" {
 		nd.LocalAddr = &net.TCPAddr{IP: net.ParseIP(cfg.Bind)}
 	}
-	if cfg.Silence > 0 {
+	if cfg.AckTimeout > 0 {
 		nd.KeepAliveConfig = keepAlive()
 		nd.ControlContext = func(_ context.Context, _, _ string, rc syscall.RawConn) error {
-			return setUserTimeout(rc, cfg.Silence)
+			return setUserTimeout(rc, cfg.AckTimeout)
 		}
 	}
 
--- a/internal/endtoend/drain_test.go
+++ b/internal/endtoend/drain_test.go
@@ -156,14 +156,14 @@
 // checkGivers looks for two processes that gave orders in turns.
 func (st *stage) checkGivers() {
 	var top uint64
-	giver := map[uint64]string{}
+	holder := map[uint64]string{}
 	for _, r := range st.Ordering.Records() {
 		Expect(r.Fencing).To(BeNumerically(">=", top), "an order of an earlier holder: %+v", r)
 		top = r.Fencing
-		if g, ok := giver[r.Fencing]; ok {
-			Expect(r.Giver).To(Equal(g))
+		if g, ok := holder[r.Fencing]; ok {
+			Expect(r.LeaseHolder).To(Equal(g))
 		}
-		giver[r.Fencing] = r.Giver
+		holder[r.Fencing] = r.LeaseHolder
 	}
 	top = 0
 	for _, r := range st.Usage.Records() {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -129,7 +129,7 @@
 		return httpcall.Failure("engine: stream", err)
 	}
 
-	return result.New(result.BackendCrashed, "engine: the stream ended before its end mark").With(result.Unknown)
+	return result.New(result.BackendCrashed, "engine: the stream ended before its end mark").With(result.ExecutionUnknown)
 }
 
 func decodeChunk(data, id string) (Chunk, error) {
@@ -151,7 +151,7 @@
 }
 
 func brokenAnswer(what string) *result.Error {
-	return result.New(result.BackendAnswerBroken, "engine: %s", what).With(result.Unknown)
+	return result.New(result.BackendAnswerBroken, "engine: %s", what).With(result.ExecutionUnknown)
 }
 
 // Status is the status that an engine reports.
@@ -179,11 +179,11 @@
 // Order is an order to load or activate weights. An engine that checks fencing
 // numbers refuses an order whose number is lower than the highest it has seen.
 type Order struct {
-	ID      string `json:"order_id"`
-	Model   string `json:"model"`
-	Version string `json:"version"`
-	Fencing uint64 `json:"fencing"`
-	Giver   string `json:"giver"`
+	ID          string `json:"order_id"`
+	Model       string `json:"model"`
+	Version     string `json:"version"`
+	Fencing     uint64 `json:"fencing"`
+	LeaseHolder string `json:"giver"`
 }
 
 // Load makes the engine fetch weights while it keeps serving the current ones.
@@ -207,7 +207,7 @@
 		return result.New(result.FencingTooLow, "engine: order %s: %v", or.ID, err)
 	}
 
-	return result.New(result.SwapFailed, "engine: order %s: %v", or.ID, err).With(result.Unknown)
+	return result.New(result.SwapFailed, "engine: order %s: %v", or.ID, err).With(result.ExecutionUnknown)
 }
 
 // CacheEvent reports that a prefix was added to or evicted from the engine's prefix
--- a/internal/fake/engine.go
+++ b/internal/fake/engine.go
@@ -46,13 +46,13 @@
 
 // GivenOrder records an order to load or activate a weight version.
 type GivenOrder struct {
-	ID      string
-	Kind    string
-	Version string
-	Giver   string
-	Fencing uint64
-	At      time.Time
-	Taken   bool // false if refused because of its fencing number
+	ID          string
+	Kind        string
+	Version     string
+	LeaseHolder string
+	Fencing     uint64
+	At          time.Time
+	Taken       bool // false if refused because of its fencing number
 }
 
 // Engine is a stand-in for a model engine. The text of each token contains the weight
@@ -332,10 +332,10 @@
 }
 
 type orderBody struct {
-	ID      string `json:"order_id"`
-	Version string `json:"version"`
-	Fencing uint64 `json:"fencing"`
-	Giver   string `json:"giver"`
+	ID          string `json:"order_id"`
+	Version     string `json:"version"`
+	Fencing     uint64 `json:"fencing"`
+	LeaseHolder string `json:"giver"`
 }
 
 func (en *Engine) handleOrder(w http.ResponseWriter, r *http.Request, kind string) {
@@ -344,7 +344,7 @@
 		return
 	}
 
-	given := GivenOrder{ID: or.ID, Kind: kind, Version: or.Version, Giver: or.Giver, Fencing: or.Fencing, At: time.Now()}
+	given := GivenOrder{ID: or.ID, Kind: kind, Version: or.Version, LeaseHolder: or.LeaseHolder, Fencing: or.Fencing, At: time.Now()}
 	en.mu.Lock()
 	if en.cfg.ChecksFencing && or.Fencing < en.highestFencing {
 		en.orders = append(en.orders, given)
--- a/internal/fake/platform.go
+++ b/internal/fake/platform.go
@@ -100,7 +100,7 @@
 	FailureDomain string    `json:"failureDomain"`
 	Server        string    `json:"server"`
 	Fencing       uint64    `json:"fencing"`
-	Giver         string    `json:"giver"`
+	LeaseHolder   string    `json:"giver"`
 	At            time.Time `json:"-"`
 	Repeated      bool      `json:"-"`
 }
@@ -269,11 +269,11 @@
 
 // ReportRecord records one call to the usage interface.
 type ReportRecord struct {
-	Window  uint64
-	Body    string
-	Giver   string
-	Fencing uint64
-	At      time.Time
+	Window      uint64
+	Body        string
+	LeaseHolder string
+	Fencing     uint64
+	At          time.Time
 }
 
 // UsageSink is a stand-in for the interface that receives usage reports.
@@ -308,7 +308,7 @@
 	us.mu.Lock()
 	down := us.isDown
 	if !down {
-		us.records = append(us.records, ReportRecord{Window: window, Body: string(b), Giver: r.Header.Get("X-Giver"), Fencing: fencing, At: time.Now()})
+		us.records = append(us.records, ReportRecord{Window: window, Body: string(b), LeaseHolder: r.Header.Get("X-Giver"), Fencing: fencing, At: time.Now()})
 	}
 	drop := us.answersToDrop > 0
 	if drop {
--- a/internal/gateway/complete.go
+++ b/internal/gateway/complete.go
@@ -23,8 +23,8 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// Completion is a request to generate text with a model.
-type Completion struct {
+// CompletionRequest is a request to generate text with a model.
+type CompletionRequest struct {
 	Workspace   string
 	Route       string
 	Model       string
@@ -38,11 +38,11 @@
 	MinSequence uint64 // oldest weight version allowed, by sequence number
 	IsSample    bool
 	Exclude     []string            // backend servers to avoid
-	Placed      func(server string) // called at the start of each attempt; may be nil
+	OnAttempt   func(server string) // called at the start of each attempt; may be nil
 }
 
-// Written is the result of a completion.
-type Written struct {
+// CompletionResult is the result of a completion.
+type CompletionResult struct {
 	RequestID    string
 	Text         string
 	Finish       string
@@ -54,7 +54,7 @@
 }
 
 // Complete runs a completion. It calls onPart, if not nil, for each part as it arrives.
-func (ga *Gateway) Complete(ctx context.Context, co Completion, onPart func(requestID string, part *wire.RunChunk) error) (*Written, error) {
+func (ga *Gateway) Complete(ctx context.Context, co CompletionRequest, onPart func(requestID string, part *wire.RunChunk) error) (*CompletionResult, error) {
 	po := ga.poolOf(co.Model)
 	leave, err := ga.admit(co.Workspace, po.Gateways())
 	if err != nil {
@@ -67,18 +67,18 @@
 
 // completeSample runs a sample of a step. It bypasses the workspace's rate limit,
 // because the step was admitted as one unit.
-func (ga *Gateway) completeSample(ctx context.Context, sa rollout.Attempt) (*rollout.Written, error) {
-	w, err := ga.complete(ctx, ga.poolOf(sa.Model), Completion{
+func (ga *Gateway) completeSample(ctx context.Context, sa rollout.SampleRequest) (*rollout.SampleResult, error) {
+	w, err := ga.complete(ctx, ga.poolOf(sa.Model), CompletionRequest{
 		Workspace: sa.Workspace, Route: "rollout", Model: sa.Model, Prompt: sa.Prompt, MaxTokens: sa.MaxTokens,
 		Temperature: sa.Temperature, Seed: sa.Seed, Class: declaration.ClassRollout, Retries: sa.Retries,
 		Timeout: sa.Timeout, MinSequence: sa.MinSequence, IsSample: true, Exclude: sa.Exclude,
-		Placed: sa.Placed,
+		OnAttempt: sa.OnPlaced,
 	}, nil)
 	if err != nil {
 		return nil, err
 	}
 
-	return &rollout.Written{
+	return &rollout.SampleResult{
 		Text: w.Text, Finish: w.Finish, Tokens: w.Tokens, PromptTokens: w.PromptTokens, Versions: w.Versions,
 		Server: w.Server, RequestID: w.RequestID,
 	}, nil
@@ -90,20 +90,20 @@
 // completionRun is the state of one completion across its attempts.
 type completionRun struct {
 	placement
-	co     Completion
+	co     CompletionRequest
 	onPart func(requestID string, part *wire.RunChunk) error
 
 	text            strings.Builder
-	output          Written
-	beforeAttempt   Written  // output of earlier attempts
-	mixedVersions   []string // weight versions, any of which may have generated this attempt's parts
-	versionsAssumed bool     // the engine did not report the weight versions of this attempt's parts
+	output          CompletionResult
+	beforeAttempt   CompletionResult // output of earlier attempts
+	mixedVersions   []string         // weight versions, any of which may have generated this attempt's parts
+	versionsAssumed bool             // the engine did not report the weight versions of this attempt's parts
 }
 
 // unknownVersion marks parts whose weight version cannot be determined.
 const unknownVersion = "unknown"
 
-func (ga *Gateway) complete(ctx context.Context, po *pool.Pool, co Completion, onPart func(string, *wire.RunChunk) error) (*Written, error) {
+func (ga *Gateway) complete(ctx context.Context, po *pool.Pool, co CompletionRequest, onPart func(string, *wire.RunChunk) error) (*CompletionResult, error) {
 	ctx, cancel, deadline := ga.deadline(ctx, co.Timeout)
 	defer cancel()
 
@@ -249,8 +249,8 @@
 	rn.output.Server, rn.mixedVersions, rn.versionsAssumed = gr.Server().Name(), nil, false
 	rn.beforeAttempt = rn.output
 	rn.beforeAttempt.Text, rn.beforeAttempt.Versions = rn.text.String(), slices.Clone(rn.output.Versions)
-	if rn.co.Placed != nil {
-		rn.co.Placed(rn.output.Server)
+	if rn.co.OnAttempt != nil {
+		rn.co.OnAttempt(rn.output.Server)
 	}
 	for {
 		var part wire.RunChunk
@@ -293,7 +293,7 @@
 		return nil
 	}
 	if err := rn.onPart(rn.id, part); err != nil {
-		return result.New(result.DeadlinePassed, "the caller disconnected: %v", err).With(result.Unknown)
+		return result.New(result.DeadlinePassed, "the caller disconnected: %v", err).With(result.ExecutionUnknown)
 	}
 
 	return nil
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -94,7 +94,7 @@
 	defer cancel()
 	an, err := ft.ga.ordering.Send(cctx, ordering.Order{
 		ID: in.ID, Action: action, Class: in.Class, FailureDomain: in.FailureDomain, Server: in.Server,
-		Fencing: ft.fencing, Giver: ft.ga.leaseHolder(),
+		Fencing: ft.fencing, LeaseHolder: ft.ga.leaseHolder(),
 	})
 	if err != nil {
 		ft.ga.cfg.Meter.Count("ordering.failed")
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -203,7 +203,7 @@
 		err := recv(&part)
 		if errors.Is(err, io.EOF) {
 			if head.GetStatus() == 0 {
-				return result.New(result.BackendAnswerBroken, "the backend server's answer ended without a status").With(result.Unknown)
+				return result.New(result.BackendAnswerBroken, "the backend server's answer ended without a status").With(result.ExecutionUnknown)
 			}
 			f.forwardHead(&head)
 
@@ -219,7 +219,7 @@
 		}
 		f.forwardHead(&head)
 		if err := f.rep.Body(part.GetBody()); err != nil {
-			return result.New(result.DeadlinePassed, "the caller disconnected: %v", err).With(result.Unknown)
+			return result.New(result.DeadlinePassed, "the caller disconnected: %v", err).With(result.ExecutionUnknown)
 		}
 	}
 }
@@ -296,10 +296,10 @@
 	}
 	if f.ga.isCallRunning(ctx, re) {
 		return result.New(result.CallInFlight, "the first request with this idempotency key is still running").
-			With(result.Unknown).After(time.Second)
+			With(result.ExecutionUnknown).After(time.Second)
 	}
 
-	return result.New(result.CallOutcomeUnknown, "the first request with this idempotency key may have run; its outcome is unknown").With(result.Unknown)
+	return result.New(result.CallOutcomeUnknown, "the first request with this idempotency key may have run; its outcome is unknown").With(result.ExecutionUnknown)
 }
 
 // recorder buffers an answer until it is committed. An answer larger than
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -130,7 +130,7 @@
 }
 
 func (ga *Gateway) createPlatformClients() {
-	ou, bind := ga.cfg.Settings.Outside, ga.cfg.PeerConfig.Bind
+	ou, bind := ga.cfg.Settings.ExternalServices, ga.cfg.PeerConfig.Bind
 	if ou.WeightStore != "" {
 		ga.weightStore = weightstore.New(ou.WeightStore, bind)
 	}
@@ -149,8 +149,8 @@
 		Latest: ga.latestSequence, Now: ga.now, NoHedging: se.Policy.NoHedging, NoSpread: se.Policy.NoSpread, Meter: ga.cfg.Meter, Log: ga.cfg.Log,
 		FailureDomain: se.FailureDomain,
 	}
-	if se.Outside.Scorer != "" {
-		rc.Score = scorer.New(se.Outside.Scorer, ga.cfg.PeerConfig.Bind).Score
+	if se.ExternalServices.Scorer != "" {
+		rc.Score = scorer.New(se.ExternalServices.Scorer, ga.cfg.PeerConfig.Bind).Score
 	}
 
 	return rc
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -81,10 +81,10 @@
 // end if ctx has ended, otherwise err.
 func receiveError(ctx context.Context, err error) error {
 	if er := cancelCause(ctx); er != nil {
-		return er.With(result.Unknown)
+		return er.With(result.ExecutionUnknown)
 	}
 	if ctx.Err() != nil {
-		return result.New(result.DeadlinePassed, "the deadline passed while the request ran").With(result.Unknown)
+		return result.New(result.DeadlinePassed, "the deadline passed while the request ran").With(result.ExecutionUnknown)
 	}
 
 	return err
--- a/internal/group/propose.go
+++ b/internal/group/propose.go
@@ -106,14 +106,14 @@
 		select {
 		case <-time.After(retryMin + rand.N(retryMax-retryMin)):
 		case <-ctx.Done():
-			return result.New(result.GroupTimeout, "group: the command was not confirmed in time: %v", err).With(result.Unknown)
+			return result.New(result.GroupTimeout, "group: the command was not confirmed in time: %v", err).With(result.ExecutionUnknown)
 		}
 	}
 }
 
 // ProposeLocal commits a command if this replica is the leader, and otherwise returns an
 // error at once. If the command may still be committed after a failure, the execution of
-// the error is Unknown.
+// the error is ExecutionUnknown.
 func (gr *Group) ProposeLocal(ctx context.Context, kind machine.Kind, body, out any) error {
 	command, err := machine.Encode(kind, body)
 	if err != nil {
--- a/internal/handlers/completion.go
+++ b/internal/handlers/completion.go
@@ -94,9 +94,9 @@
 	writeJSON(w, http.StatusOK, completeReply(wr, co.Model, isChat))
 }
 
-func (ca *Callers) parseCompletion(w http.ResponseWriter, r *http.Request, cl gateway.Caller, isChat bool) (completionRequest, gateway.Completion, error) {
+func (ca *Callers) parseCompletion(w http.ResponseWriter, r *http.Request, cl gateway.Caller, isChat bool) (completionRequest, gateway.CompletionRequest, error) {
 	var rq completionRequest
-	var co gateway.Completion
+	var co gateway.CompletionRequest
 	b, err := readBody(w, r, maxCompletionBodyBytes, ca.bodyTimeout())
 	if err != nil {
 		return rq, co, err
@@ -130,7 +130,7 @@
 	}
 	timeout, err := callerTimeout(r, ro.Timeout())
 
-	return rq, gateway.Completion{
+	return rq, gateway.CompletionRequest{
 		Workspace: cl.Workspace, Route: name, Model: rq.Model, Prompt: rq.Prompt, MaxTokens: rq.MaxTokens,
 		Temperature: rq.Temperature, Seed: rq.Seed, Class: ro.Class, Retries: ro.Retries, Timeout: timeout,
 	}, err
@@ -160,7 +160,7 @@
 	return "text_completion"
 }
 
-func completeReply(wr *gateway.Written, model string, isChat bool) completionReply {
+func completeReply(wr *gateway.CompletionResult, model string, isChat bool) completionReply {
 	ch := completionChoice{FinishReason: &wr.Finish}
 	if isChat {
 		ch.Message = &chatMessage{Role: "assistant", Content: wr.Text}
@@ -174,7 +174,7 @@
 	}
 }
 
-func usageOf(wr *gateway.Written) *completionUsage {
+func usageOf(wr *gateway.CompletionResult) *completionUsage {
 	return &completionUsage{
 		PromptTokens: wr.PromptTokens, CompletionTokens: wr.Tokens, TotalTokens: wr.PromptTokens + wr.Tokens,
 	}
@@ -182,7 +182,7 @@
 
 // streamCompletion forwards each part as it arrives. An error after the first part is
 // sent as an event, without the end mark [DONE].
-func (ca *Callers) streamCompletion(w http.ResponseWriter, r *http.Request, co gateway.Completion, isChat bool) {
+func (ca *Callers) streamCompletion(w http.ResponseWriter, r *http.Request, co gateway.CompletionRequest, isChat bool) {
 	started := false
 	send := func(v any) error {
 		b, err := json.Marshal(v)
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -34,7 +34,7 @@
 	KeepAlive   bool          // whether connections are reused
 	Idle        time.Duration // how long an idle connection is kept open
 	DialTimeout time.Duration
-	Silence     time.Duration // a connection is cut if the peer acknowledges nothing for this long; 0 for the kernel's limit
+	AckTimeout  time.Duration // a connection is cut if the peer acknowledges nothing for this long; 0 for the kernel's limit
 }
 
 // Defaults sets the default values of Idle and DialTimeout where they are zero.
@@ -50,7 +50,7 @@
 // New returns a client that follows no redirects.
 func New(cfg Config) *http.Client {
 	cfg.Defaults()
-	nd := dialer.New(dialer.Config{Bind: cfg.Bind, Timeout: cfg.DialTimeout, Silence: cfg.Silence})
+	nd := dialer.New(dialer.Config{Bind: cfg.Bind, Timeout: cfg.DialTimeout, AckTimeout: cfg.AckTimeout})
 
 	return &http.Client{
 		Transport: &http.Transport{
@@ -76,18 +76,18 @@
 	serverIdle time.Duration // shortest keep-alive time that a server announced, 0 before the first
 }
 
-// NewLearning returns a client that starts with the idle time of cfg and then adapts
+// NewAdaptive returns a client that starts with the idle time of cfg and then adapts
 // it to the shortest keep-alive time that a server announces.
-func NewLearning(cfg Config) *http.Client {
+func NewAdaptive(cfg Config) *http.Client {
 	hc := New(cfg)
 	hc.Transport = &adaptiveTransport{cfg: cfg, transport: hc.Transport}
 
 	return hc
 }
 
-// KeepIdle returns how long a client of NewLearning currently keeps an idle
+// IdleTimeout returns how long a client of NewAdaptive currently keeps an idle
 // connection, or 0 for any other client.
-func KeepIdle(hc *http.Client) time.Duration {
+func IdleTimeout(hc *http.Client) time.Duration {
 	at, ok := hc.Transport.(*adaptiveTransport)
 	if !ok {
 		return 0
@@ -164,12 +164,12 @@
 	case errors.As(err, &op) && op.Op == "dial":
 		return result.New(result.BackendUnreachable, "%s: %v", what, err)
 	case errors.Is(err, context.DeadlineExceeded):
-		return result.New(result.BackendTimeout, "%s: %v", what, err).With(result.Unknown)
+		return result.New(result.BackendTimeout, "%s: %v", what, err).With(result.ExecutionUnknown)
 	case errors.Is(err, context.Canceled):
-		return result.New(result.DeadlinePassed, "%s: the caller canceled the request", what).With(result.Unknown)
+		return result.New(result.DeadlinePassed, "%s: the caller canceled the request", what).With(result.ExecutionUnknown)
 	}
 
-	return result.New(result.BackendCrashed, "%s: %v", what, err).With(result.Unknown)
+	return result.New(result.BackendCrashed, "%s: %v", what, err).With(result.ExecutionUnknown)
 }
 
 // Refusal returns the numbered error of an answer with an error status. It includes
@@ -213,7 +213,7 @@
 		return rs.StatusCode, nil
 	}
 	if err := json.NewDecoder(io.LimitReader(rs.Body, maxAnswerBytes)).Decode(out); err != nil {
-		return rs.StatusCode, result.New(result.BackendAnswerBroken, "%s: %v", what, err).With(result.Unknown)
+		return rs.StatusCode, result.New(result.BackendAnswerBroken, "%s: %v", what, err).With(result.ExecutionUnknown)
 	}
 
 	return rs.StatusCode, nil
--- a/internal/httpcall/httpcall_test.go
+++ b/internal/httpcall/httpcall_test.go
@@ -33,7 +33,7 @@
 		}
 		sv.Start()
 		defer sv.Close()
-		cl := httpcall.NewLearning(httpcall.Config{KeepAlive: true, Idle: 20 * time.Millisecond})
+		cl := httpcall.NewAdaptive(httpcall.Config{KeepAlive: true, Idle: 20 * time.Millisecond})
 		get := func() {
 			rs, err := cl.Get(sv.URL)
 			Expect(err).NotTo(HaveOccurred())
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -332,7 +332,7 @@
 
 	er := result.From(rs.lastErr)
 	if rs.mayHaveRun {
-		return er.With(result.Unknown)
+		return er.With(result.ExecutionUnknown)
 	}
 
 	return er.With(result.NotRun)
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -45,13 +45,13 @@
 }
 
 func cutConnection(context.Context, *backend.Call) (*backend.Answer, error) {
-	return nil, result.New(result.BackendCrashed, "cut").With(result.Unknown)
+	return nil, result.New(result.BackendCrashed, "cut").With(result.ExecutionUnknown)
 }
 
 func noAnswer(ctx context.Context, _ *backend.Call) (*backend.Answer, error) {
 	<-ctx.Done()
 
-	return nil, result.New(result.BackendTimeout, "silent").With(result.Unknown)
+	return nil, result.New(result.BackendTimeout, "silent").With(result.ExecutionUnknown)
 }
 
 type brokenBody struct{ io.Reader }
@@ -139,11 +139,11 @@
 		{"does not count an unreachable backend server as an attempt", routing.Repeatable, 1, []reply{refusedConnection, refusedConnection, ok}, 200, 0, 3},
 		{"is sent to another backend server when the first reports that it has not run", routing.AtMostOnce, 3, []reply{notRun, ok}, 200, 0, 2},
 		{"is repeated after a cut connection if it is repeatable", routing.Repeatable, 3, []reply{cutConnection, ok}, 200, 0, 2},
-		{"is never repeated after a cut connection if it is not repeatable", routing.AtMostOnce, 3, []reply{cutConnection, ok}, 0, result.Unknown, 1},
+		{"is never repeated after a cut connection if it is not repeatable", routing.AtMostOnce, 3, []reply{cutConnection, ok}, 0, result.ExecutionUnknown, 1},
 		{"is repeated after a truncated answer if it is repeatable", routing.Repeatable, 3, []reply{truncated, ok}, 200, 0, 2},
-		{"is not repeated after a truncated answer if it is not repeatable", routing.AtMostOnce, 3, []reply{truncated, ok}, 0, result.Unknown, 1},
+		{"is not repeated after a truncated answer if it is not repeatable", routing.AtMostOnce, 3, []reply{truncated, ok}, 0, result.ExecutionUnknown, 1},
 		{"is sent to another backend server when the first does not answer in time", routing.Repeatable, 3, []reply{noAnswer, ok}, 200, 0, 2},
-		{"is sent to no more backend servers than the route's MaxAttempts", routing.Repeatable, 2, []reply{cutConnection}, 0, result.Unknown, 2},
+		{"is sent to no more backend servers than the route's MaxAttempts", routing.Repeatable, 2, []reply{cutConnection}, 0, result.ExecutionUnknown, 2},
 		{"is refused as not run when no backend server ran it", routing.Repeatable, 3, []reply{notRun}, 0, result.NotRun, 3},
 		{"is answered with a backend server's failure when all attempts fail", routing.Repeatable, 2, []reply{complete(500, "no")}, 500, 0, 2},
 		{"is answered with the first failure if it is not repeatable", routing.AtMostOnce, 3, []reply{complete(500, "no"), ok}, 500, 0, 1},
--- a/internal/ingress/stream_test.go
+++ b/internal/ingress/stream_test.go
@@ -68,7 +68,7 @@
 		{"resumes on another backend server after the last forwarded event", true, []reply{streamUntil(3), streamUntil(0)}, all, true, 0, 2},
 		{"is cut, and never continued from another run, if it is not resumable", false, []reply{streamUntil(3), streamUntil(0)}, all[:3], false, result.Ran, 1},
 		{"is sent to another backend server when the first has not run it", false, []reply{notRun, refusedConnection, streamUntil(0)}, all, true, 0, 3},
-		{"is not repeated after a cut connection before its first event", false, []reply{cutConnection, streamUntil(0)}, nil, false, result.Unknown, 1},
+		{"is not repeated after a cut connection before its first event", false, []reply{cutConnection, streamUntil(0)}, nil, false, result.ExecutionUnknown, 1},
 		{"is refused as not run when no backend server ran it", true, []reply{notRun}, nil, false, result.NotRun, 3},
 	} {
 		ginkgo.It(tc.name, func() {
--- a/internal/jobproxy/jobproxy.go
+++ b/internal/jobproxy/jobproxy.go
@@ -180,7 +180,7 @@
 		case <-ctx.Done():
 			er := result.From(last)
 			if isWrite && mayHaveRun {
-				return er.With(result.Unknown)
+				return er.With(result.ExecutionUnknown)
 			}
 
 			return er.With(result.NotRun).After(retryAfter)
--- a/internal/ordering/ordering.go
+++ b/internal/ordering/ordering.go
@@ -37,7 +37,7 @@
 	FailureDomain string `json:"failureDomain"`
 	Server        string `json:"server,omitempty"` // the backend server to stop
 	Fencing       uint64 `json:"fencing"`
-	Giver         string `json:"giver"`
+	LeaseHolder   string `json:"giver"`
 }
 
 // Answer is the interface's answer to an order.
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -26,12 +26,12 @@
 
 // Config describes this process's end of sessions.
 type Config struct {
-	Hello     *wire.Hello
-	Mux       Mux
-	Bind      string // local IP number to dial from, "" for any
-	ServerTLS *tls.Config
-	ClientTLS *tls.Config
-	Silence   time.Duration // a session whose peer acknowledges nothing for so long is ended; 0 leaves that to the yamux keep-alive
+	Hello      *wire.Hello
+	Mux        Mux
+	Bind       string // local IP number to dial from, "" for any
+	ServerTLS  *tls.Config
+	ClientTLS  *tls.Config
+	AckTimeout time.Duration // a session whose peer acknowledges nothing for so long is ended; 0 leaves that to the yamux keep-alive
 	// DialTimeout bounds the opening of a session; 0 means dialTimeout. The first packet to
 	// a VM that is just starting is lost, and TCP repeats it only after a second.
 	DialTimeout time.Duration
@@ -60,7 +60,7 @@
 
 // Listen listens on an address, an IP number with a port.
 func Listen(address string, cfg Config) (*Listener, error) {
-	ln, err := dialer.Listen(address, cfg.Silence)
+	ln, err := dialer.Listen(address, cfg.AckTimeout)
 	if err != nil {
 		return nil, result.New(result.AddressInUse, "peer: listen on %s: %v", address, err)
 	}
@@ -200,7 +200,7 @@
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 
-	nd := dialer.New(dialer.Config{Bind: cfg.Bind, Timeout: limit, Silence: cfg.Silence})
+	nd := dialer.New(dialer.Config{Bind: cfg.Bind, Timeout: limit, AckTimeout: cfg.AckTimeout})
 	conn, err := nd.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, result.New(result.BackendUnreachable, "peer: dial %s: %v", address, err)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -101,7 +101,7 @@
 		li.Close()
 		err = st.Recv(&wire.Empty{})
 		Expect(result.Is(err, result.StreamCut)).To(BeTrue(), "%v", err)
-		Expect(result.From(err).Execution).To(Equal(result.Unknown))
+		Expect(result.From(err).Execution).To(Equal(result.ExecutionUnknown))
 	})
 
 	It("does not let a late close or cancel of one call affect the next one", func() {
--- a/internal/program/node.go
+++ b/internal/program/node.go
@@ -176,7 +176,7 @@
 // peerConfig returns the configuration of sessions with other own processes.
 func (nd *Node) peerConfig() peer.Config {
 	return peer.Config{
-		Bind: nd.settings.BindIP, Silence: ackTimeout, DialTimeout: sessionDialTimeout, Log: nd.log,
+		Bind: nd.settings.BindIP, AckTimeout: ackTimeout, DialTimeout: sessionDialTimeout, Log: nd.log,
 		Hello: &wire.Hello{
 			Name: nd.settings.Name, Role: nd.role, FailureDomain: nd.settings.FailureDomain, Address: nd.settings.PeerAddress,
 			Protocol: peer.ProtocolVersion,
@@ -202,8 +202,8 @@
 
 // httpClient returns the HTTP client for backend servers.
 func (nd *Node) httpClient() *http.Client {
-	return httpcall.NewLearning(httpcall.Config{
-		Bind: nd.settings.BindIP, KeepAlive: true, Silence: ackTimeout, Idle: backendIdleTimeout, DialTimeout: backendDialTimeout,
+	return httpcall.NewAdaptive(httpcall.Config{
+		Bind: nd.settings.BindIP, KeepAlive: true, AckTimeout: ackTimeout, Idle: backendIdleTimeout, DialTimeout: backendDialTimeout,
 	})
 }
 
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -18,16 +18,16 @@
 // request that has not run may be sent again without running twice.
 type Execution uint32
 
-// Executions of a request. Unknown means that the request may have run.
+// Executions of a request. ExecutionUnknown means that the request may have run.
 const (
 	NotRun Execution = iota
 	Ran
-	Unknown
+	ExecutionUnknown
 )
 
 // String returns the execution as it appears in answers.
 func (ex Execution) String() string {
-	return [...]string{"notRun", "ran", "unknown"}[min(ex, Unknown)]
+	return [...]string{"notRun", "ran", "unknown"}[min(ex, ExecutionUnknown)]
 }
 
 // Result codes: 1xxx request, 2xxx identity, 3xxx capacity, 4xxx backend servers,
@@ -238,14 +238,14 @@
 }
 
 // From returns the Error that err wraps. Any other error becomes Internal, with the
-// execution Unknown.
+// execution ExecutionUnknown.
 func From(err error) *Error {
 	var er *Error
 	if errors.As(err, &er) {
 		return er
 	}
 
-	return New(Internal, "%v", err).With(Unknown)
+	return New(Internal, "%v", err).With(ExecutionUnknown)
 }
 
 // Is reports whether err carries code.
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -13,7 +13,7 @@
 func half() float64 { return 0.5 }
 
 var _ = Describe("a budget", func() {
-	crashed := result.New(result.BackendCrashed, "x").With(result.Unknown)
+	crashed := result.New(result.BackendCrashed, "x").With(result.ExecutionUnknown)
 	cases := []struct {
 		name   string
 		at     retry.Attempt
@@ -51,6 +51,6 @@
 		Expect(float64(first+retries) / float64(first)).To(BeNumerically("<=", 1.11))
 		de := bu.Decide(retry.Attempt{Key: "k", Number: 1, MaxRetries: 5, IsRepeatable: true, Err: crashed})
 		Expect(de.Err.Code).To(Equal(result.RetryBudgetSpent))
-		Expect(de.Err.Execution).To(Equal(result.Unknown), "the error still says that the request may have run")
+		Expect(de.Err.Execution).To(Equal(result.ExecutionUnknown), "the error still says that the request may have run")
 	})
 })
--- a/internal/rollout/driver.go
+++ b/internal/rollout/driver.go
@@ -23,7 +23,7 @@
 	Identity      string // peer address and process instance, joined by |
 	FailureDomain string
 	Group         *group.Group
-	Complete      func(ctx context.Context, at Attempt) (*Written, error)                   // runs an attempt through this gateway
+	Complete      func(ctx context.Context, at SampleRequest) (*SampleResult, error)        // runs an attempt through this gateway
 	Score         func(ctx context.Context, sampleID, prompt, text string) (float64, error) // nil without a scorer
 	Latest        func(model string) uint64                                                 // sequence of the newest weight version
 	Now           func() time.Duration                                                      // monotonic, since the start of the process
--- a/internal/rollout/sample.go
+++ b/internal/rollout/sample.go
@@ -32,8 +32,8 @@
 	return append(rs, VersionRange{Version: version, From: from, To: to})
 }
 
-// Attempt is a request to generate the text of one sample.
-type Attempt struct {
+// SampleRequest is a request to generate the text of one sample.
+type SampleRequest struct {
 	Workspace   string
 	Model       string
 	Prompt      string
@@ -44,11 +44,11 @@
 	Timeout     time.Duration
 	MinSequence uint64              // oldest eligible weight version
 	Exclude     []string            // backend servers that may not run it
-	Placed      func(server string) // called when the attempt is sent to a backend server
+	OnPlaced    func(server string) // called when the attempt is sent to a backend server
 }
 
-// Written is the result of a completed attempt.
-type Written struct {
+// SampleResult is the result of a completed request.
+type SampleResult struct {
 	RequestID    string
 	Text         string
 	Finish       string
--- a/internal/rollout/spread.go
+++ b/internal/rollout/spread.go
@@ -14,7 +14,7 @@
 // complete runs an attempt through this gateway or another one, round robin. Each
 // gateway divides its part of the slots among the workspaces with requests there: a
 // step that used a single gateway would get a share of that part only.
-func (dr *Driver) complete(ctx context.Context, at Attempt) (*Written, error) {
+func (dr *Driver) complete(ctx context.Context, at SampleRequest) (*SampleResult, error) {
 	if dr.cfg.NoSpread {
 		return dr.cfg.Complete(ctx, at)
 	}
@@ -29,7 +29,7 @@
 }
 
 // completeAt runs an attempt through another gateway.
-func (dr *Driver) completeAt(ctx context.Context, address string, at Attempt) (*Written, error) {
+func (dr *Driver) completeAt(ctx context.Context, address string, at SampleRequest) (*SampleResult, error) {
 	cctx, cancel := context.WithTimeout(ctx, at.Timeout)
 	defer cancel()
 	st, err := dr.cfg.Group.Open(cctx, address, methodRun, &wire.SampleRequest{
@@ -47,7 +47,7 @@
 		var rep wire.SampleReply
 		err := st.Recv(&rep)
 		if errors.Is(err, io.EOF) {
-			return nil, result.New(result.StreamCut, "gateway %s: stream closed without a result", address).With(result.Unknown)
+			return nil, result.New(result.StreamCut, "gateway %s: stream closed without a result", address).With(result.ExecutionUnknown)
 		}
 		if err != nil {
 			return nil, err
@@ -55,14 +55,14 @@
 		if rep.GetPlaced() == "" {
 			return fromReply(&rep), nil
 		}
-		if at.Placed != nil {
-			at.Placed(rep.GetPlaced())
+		if at.OnPlaced != nil {
+			at.OnPlaced(rep.GetPlaced())
 		}
 	}
 }
 
-func fromReply(rep *wire.SampleReply) *Written {
-	wr := &Written{
+func fromReply(rep *wire.SampleReply) *SampleResult {
+	wr := &SampleResult{
 		RequestID: rep.GetRequestId(), Text: rep.GetText(), Finish: rep.GetFinish(), Tokens: rep.GetTokens(),
 		PromptTokens: rep.GetPromptTokens(), Server: rep.GetServer(),
 	}
@@ -80,11 +80,11 @@
 		return err
 	}
 	dl, _ := ctx.Deadline()
-	wr, err := dr.cfg.Complete(ctx, Attempt{
+	wr, err := dr.cfg.Complete(ctx, SampleRequest{
 		Workspace: rq.GetWorkspace(), Model: rq.GetModel(), Prompt: rq.GetPrompt(), MaxTokens: rq.GetMaxTokens(),
 		Temperature: rq.GetTemperature(), Seed: rq.GetSeed(), Retries: int(rq.GetRetries()), MinSequence: rq.GetMinSequence(),
 		Exclude: rq.GetExclude(), Timeout: time.Until(dl),
-		Placed: func(server string) { _ = st.Send(&wire.SampleReply{Placed: server}) }, // the driver may have disconnected
+		OnPlaced: func(server string) { _ = st.Send(&wire.SampleReply{Placed: server}) }, // the driver may have disconnected
 	})
 	if err != nil {
 		return err
--- a/internal/rollout/steprun.go
+++ b/internal/rollout/steprun.go
@@ -241,11 +241,11 @@
 	sa := sr.st.Samples[i]
 	gr := sr.st.Groups[sa.Group]
 	startedMs := time.Now().UnixMilli()
-	wr, err := sr.dr.complete(ctx, Attempt{
+	wr, err := sr.dr.complete(ctx, SampleRequest{
 		Workspace: sr.st.Workspace, Model: sr.st.Model, Prompt: gr.Prompt, MaxTokens: uint32(gr.MaxTokens),
 		Temperature: gr.Heat, Seed: xxhash.Sum64String(sa.ID), Retries: retriesPerAttempt,
 		Timeout: time.Until(time.UnixMilli(sr.st.DeadlineMs)), MinSequence: sr.minSequence(), Exclude: exclude,
-		Placed: func(server string) { sr.recordPlacement(i, server) },
+		OnPlaced: func(server string) { sr.recordPlacement(i, server) },
 	})
 	re := record{ID: sa.ID, Group: gr.ID, Attempt: attempt, StartedMs: startedMs}
 	if err != nil {
@@ -254,7 +254,7 @@
 			return false, err
 		}
 		re.Failure = &failure{Code: er.Code, Name: result.Lookup(er.Code).Name, Message: er.Message}
-		wr = &Written{}
+		wr = &SampleResult{}
 	}
 
 	sequence, err := sr.oldestSequence(wr)
@@ -289,7 +289,7 @@
 // oldestSequence returns the sequence of the oldest weight version that generated a
 // part of the text. A trainer cannot use text of an unknown version, so that is an
 // error.
-func (sr *stepRun) oldestSequence(wr *Written) (uint64, error) {
+func (sr *stepRun) oldestSequence(wr *SampleResult) (uint64, error) {
 	if len(wr.Versions) == 0 {
 		return sr.dr.cfg.Latest(sr.st.Model), nil
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -42,9 +42,9 @@
 	TokenHash string `json:"tokenHash" help:"SHA-256 of the operator's token in hex, as tamarackbay ctl hash prints it"`
 }
 
-// Outside holds the addresses of the platform's interfaces. An empty address disables
+// ExternalServices holds the addresses of the platform's interfaces. An empty address disables
 // the functions that use the interface.
-type Outside struct {
+type ExternalServices struct {
 	WeightStore string `json:"weightStore" help:"address of the weight store"`
 	Ordering    string `json:"ordering" help:"address of the interface that orders backend servers"`
 	Usage       string `json:"usage" help:"address of the interface that takes usage reports"`
@@ -75,21 +75,21 @@
 
 // Gateway holds the settings of a gateway.
 type Gateway struct {
-	Name            string     `json:"name" help:"unique among the gateways"`
-	FailureDomain   string     `json:"failureDomain" help:"where this VM stands"`
-	CallerAddress   string     `json:"callerAddress" help:"IP number and port for callers, trainers and the balancer"`
-	OperatorAddress string     `json:"operatorAddress" help:"IP number and port for operators and metrics"`
-	PeerAddress     string     `json:"peerAddress" help:"IP number and port for gateways and agents"`
-	DataFolder      string     `json:"dataFolder" help:"folder of the replica's state; empty for a gateway without a disk"`
-	Founders        []Founder  `json:"founders" help:"the gateways that form the cluster, the same list everywhere"`
-	Upstreams       []string   `json:"upstreams" help:"peer addresses that a gateway without a disk follows; the founders where empty"`
-	Operators       []Operator `json:"operators" help:"who may change the configuration"`
-	Outside         Outside    `json:"outside" help:"the platform's interfaces"`
-	TLS             TLS        `json:"tls" help:"TLS of callers, operators and, mutually, of own processes"`
-	Times           Times      `json:"times" help:"periods and bounds"`
-	Policy          Policy     `json:"policy" help:"baselines for comparison"`
-	MaxHeaderBytes  int        `json:"maxHeaderBytes" default:"32768" help:"largest header of a request"`
-	LogLevel        string     `json:"logLevel" default:"info" help:"debug, info, warn or error"`
+	Name             string           `json:"name" help:"unique among the gateways"`
+	FailureDomain    string           `json:"failureDomain" help:"where this VM stands"`
+	CallerAddress    string           `json:"callerAddress" help:"IP number and port for callers, trainers and the balancer"`
+	OperatorAddress  string           `json:"operatorAddress" help:"IP number and port for operators and metrics"`
+	PeerAddress      string           `json:"peerAddress" help:"IP number and port for gateways and agents"`
+	DataFolder       string           `json:"dataFolder" help:"folder of the replica's state; empty for a gateway without a disk"`
+	Founders         []Founder        `json:"founders" help:"the gateways that form the cluster, the same list everywhere"`
+	Upstreams        []string         `json:"upstreams" help:"peer addresses that a gateway without a disk follows; the founders where empty"`
+	Operators        []Operator       `json:"operators" help:"who may change the configuration"`
+	ExternalServices ExternalServices `json:"outside" help:"the platform's interfaces"`
+	TLS              TLS              `json:"tls" help:"TLS of callers, operators and, mutually, of own processes"`
+	Times            Times            `json:"times" help:"periods and bounds"`
+	Policy           Policy           `json:"policy" help:"baselines for comparison"`
+	MaxHeaderBytes   int              `json:"maxHeaderBytes" default:"32768" help:"largest header of a request"`
+	LogLevel         string           `json:"logLevel" default:"info" help:"debug, info, warn or error"`
 }
 
 // Agent holds the settings of an agent.
@@ -275,8 +275,8 @@
 		}
 	}
 	for key, a := range map[string]string{
-		"outside.weightStore": ga.Outside.WeightStore, "outside.ordering": ga.Outside.Ordering,
-		"outside.usage": ga.Outside.Usage, "outside.scorer": ga.Outside.Scorer,
+		"outside.weightStore": ga.ExternalServices.WeightStore, "outside.ordering": ga.ExternalServices.Ordering,
+		"outside.usage": ga.ExternalServices.Usage, "outside.scorer": ga.ExternalServices.Scorer,
 	} {
 		if a == "" {
 			continue
--- a/internal/usagesink/usagesink.go
+++ b/internal/usagesink/usagesink.go
@@ -26,19 +26,19 @@
 
 // Headers of a report: the lease holder that sends it and its fencing number.
 const (
-	GiverHeader   = "X-Giver"
+	HolderHeader  = "X-Giver"
 	FencingHeader = "X-Fencing"
 )
 
 // Send sends the report of a usage window. It is idempotent, since the report of a
 // window always has the same bytes.
-func (cl *Client) Send(ctx context.Context, window uint64, report []byte, giver string, fencing uint64) error {
+func (cl *Client) Send(ctx context.Context, window uint64, report []byte, holder string, fencing uint64) error {
 	rq, err := http.NewRequestWithContext(ctx, http.MethodPut, fmt.Sprintf("%s/v1/reports/%d", cl.base, window), bytes.NewReader(report))
 	if err != nil {
 		return err
 	}
 	rq.Header.Set("Content-Type", "application/json")
-	rq.Header.Set(GiverHeader, giver)
+	rq.Header.Set(HolderHeader, holder)
 	rq.Header.Set(FencingHeader, fmt.Sprint(fencing))
 
 	rs, err := cl.http.Do(rq)
