--- a/internal/agent/order.go
+++ b/internal/agent/order.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/tamarackbay/tamarackbay/internal/engine"
-	"github.com/tamarackbay/tamarackbay/internal/order"
+	"github.com/tamarackbay/tamarackbay/internal/intent"
 	"github.com/tamarackbay/tamarackbay/internal/peer"
 	"github.com/tamarackbay/tamarackbay/internal/result"
 	"github.com/tamarackbay/tamarackbay/internal/wire"
@@ -144,7 +144,7 @@
 		ag.reportToAll()
 
 		return st.Reply(&wire.OrderReply{Fencing: or.GetFencing()})
-	case order.KindLoad, order.KindActivate:
+	case intent.KindLoad, intent.KindActivate:
 		if err := ag.swap(ctx, &or); err != nil {
 			return err
 		}
@@ -164,7 +164,7 @@
 	}
 
 	eo := engine.Order{ID: or.GetOrderId(), Model: or.GetModel(), Version: or.GetVersion(), Fencing: or.GetFencing(), LeaseHolder: or.GetGiver()}
-	if or.GetKind() == order.KindLoad {
+	if or.GetKind() == intent.KindLoad {
 		if err := ag.engine.Load(ctx, eo); err != nil {
 			return err
 		}
--- a/internal/capacity/groups.go
+++ b/internal/capacity/groups.go
@@ -13,8 +13,8 @@
 	"github.com/tamarackbay/tamarackbay/internal/consensus"
 	"github.com/tamarackbay/tamarackbay/internal/declaration"
 	"github.com/tamarackbay/tamarackbay/internal/group"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/quantile"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/storage"
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
@@ -169,7 +169,7 @@
 			next := all.groups[(i+1)%3]
 			pctx, pcancel := context.WithTimeout(ctx, 10*time.Second)
 			defer pcancel()
-			err := next.Propose(pctx, machine.KindRegister, machine.Register{Replica: "probe"}, nil)
+			err := next.Propose(pctx, statemachine.KindRegister, statemachine.Register{Replica: "probe"}, nil)
 
 			return time.Since(at), err
 		}
@@ -194,7 +194,7 @@
 	if err != nil {
 		return Figure{}, err
 	}
-	ma, err := machine.Restore(re.Snapshot.Data)
+	ma, err := statemachine.Restore(re.Snapshot.Data)
 	if err != nil {
 		return Figure{}, err
 	}
@@ -216,17 +216,17 @@
 	if err != nil {
 		return err
 	}
-	ma := machine.New()
+	ma := statemachine.New()
 	var es []consensus.Entry
 	for i := uint64(1); i <= restartChanges; i++ {
-		c, err := machine.Encode(machine.KindPatch, declaration.Patch{
+		c, err := statemachine.Encode(statemachine.KindPatch, declaration.Patch{
 			ID: fmt.Sprintf("patch-%d", i), Base: i - 1, Author: "operator",
 			Ops: []declaration.Op{setOp(fmt.Sprintf("workspaces/w%d", i%500), declaration.Workspace{Weight: 1 + float64(i%9), MaxQueued: 10, Home: "main"})},
 		})
 		if err != nil {
 			return err
 		}
-		machine.Stamp(c, int64(i))
+		statemachine.Stamp(c, int64(i))
 		ma.Apply(i, c)
 		es = append(es, consensus.Entry{Index: i, Term: 1, Data: c})
 		if len(es) == batch {
@@ -358,7 +358,7 @@
 		}
 		var an declaration.Answer
 		at := time.Now()
-		err := ld.Propose(context.Background(), machine.KindPatch, declaration.Patch{
+		err := ld.Propose(context.Background(), statemachine.KindPatch, declaration.Patch{
 			ID: fmt.Sprintf("p-%d-%d", len(su.groups), i), Base: ld.View().Version,
 			Ops: []declaration.Op{setOp("workspaces/w", declaration.Workspace{Weight: float64(1 + i), MaxQueued: 1, Home: "main"})},
 		}, &an)
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -13,12 +13,12 @@
 	"github.com/fxamacker/cbor/v2"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/tamarackbay/tamarackbay/internal/call"
 	"github.com/tamarackbay/tamarackbay/internal/declaration"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
+	"github.com/tamarackbay/tamarackbay/internal/idempotency"
 	"github.com/tamarackbay/tamarackbay/internal/meter"
 	"github.com/tamarackbay/tamarackbay/internal/peer"
 	"github.com/tamarackbay/tamarackbay/internal/pool"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/step"
 	"github.com/tamarackbay/tamarackbay/internal/usage"
 	"github.com/tamarackbay/tamarackbay/internal/wire"
@@ -151,7 +151,7 @@
 	}
 	bytes, err := series("bytes of a change sent to one subscriber", "changed object", "byte", []int{1, 4, 16}, func(n int) (float64, error) {
 		ch := &declaration.Change{Version: 1 << 20, PatchID: "apply-0123456789abcdef01234567", Author: "operator", AtMs: 1 << 40, Ops: configurationOps(n)[1 : 1+n]}
-		d, err := cbor.Marshal(machine.Delta{Revision: 1 << 20, Change: ch})
+		d, err := cbor.Marshal(statemachine.Delta{Revision: 1 << 20, Change: ch})
 		if err != nil {
 			return 0, err
 		}
@@ -196,11 +196,11 @@
 	}
 	calls, err := series("call ledger held", "call with an answer of 200 bytes", "byte", sizes, func(n int) (float64, error) {
 		return heapOf(func() any {
-			le := call.NewLedger(call.Snapshot{})
+			le := idempotency.NewLedger(idempotency.Snapshot{})
 			for i := range n {
 				k := fmt.Sprintf("workspace/route/key-%08d", i)
-				_, _ = le.Begin(call.Begin{Key: k, Digest: k, Owner: k, Gateway: "192.0.2.1:8082"}, 1)
-				_ = le.End(call.End{Key: k, Owner: k, Status: 200, Body: make([]byte, 200)})
+				_, _ = le.Begin(idempotency.Begin{Key: k, Digest: k, Owner: k, Gateway: "192.0.2.1:8082"}, 1)
+				_ = le.End(idempotency.End{Key: k, Owner: k, Status: 200, Body: make([]byte, 200)})
 			}
 
 			return le
--- a/internal/capacity/voters.go
+++ b/internal/capacity/voters.go
@@ -9,12 +9,12 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/tamarackbay/tamarackbay/internal/call"
 	"github.com/tamarackbay/tamarackbay/internal/consensus"
 	"github.com/tamarackbay/tamarackbay/internal/group"
+	"github.com/tamarackbay/tamarackbay/internal/idempotency"
 	"github.com/tamarackbay/tamarackbay/internal/logging"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/peer"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/storage"
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
@@ -132,8 +132,8 @@
 				var own []time.Duration
 				for i := 0; ctx.Err() == nil; i++ {
 					at := time.Now()
-					be := call.Begin{Key: fmt.Sprintf("w%d-%d-%d", w, i, at.UnixNano()), Digest: "d", Owner: "o", Gateway: "g"}
-					if ld.Propose(ctx, machine.KindBeginCall, be, nil) == nil {
+					be := idempotency.Begin{Key: fmt.Sprintf("w%d-%d-%d", w, i, at.UnixNano()), Digest: "d", Owner: "o", Gateway: "g"}
+					if ld.Propose(ctx, statemachine.KindBeginCall, be, nil) == nil {
 						n.Add(1)
 						own = append(own, time.Since(at))
 					}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -20,7 +20,6 @@
 	"github.com/tamarackbay/tamarackbay/internal/group"
 	"github.com/tamarackbay/tamarackbay/internal/lease"
 	"github.com/tamarackbay/tamarackbay/internal/leasedtask"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/meter"
 	"github.com/tamarackbay/tamarackbay/internal/peer"
 	"github.com/tamarackbay/tamarackbay/internal/registry"
@@ -28,6 +27,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/roster"
 	"github.com/tamarackbay/tamarackbay/internal/routing"
 	"github.com/tamarackbay/tamarackbay/internal/settings"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/storage"
 	"github.com/tamarackbay/tamarackbay/internal/usage"
 	"github.com/tamarackbay/tamarackbay/internal/weights"
@@ -158,7 +158,7 @@
 func (co *Controller) members() []string {
 	all := co.group.Status().Membership.All()
 	var out []string
-	co.group.Read(func(ma *machine.Machine) {
+	co.group.Read(func(ma *statemachine.Machine) {
 		for _, id := range all {
 			if re, ok := ma.Replicas()[id]; ok {
 				out = append(out, re.Address)
@@ -189,7 +189,7 @@
 		if err := st.RequestRecord(&fo); err != nil {
 			return err
 		}
-		if err := co.group.Propose(ctx, machine.KindFoldUsage, fo, nil); err != nil {
+		if err := co.group.Propose(ctx, statemachine.KindFoldUsage, fo, nil); err != nil {
 			return err
 		}
 
@@ -227,7 +227,7 @@
 	}
 	out := []*leasedtask.Task{with(leaseWeights, co.swapWake, co.rollOut)}
 	if co.cfg.ReportUsage != nil {
-		out = append(out, with(machine.UsageLease, nil, co.reportUsage))
+		out = append(out, with(statemachine.UsageLease, nil, co.reportUsage))
 	}
 
 	return out
@@ -281,7 +281,7 @@
 	st := &feed.State{Controllers: co.members()}
 	var members []roster.Member
 	retirement := map[string]roster.Retirement{}
-	co.group.Read(func(ma *machine.Machine) {
+	co.group.Read(func(ma *statemachine.Machine) {
 		if cfg := ma.Routing().Config(); cfg.Version > 0 {
 			c := *cfg
 			st.Config = &c
@@ -371,7 +371,7 @@
 // PutRouting commits a validated configuration.
 func (co *Controller) PutRouting(ctx context.Context, cfg *routing.Config, document []byte) error {
 	var rep routing.PutReply
-	err := co.group.Propose(ctx, machine.KindPutRouting, routing.Put{Config: *cfg, Document: document}, &rep)
+	err := co.group.Propose(ctx, statemachine.KindPutRouting, routing.Put{Config: *cfg, Document: document}, &rep)
 	fl := log.Fields{"version": cfg.Version, "routes": len(cfg.Routes), "inForce": rep.Version, "replaced": rep.Replaced}
 	if err != nil {
 		fl["error"] = err.Error()
@@ -390,7 +390,7 @@
 		return nil, err
 	}
 	var b []byte
-	co.group.Read(func(ma *machine.Machine) { b = ma.Routing().Document() })
+	co.group.Read(func(ma *statemachine.Machine) { b = ma.Routing().Document() })
 	if len(b) == 0 {
 		return nil, result.New(result.NoLeader, "controller: no configuration was accepted yet")
 	}
@@ -400,7 +400,7 @@
 
 // NameVersion commits a weight version.
 func (co *Controller) NameVersion(ctx context.Context, model string, version uint64) error {
-	if err := co.group.Propose(ctx, machine.KindNameVersion, weights.Name{Model: model, Version: version}, nil); err != nil {
+	if err := co.group.Propose(ctx, statemachine.KindNameVersion, weights.Name{Model: model, Version: version}, nil); err != nil {
 		return err
 	}
 	co.wakeSwaps()
@@ -417,7 +417,9 @@
 // Measure sets the gauges of this process.
 func (co *Controller) Measure(me *meter.Meter) {
 	co.group.Measure(me)
-	co.group.Read(func(ma *machine.Machine) { me.Gauge("configuration.version", int64(ma.Routing().Config().Version)) })
+	co.group.Read(func(ma *statemachine.Machine) {
+		me.Gauge("configuration.version", int64(ma.Routing().Config().Version))
+	})
 	co.mu.Lock()
 	defer co.mu.Unlock()
 	alive := 0
--- a/internal/controller/stores.go
+++ b/internal/controller/stores.go
@@ -8,10 +8,10 @@
 	"github.com/apex/log"
 
 	"github.com/tamarackbay/tamarackbay/internal/consensus"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/peer"
 	"github.com/tamarackbay/tamarackbay/internal/result"
 	"github.com/tamarackbay/tamarackbay/internal/roster"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
@@ -32,12 +32,12 @@
 	co.mu.Unlock()
 
 	known := false
-	co.group.Read(func(ma *machine.Machine) {
+	co.group.Read(func(ma *statemachine.Machine) {
 		known = slices.Contains(ma.Roster().Members(), an.Member)
 	})
 	if !known {
 		// Followers propose this too: the store may reach only this controller.
-		if err := co.group.Propose(ctx, machine.KindAnnounceMember, roster.Announce{Member: an.Member}, nil); err != nil {
+		if err := co.group.Propose(ctx, statemachine.KindAnnounceMember, roster.Announce{Member: an.Member}, nil); err != nil {
 			return err
 		}
 	}
@@ -72,7 +72,7 @@
 	var members []roster.Member
 	var formed []consensus.ReplicaID
 	var retiring []roster.Member
-	co.group.Read(func(ma *machine.Machine) {
+	co.group.Read(func(ma *statemachine.Machine) {
 		members, formed = ma.Roster().Members(), ma.Roster().Formation()
 		for _, me := range members {
 			if ma.Roster().Retirement(me.Name) == roster.Retiring {
@@ -87,7 +87,7 @@
 		if !co.canFinishRetirement(me) {
 			continue
 		}
-		if err := co.group.Propose(ctx, machine.KindFinishRetirement, roster.Finish{Name: me.Name}, nil); err != nil {
+		if err := co.group.Propose(ctx, statemachine.KindFinishRetirement, roster.Finish{Name: me.Name}, nil); err != nil {
 			return err
 		}
 		co.cfg.Log.WithField("store", me.Name).Info("store retirement finished")
@@ -111,7 +111,7 @@
 	}
 
 	ids := selectVoters(members, want)
-	if err := co.group.Propose(ctx, machine.KindFormStores, roster.Form{Replicas: ids}, nil); err != nil {
+	if err := co.group.Propose(ctx, statemachine.KindFormStores, roster.Form{Replicas: ids}, nil); err != nil {
 		return err
 	}
 	co.cfg.Log.WithFields(log.Fields{"replicas": ids, "known": len(members)}).Info("store group formed")
@@ -158,7 +158,7 @@
 
 // Retire requests that the store group replaces a store, so that its VM can be removed.
 func (co *Controller) Retire(ctx context.Context, name string) error {
-	err := co.group.Propose(ctx, machine.KindRetireMember, roster.Retire{Name: name, Keep: co.cfg.Settings.Voters()}, nil)
+	err := co.group.Propose(ctx, statemachine.KindRetireMember, roster.Retire{Name: name, Keep: co.cfg.Settings.Voters()}, nil)
 	fl := log.Fields{"store": name}
 	if err != nil {
 		fl["error"] = err.Error()
@@ -174,7 +174,7 @@
 		return 0, err
 	}
 	var re roster.Retirement
-	co.group.Read(func(ma *machine.Machine) { re = ma.Roster().Retirement(name) })
+	co.group.Read(func(ma *statemachine.Machine) { re = ma.Roster().Retirement(name) })
 	if re == 0 {
 		return 0, result.New(result.UnknownObject, "controller: store %q is not being retired", name)
 	}
--- a/internal/controller/usage.go
+++ b/internal/controller/usage.go
@@ -7,8 +7,8 @@
 	"github.com/apex/log"
 
 	"github.com/tamarackbay/tamarackbay/internal/leasedtask"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/result"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/usage"
 )
 
@@ -38,13 +38,13 @@
 		return
 	}
 	var closed uint64
-	co.group.Read(func(ma *machine.Machine) { closed = ma.Usage().Closed() })
+	co.group.Read(func(ma *statemachine.Machine) { closed = ma.Usage().Closed() })
 	if closed < over-1 {
 		fencing, ok := held()
 		if !ok {
 			return
 		}
-		if err := co.group.Propose(ctx, machine.KindCloseWindow, usage.Close{Window: over - 1, Fencing: fencing}, nil); err != nil {
+		if err := co.group.Propose(ctx, statemachine.KindCloseWindow, usage.Close{Window: over - 1, Fencing: fencing}, nil); err != nil {
 			co.cfg.Log.WithError(err).WithField("window", over-1).Warn("usage window not closed")
 
 			return
@@ -52,7 +52,7 @@
 	}
 
 	var reports []usage.Report
-	co.group.Read(func(ma *machine.Machine) {
+	co.group.Read(func(ma *statemachine.Machine) {
 		for _, n := range ma.Usage().Unreported() {
 			if re, err := ma.Usage().Report(n); err == nil {
 				reports = append(reports, re)
@@ -85,7 +85,7 @@
 		return false
 	}
 	co.cfg.Log.WithFields(fl).Info("usage window reported")
-	if err := co.group.Propose(ctx, machine.KindReported, usage.Reported{Window: re.Window, Fencing: fencing}, nil); err != nil {
+	if err := co.group.Propose(ctx, statemachine.KindReported, usage.Reported{Window: re.Window, Fencing: fencing}, nil); err != nil {
 		if !result.Is(err, result.LeaseLost) {
 			co.cfg.Log.WithError(err).Warn("usage report sent but not recorded, the same figures are sent again")
 		}
--- a/internal/controller/weights.go
+++ b/internal/controller/weights.go
@@ -8,8 +8,8 @@
 
 	"github.com/tamarackbay/tamarackbay/internal/backend"
 	"github.com/tamarackbay/tamarackbay/internal/leasedtask"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/registry"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/weights"
 )
 
@@ -33,7 +33,7 @@
 func (co *Controller) rollOut(ctx context.Context, held leasedtask.Held) {
 	named := map[string]uint64{}
 	single := map[string]bool{} // services with routes that allow one version per text
-	co.group.Read(func(ma *machine.Machine) {
+	co.group.Read(func(ma *statemachine.Machine) {
 		for mo, v := range ma.Versions().All() {
 			named[mo] = v
 		}
--- a/internal/endtoend/step_test.go
+++ b/internal/endtoend/step_test.go
@@ -11,8 +11,8 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/tamarackbay/tamarackbay/internal/fake"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/result"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/step"
 	"github.com/tamarackbay/tamarackbay/pkg/client"
 )
@@ -206,7 +206,7 @@
 		Expect(cl.OpenStep(st.ctx, newStep("s", 2, 20, 20))).To(Succeed())
 		won := func(i int) (n int, holders map[string]bool) {
 			holders = map[string]bool{}
-			st.Gateway(i).Gateway().Group().Read(func(ma *machine.Machine) {
+			st.Gateway(i).Gateway().Group().Read(func(ma *statemachine.Machine) {
 				s, err := ma.Steps().Get("alpha/s")
 				if err != nil {
 					return
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -10,10 +10,10 @@
 	"github.com/tamarackbay/tamarackbay/internal/agent"
 	"github.com/tamarackbay/tamarackbay/internal/declaration"
 	"github.com/tamarackbay/tamarackbay/internal/fleet"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
-	"github.com/tamarackbay/tamarackbay/internal/order"
+	"github.com/tamarackbay/tamarackbay/internal/intent"
 	"github.com/tamarackbay/tamarackbay/internal/ordering"
 	"github.com/tamarackbay/tamarackbay/internal/pool"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
@@ -68,8 +68,8 @@
 // resendUnsettled sends the orders of unsettled intents again, under their original
 // IDs. It returns false if any of them remains unsettled.
 func (ft *fleetTask) resendUnsettled(ctx context.Context, held leaseCheck) bool {
-	var open []order.Intent
-	ft.ga.group.Read(func(ma *machine.Machine) { open = ma.Orders().Unsettled() })
+	var open []intent.Intent
+	ft.ga.group.Read(func(ma *statemachine.Machine) { open = ma.Orders().Unsettled() })
 	for _, in := range open {
 		if in.Lease == agent.LeaseFleet && ft.sendOrder(ctx, held, in) != nil {
 			return false
@@ -80,14 +80,14 @@
 }
 
 // sendOrder sends the order of a committed intent to the platform and settles the intent.
-func (ft *fleetTask) sendOrder(ctx context.Context, held leaseCheck, in order.Intent) error {
+func (ft *fleetTask) sendOrder(ctx context.Context, held leaseCheck, in intent.Intent) error {
 	f, ok := held()
 	if !ok || f != ft.fencing {
 		return leaseLost(agent.LeaseFleet)
 	}
 
 	action := ordering.ActionStart
-	if in.Kind == order.KindStop {
+	if in.Kind == intent.KindStop {
 		action = ordering.ActionStop
 	}
 	cctx, cancel := context.WithTimeout(ctx, ft.ga.leaseTerms().MaxCall)
@@ -102,17 +102,17 @@
 		return err
 	}
 
-	return ft.ga.group.Propose(ctx, machine.KindSettleIntent, order.Settle{
+	return ft.ga.group.Propose(ctx, statemachine.KindSettleIntent, intent.Settle{
 		ID: in.ID, Lease: agent.LeaseFleet, Fencing: ft.fencing, Outcome: an.State, Server: an.Server,
 	}, nil)
 }
 
 // placeOrder commits an intent and sends its order.
-func (ft *fleetTask) placeOrder(ctx context.Context, held leaseCheck, in order.Intent) {
+func (ft *fleetTask) placeOrder(ctx context.Context, held leaseCheck, in intent.Intent) {
 	ft.orderCount++
 	in.ID = fmt.Sprintf("f%d-%d", ft.fencing, ft.orderCount)
 	in.Lease, in.Fencing = agent.LeaseFleet, ft.fencing
-	if err := ft.ga.group.Propose(ctx, machine.KindOpenIntent, order.Open{Intent: in}, nil); err != nil {
+	if err := ft.ga.group.Propose(ctx, statemachine.KindOpenIntent, intent.Open{Intent: in}, nil); err != nil {
 		return // the intent may be committed all the same: resendUnsettled then sends the order
 	}
 	ft.ga.cfg.Meter.Count("orders." + in.Kind)
@@ -148,7 +148,7 @@
 	de := ft.planners[class].Next(in)
 	ft.ga.setFleetReason(class, de.Why)
 	for _, d := range de.Start {
-		ft.placeOrder(ctx, held, order.Intent{Kind: order.KindStart, Class: class, FailureDomain: d})
+		ft.placeOrder(ctx, held, intent.Intent{Kind: intent.KindStart, Class: class, FailureDomain: d})
 	}
 	for _, name := range de.Stop {
 		ft.drain(ctx, held, po, name)
@@ -220,7 +220,7 @@
 	if isLost {
 		ft.ga.cfg.Log.WithFields(log.Fields{"server": b.Name, "order": b.OrderID}).Warn("ordered backend server is absent for too long, it will be stopped")
 	}
-	ft.placeOrder(ctx, held, order.Intent{Kind: order.KindStop, Class: b.Class, FailureDomain: b.FailureDomain, Server: b.Name})
+	ft.placeOrder(ctx, held, intent.Intent{Kind: intent.KindStop, Class: b.Class, FailureDomain: b.FailureDomain, Server: b.Name})
 	delete(ft.drainingSince, b.Name)
 	delete(ft.lastSeen, b.Name)
 
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -10,13 +10,13 @@
 	"time"
 
 	"github.com/tamarackbay/tamarackbay/internal/agent"
-	"github.com/tamarackbay/tamarackbay/internal/call"
 	"github.com/tamarackbay/tamarackbay/internal/declaration"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
+	"github.com/tamarackbay/tamarackbay/internal/idempotency"
 	"github.com/tamarackbay/tamarackbay/internal/plainservice"
 	"github.com/tamarackbay/tamarackbay/internal/pool"
 	"github.com/tamarackbay/tamarackbay/internal/result"
 	"github.com/tamarackbay/tamarackbay/internal/retry"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
@@ -242,8 +242,8 @@
 // the recorded answer, or an error saying that the first request may have run.
 func (f *forward) runOnce(ctx context.Context) error {
 	key := f.fo.Caller.Workspace + "/" + f.fo.RouteName + "/" + f.fo.IdempotencyKey
-	var re call.Record
-	err := f.ga.group.Propose(ctx, machine.KindBeginCall, call.Begin{
+	var re idempotency.Record
+	err := f.ga.group.Propose(ctx, statemachine.KindBeginCall, idempotency.Begin{
 		Key: key, Digest: f.fingerprint, Owner: f.id, Gateway: f.ga.cfg.Settings.PeerAddress,
 	}, &re)
 	if err != nil {
@@ -263,15 +263,15 @@
 	defer cancel()
 	switch {
 	case err == nil && !rec.tooLarge:
-		end := call.End{Key: key, Owner: f.id, Status: rec.status, Headers: rec.headers, Body: rec.body.Bytes()}
-		if perr := f.ga.group.Propose(cctx, machine.KindEndCall, end, nil); perr != nil {
+		end := idempotency.End{Key: key, Owner: f.id, Status: rec.status, Headers: rec.headers, Body: rec.body.Bytes()}
+		if perr := f.ga.group.Propose(cctx, statemachine.KindEndCall, end, nil); perr != nil {
 			f.ga.cfg.Meter.Count("calls.endLost")
 		}
 		rec.flush(f.id)
 	case err == nil:
 		rec.flush(f.id)
 	case result.From(err).Execution == result.NotRun && !f.headSent:
-		if perr := f.ga.group.Propose(cctx, machine.KindAbandonCall, call.Abandon{Key: key, Owner: f.id}, nil); perr != nil {
+		if perr := f.ga.group.Propose(cctx, statemachine.KindAbandonCall, idempotency.Abandon{Key: key, Owner: f.id}, nil); perr != nil {
 			f.ga.cfg.Meter.Count("calls.abandonLost")
 		}
 	}
@@ -282,8 +282,8 @@
 const endCallTimeout = 3 * time.Second
 
 // replay answers a resend from the record of the first request.
-func (f *forward) replay(ctx context.Context, re *call.Record) error {
-	if re.State == call.Done {
+func (f *forward) replay(ctx context.Context, re *idempotency.Record) error {
+	if re.State == idempotency.Done {
 		f.ga.cfg.Meter.Count("calls.replayed")
 		h := http.Header{}
 		for _, hd := range re.Headers {
@@ -307,7 +307,7 @@
 type recorder struct {
 	rep      Reply
 	status   int
-	headers  []call.Header
+	headers  []idempotency.Header
 	header   http.Header
 	body     bytes.Buffer
 	tooLarge bool
@@ -321,7 +321,7 @@
 			re.id, re.status, re.header = id, status, h
 			for name, values := range h {
 				for _, v := range values {
-					re.headers = append(re.headers, call.Header{Name: name, Value: v})
+					re.headers = append(re.headers, idempotency.Header{Name: name, Value: v})
 				}
 			}
 		},
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -17,7 +17,6 @@
 	"github.com/tamarackbay/tamarackbay/internal/agent"
 	"github.com/tamarackbay/tamarackbay/internal/group"
 	"github.com/tamarackbay/tamarackbay/internal/lease"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/meter"
 	"github.com/tamarackbay/tamarackbay/internal/ordering"
 	"github.com/tamarackbay/tamarackbay/internal/peer"
@@ -28,6 +27,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/scheduler"
 	"github.com/tamarackbay/tamarackbay/internal/scorer"
 	"github.com/tamarackbay/tamarackbay/internal/settings"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/storage"
 	"github.com/tamarackbay/tamarackbay/internal/usagesink"
 	"github.com/tamarackbay/tamarackbay/internal/weightstore"
@@ -218,8 +218,8 @@
 
 func (ga *Gateway) holdsLease() bool {
 	holds := false
-	ga.group.Read(func(ma *machine.Machine) {
-		for _, n := range []string{agent.LeaseFleet, agent.LeaseWeights, machine.UsageLease} {
+	ga.group.Read(func(ma *statemachine.Machine) {
+		for _, n := range []string{agent.LeaseFleet, agent.LeaseWeights, statemachine.UsageLease} {
 			holds = holds || ma.Leases().Get(n).Holder == ga.leaseHolder()
 		}
 	})
--- a/internal/gateway/leasedtask.go
+++ b/internal/gateway/leasedtask.go
@@ -5,8 +5,8 @@
 
 	"github.com/tamarackbay/tamarackbay/internal/agent"
 	"github.com/tamarackbay/tamarackbay/internal/leasedtask"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/result"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 )
 
 // leaseCheck returns the fencing number of a lease, and whether enough of the lease
@@ -24,7 +24,7 @@
 	}
 
 	return []*leasedtask.Task{
-		with(agent.LeaseWeights, we.run), with(agent.LeaseFleet, fl.run), with(machine.UsageLease, ga.reportUsage),
+		with(agent.LeaseWeights, we.run), with(agent.LeaseFleet, fl.run), with(statemachine.UsageLease, ga.reportUsage),
 	}
 }
 
--- a/internal/gateway/operator.go
+++ b/internal/gateway/operator.go
@@ -6,9 +6,9 @@
 	"fmt"
 
 	"github.com/tamarackbay/tamarackbay/internal/declaration"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/quarantine"
 	"github.com/tamarackbay/tamarackbay/internal/result"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 )
 
 // maxPatchAttempts limits how often a change made by the gateway itself is retried
@@ -18,7 +18,7 @@
 // Patch proposes an operator's patch to the group.
 func (ga *Gateway) Patch(ctx context.Context, pa declaration.Patch) (declaration.Answer, error) {
 	var an declaration.Answer
-	err := ga.group.Propose(ctx, machine.KindPatch, pa, &an)
+	err := ga.group.Propose(ctx, statemachine.KindPatch, pa, &an)
 
 	return an, err
 }
@@ -133,5 +133,5 @@
 
 // ReleaseFingerprint releases a fingerprint from quarantine.
 func (ga *Gateway) ReleaseFingerprint(ctx context.Context, fp string) error {
-	return ga.group.Propose(ctx, machine.KindRelease, quarantine.Release{Fingerprint: fp}, nil)
+	return ga.group.Propose(ctx, statemachine.KindRelease, quarantine.Release{Fingerprint: fp}, nil)
 }
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -8,13 +8,13 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/tamarackbay/tamarackbay/internal/agent"
-	"github.com/tamarackbay/tamarackbay/internal/call"
 	"github.com/tamarackbay/tamarackbay/internal/declaration"
 	"github.com/tamarackbay/tamarackbay/internal/group"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
+	"github.com/tamarackbay/tamarackbay/internal/idempotency"
 	"github.com/tamarackbay/tamarackbay/internal/peer"
 	"github.com/tamarackbay/tamarackbay/internal/quarantine"
 	"github.com/tamarackbay/tamarackbay/internal/result"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/usage"
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
@@ -109,7 +109,7 @@
 	}
 
 	tooOld := 0
-	if err := ga.group.Propose(ctx, machine.KindFoldUsage, fo, &tooOld); err != nil {
+	if err := ga.group.Propose(ctx, statemachine.KindFoldUsage, fo, &tooOld); err != nil {
 		return err
 	}
 	if tooOld > 0 {
@@ -126,7 +126,7 @@
 	}
 	ga.cfg.Meter.Count("servers.crashed")
 
-	return ga.group.Propose(ctx, machine.KindCrash, quarantine.Crash{
+	return ga.group.Propose(ctx, statemachine.KindCrash, quarantine.Crash{
 		Server: rq.GetServer(), Fingerprints: rq.GetFingerprints(), Alone: rq.GetAlone(),
 	}, nil)
 }
@@ -204,7 +204,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), groupCallTimeout)
 	defer cancel()
-	if err := ga.group.Propose(ctx, machine.KindCleared, quarantine.Cleared{Fingerprint: fp}, nil); err == nil {
+	if err := ga.group.Propose(ctx, statemachine.KindCleared, quarantine.Cleared{Fingerprint: fp}, nil); err == nil {
 		ga.cfg.Meter.Count("quarantine.cleared")
 	}
 }
@@ -222,7 +222,7 @@
 	}
 
 	var rep wire.FencingReply
-	ga.group.Read(func(ma *machine.Machine) { rep.Fencing = ma.Leases().Get(rq.GetLease()).Fencing })
+	ga.group.Read(func(ma *statemachine.Machine) { rep.Fencing = ma.Leases().Get(rq.GetLease()).Fencing })
 
 	return st.Reply(&rep)
 }
@@ -273,7 +273,7 @@
 
 // isCallRunning reports whether the gateway that began a call still runs it. An
 // unreachable gateway counts as not running it.
-func (ga *Gateway) isCallRunning(ctx context.Context, re *call.Record) bool {
+func (ga *Gateway) isCallRunning(ctx context.Context, re *idempotency.Record) bool {
 	if re.Gateway == ga.cfg.Settings.PeerAddress {
 		return ga.isCallRunningHere(re.Owner)
 	}
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 
 	"github.com/tamarackbay/tamarackbay/internal/declaration"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/usage"
 )
 
@@ -25,7 +25,7 @@
 
 	var closed uint64
 	var unreported []uint64
-	ga.group.Read(func(ma *machine.Machine) {
+	ga.group.Read(func(ma *statemachine.Machine) {
 		closed, unreported = ma.Usage().Closed(), ma.Usage().Unreported()
 	})
 	lastEnded := uint64((ga.cfg.WallMs()/millisPerSecond-int64(wi.GraceSeconds))/int64(wi.LengthSeconds)) - 1
@@ -34,7 +34,7 @@
 		return
 	}
 	if lastEnded > closed {
-		if err := ga.group.Propose(ctx, machine.KindCloseWindow, usage.Close{Window: lastEnded, Fencing: fencing}, nil); err != nil {
+		if err := ga.group.Propose(ctx, statemachine.KindCloseWindow, usage.Close{Window: lastEnded, Fencing: fencing}, nil); err != nil {
 			return
 		}
 	}
@@ -48,7 +48,7 @@
 func (ga *Gateway) sendReport(ctx context.Context, held leaseCheck, window uint64) bool {
 	var re usage.Report
 	err := error(nil)
-	ga.group.Read(func(ma *machine.Machine) { re, err = ma.Usage().Report(window) })
+	ga.group.Read(func(ma *statemachine.Machine) { re, err = ma.Usage().Report(window) })
 	if err != nil {
 		return false
 	}
@@ -70,5 +70,5 @@
 	}
 	ga.cfg.Meter.Count("reports.sent")
 
-	return ga.group.Propose(ctx, machine.KindReported, usage.Reported{Window: window, Fencing: fencing}, nil) == nil
+	return ga.group.Propose(ctx, statemachine.KindReported, usage.Reported{Window: window, Fencing: fencing}, nil) == nil
 }
--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -10,9 +10,9 @@
 
 	"github.com/tamarackbay/tamarackbay/internal/agent"
 	"github.com/tamarackbay/tamarackbay/internal/declaration"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
-	"github.com/tamarackbay/tamarackbay/internal/order"
+	"github.com/tamarackbay/tamarackbay/internal/intent"
 	"github.com/tamarackbay/tamarackbay/internal/pool"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/weights"
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
@@ -77,11 +77,11 @@
 // need not be known: orders to engines are idempotent, and the engines report the
 // version that they run.
 func (wt *weightsTask) takeOver(ctx context.Context, fencing uint64) {
-	var open []order.Intent
-	wt.ga.group.Read(func(ma *machine.Machine) { open = ma.Orders().Unsettled() })
+	var open []intent.Intent
+	wt.ga.group.Read(func(ma *statemachine.Machine) { open = ma.Orders().Unsettled() })
 	for _, in := range open {
 		if in.Lease == agent.LeaseWeights && in.Fencing < fencing {
-			_ = wt.ga.group.Propose(ctx, machine.KindSettleIntent, order.Settle{
+			_ = wt.ga.group.Propose(ctx, statemachine.KindSettleIntent, intent.Settle{
 				ID: in.ID, Lease: agent.LeaseWeights, Fencing: fencing, Outcome: "left by an earlier holder",
 			}, nil) // on failure the intent stays open until the next holder takes over
 		}
@@ -155,10 +155,10 @@
 	wt.orderCount++
 	id := fmt.Sprintf("w%d-%d", fencing, wt.orderCount)
 	wt.mu.Unlock()
-	in := order.Intent{
+	in := intent.Intent{
 		ID: id, Lease: agent.LeaseWeights, Fencing: fencing, Kind: ac.Kind, Server: ac.Server, Model: model, Version: ac.Version,
 	}
-	if err := wt.ga.group.Propose(ctx, machine.KindOpenIntent, order.Open{Intent: in}, nil); err != nil {
+	if err := wt.ga.group.Propose(ctx, statemachine.KindOpenIntent, intent.Open{Intent: in}, nil); err != nil {
 		return err
 	}
 	// Check the lease again right before the order: the process may have been paused meanwhile.
@@ -176,7 +176,7 @@
 	if err != nil {
 		outcome = err.Error()
 	}
-	if serr := wt.ga.group.Propose(ctx, machine.KindSettleIntent, order.Settle{
+	if serr := wt.ga.group.Propose(ctx, statemachine.KindSettleIntent, intent.Settle{
 		ID: id, Lease: agent.LeaseWeights, Fencing: fencing, Outcome: outcome,
 	}, nil); serr != nil {
 		wt.ga.cfg.Meter.Count("intents.unsettled")
--- a/internal/group/feed.go
+++ b/internal/group/feed.go
@@ -8,9 +8,9 @@
 	"github.com/fxamacker/cbor/v2"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/peer"
 	"github.com/tamarackbay/tamarackbay/internal/result"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
@@ -108,12 +108,12 @@
 
 // viewAfter returns the view after a feed reply and the deltas that led to it. There
 // are no deltas if the reply holds the full configuration.
-func viewAfter(vi *View, rep *wire.FeedReply) (*View, []machine.Delta, error) {
+func viewAfter(vi *View, rep *wire.FeedReply) (*View, []statemachine.Delta, error) {
 	if rep.GetFull() {
 		if len(rep.GetDeltas()) != 1 {
 			return nil, nil, result.New(result.Internal, "group: a full feed reply holds %d parts instead of one", len(rep.GetDeltas()))
 		}
-		var fu machine.Full
+		var fu statemachine.Full
 		if err := decode(rep.GetDeltas()[0], &fu); err != nil {
 			return nil, nil, err
 		}
@@ -125,7 +125,7 @@
 		return vi, nil, nil
 	}
 
-	ds := make([]machine.Delta, len(rep.GetDeltas()))
+	ds := make([]statemachine.Delta, len(rep.GetDeltas()))
 	for i, b := range rep.GetDeltas() {
 		if err := decode(b, &ds[i]); err != nil {
 			return nil, nil, err
@@ -137,7 +137,7 @@
 }
 
 // recordDeltas retains the latest changes for subscribers of a process without a replica.
-func (gr *Group) recordDeltas(next *View, ds []machine.Delta) {
+func (gr *Group) recordDeltas(next *View, ds []statemachine.Delta) {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 
@@ -150,18 +150,18 @@
 	gr.deltas = append(gr.deltas, ds...)
 	if n := len(gr.deltas) - maxRelayDeltas; n > 0 {
 		gr.deltasAfter = gr.deltas[n-1].Revision
-		gr.deltas = append([]machine.Delta(nil), gr.deltas[n:]...)
+		gr.deltas = append([]statemachine.Delta(nil), gr.deltas[n:]...)
 	}
 }
 
 // deltasSince returns the changes after a revision, and false if some of them are not
 // retained any more.
-func (gr *Group) deltasSince(revision uint64) ([]machine.Delta, bool) {
-	var ds []machine.Delta
+func (gr *Group) deltasSince(revision uint64) ([]statemachine.Delta, bool) {
+	var ds []statemachine.Delta
 	ok := false
-	if gr.Read(func(ma *machine.Machine) {
+	if gr.Read(func(ma *statemachine.Machine) {
 		if ds, ok = ma.Since(revision); ok {
-			ds = append([]machine.Delta(nil), ds...)
+			ds = append([]statemachine.Delta(nil), ds...)
 		}
 	}) {
 		return ds, ok
@@ -177,7 +177,7 @@
 		n--
 	}
 
-	return append([]machine.Delta(nil), gr.deltas[n:]...), true
+	return append([]statemachine.Delta(nil), gr.deltas[n:]...), true
 }
 
 // handleFeed answers with what changed after the subscriber's revision; without a
@@ -256,7 +256,7 @@
 	if err != nil {
 		return nil, err
 	}
-	b, err := cbor.Marshal(machine.Full{Revision: vi.Revision, Version: vi.Version, Ops: ops, Quarantine: vi.Quarantine})
+	b, err := cbor.Marshal(statemachine.Full{Revision: vi.Revision, Version: vi.Version, Ops: ops, Quarantine: vi.Quarantine})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -16,10 +16,10 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"github.com/tamarackbay/tamarackbay/internal/consensus"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/meter"
 	"github.com/tamarackbay/tamarackbay/internal/peer"
 	"github.com/tamarackbay/tamarackbay/internal/result"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/storage"
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
@@ -88,8 +88,8 @@
 	upstreamIndex int
 	feedSlots     chan struct{} // holds one element for each subscriber that waits
 
-	deltas      []machine.Delta // the latest changes; used only without a replica
-	deltasAfter uint64          // every change after this position is in deltas
+	deltas      []statemachine.Delta // the latest changes; used only without a replica
+	deltasAfter uint64               // every change after this position is in deltas
 }
 
 // maxFeeds bounds the subscribers that wait at one process.
@@ -102,7 +102,7 @@
 		addresses: map[consensus.ReplicaID]string{}, feedSlots: make(chan struct{}, maxFeeds),
 	}
 	gr.cfg.defaults()
-	vi, err := newView(machine.Full{})
+	vi, err := newView(statemachine.Full{})
 	if err != nil {
 		return nil, err
 	}
@@ -275,7 +275,7 @@
 	gr.refreshView(n.machine)
 }
 
-func (gr *Group) refreshView(ma *machine.Machine) {
+func (gr *Group) refreshView(ma *statemachine.Machine) {
 	vi := gr.View()
 	if ma.Revision() <= vi.Revision {
 		return
@@ -290,7 +290,7 @@
 	gr.setView(next)
 }
 
-func (gr *Group) nextView(ma *machine.Machine, vi *View) (*View, error) {
+func (gr *Group) nextView(ma *statemachine.Machine, vi *View) (*View, error) {
 	if ds, ok := ma.Since(vi.Revision); ok {
 		if next, err := vi.withDeltas(ds); err == nil {
 			return next, nil
@@ -412,7 +412,7 @@
 func (gr *Group) Cluster() string { return gr.identity.Cluster }
 
 // Read runs f on the state machine as applied here, and returns false on a subscriber.
-func (gr *Group) Read(f func(ma *machine.Machine)) bool {
+func (gr *Group) Read(f func(ma *statemachine.Machine)) bool {
 	n := gr.node.Load()
 	if n == nil {
 		return false
--- a/internal/group/membership.go
+++ b/internal/group/membership.go
@@ -11,9 +11,9 @@
 	"github.com/apex/log"
 
 	"github.com/tamarackbay/tamarackbay/internal/consensus"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/peer"
 	"github.com/tamarackbay/tamarackbay/internal/result"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
@@ -256,8 +256,8 @@
 	if gr.cfg.IsRetiring(req.GetName()) {
 		return result.New(result.MembershipRefused, "group: VM %s is retiring, its replica may not join", req.GetName())
 	}
-	reg := machine.Register{Replica: id, Name: req.GetName(), Address: req.GetAddress(), FailureDomain: req.GetFailureDomain()}
-	if err := gr.Propose(ctx, machine.KindRegister, reg, nil); err != nil {
+	reg := statemachine.Register{Replica: id, Name: req.GetName(), Address: req.GetAddress(), FailureDomain: req.GetFailureDomain()}
+	if err := gr.Propose(ctx, statemachine.KindRegister, reg, nil); err != nil {
 		return err
 	}
 
@@ -277,13 +277,13 @@
 // registerLoop keeps this replica's address registered in the group.
 func (gr *Group) registerLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		want := machine.Register{
+		want := statemachine.Register{
 			Replica: gr.identity.Replica, Name: gr.cfg.Name, Address: gr.cfg.Address, FailureDomain: gr.cfg.FailureDomain,
 		}
 		known := false
-		gr.Read(func(ma *machine.Machine) { known = ma.Replicas()[want.Replica] == want })
+		gr.Read(func(ma *statemachine.Machine) { known = ma.Replicas()[want.Replica] == want })
 		if !known {
-			_ = gr.Propose(ctx, machine.KindRegister, want, nil) // retried after registerPeriod
+			_ = gr.Propose(ctx, statemachine.KindRegister, want, nil) // retried after registerPeriod
 		}
 		gr.recordPeers()
 		select {
@@ -338,7 +338,7 @@
 		}
 
 		names := map[consensus.ReplicaID]string{}
-		gr.Read(func(ma *machine.Machine) {
+		gr.Read(func(ma *statemachine.Machine) {
 			for id, re := range ma.Replicas() {
 				names[id] = re.Name
 			}
--- a/internal/group/node.go
+++ b/internal/group/node.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/tamarackbay/tamarackbay/internal/consensus"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/result"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/storage"
 )
 
@@ -85,7 +85,7 @@
 	lastReadID       uint64
 
 	mu                sync.RWMutex // guards machine and status
-	machine           *machine.Machine
+	machine           *statemachine.Machine
 	status            Status
 	applied           chan struct{} // closed and replaced after each batch applied
 	lastSnapshotIndex uint64
@@ -131,9 +131,9 @@
 		return nil, err
 	}
 
-	ma := machine.New()
+	ma := statemachine.New()
 	if re.Snapshot.Index > 0 {
-		if ma, err = machine.Restore(re.Snapshot.Data); err != nil {
+		if ma, err = statemachine.Restore(re.Snapshot.Data); err != nil {
 			return nil, err
 		}
 	} else {
@@ -224,7 +224,7 @@
 	at := n.wallMs()
 	commands := make([][]byte, len(batch))
 	for i, p := range batch {
-		machine.Stamp(p.command, at)
+		statemachine.Stamp(p.command, at)
 		commands[i] = p.command
 	}
 	first, err := n.replica.Propose(n.now(), commands)
@@ -302,7 +302,7 @@
 
 func (n *node) apply(rd *consensus.Ready) error {
 	if rd.Snapshot != nil {
-		ma, err := machine.Restore(rd.Snapshot.Data)
+		ma, err := statemachine.Restore(rd.Snapshot.Data)
 		if err != nil {
 			return err
 		}
--- a/internal/group/node_test.go
+++ b/internal/group/node_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/tamarackbay/tamarackbay/internal/consensus"
 	"github.com/tamarackbay/tamarackbay/internal/job"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/storage"
 )
 
@@ -42,7 +42,7 @@
 // submit proposes a job whose item has a body of so many bytes, and returns how long the
 // answer took.
 func submit(n *node, id string, bytes int) time.Duration {
-	b, err := machine.Encode(machine.KindSubmitJob, job.Submit{Spec: job.Spec{ID: id, Items: []job.Item{{ID: "i", Body: make([]byte, bytes)}}}})
+	b, err := statemachine.Encode(statemachine.KindSubmitJob, job.Submit{Spec: job.Spec{ID: id, Items: []job.Item{{ID: "i", Body: make([]byte, bytes)}}}})
 	Expect(err).NotTo(HaveOccurred())
 	began := time.Now()
 	pr := &proposal{command: b, answer: make(chan proposalAnswer, 1)}
--- a/internal/group/propose.go
+++ b/internal/group/propose.go
@@ -8,9 +8,9 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"github.com/tamarackbay/tamarackbay/internal/consensus"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/peer"
 	"github.com/tamarackbay/tamarackbay/internal/result"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/step"
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
@@ -83,8 +83,8 @@
 
 // Propose commits a command and decodes its reply into out. It retries while no leader
 // can be reached, which is safe as every command is idempotent.
-func (gr *Group) Propose(ctx context.Context, kind machine.Kind, body, out any) error {
-	command, err := machine.Encode(kind, body)
+func (gr *Group) Propose(ctx context.Context, kind statemachine.Kind, body, out any) error {
+	command, err := statemachine.Encode(kind, body)
 	if err != nil {
 		return err
 	}
@@ -97,7 +97,7 @@
 	for {
 		rep, err := gr.proposeOnce(ctx, command)
 		if err == nil {
-			return machine.DecodeReply(rep, out)
+			return statemachine.DecodeReply(rep, out)
 		}
 		if !isRetriable(err) {
 			return err
@@ -114,8 +114,8 @@
 // ProposeLocal commits a command if this replica is the leader, and otherwise returns an
 // error at once. If the command may still be committed after a failure, the execution of
 // the error is ExecutionUnknown.
-func (gr *Group) ProposeLocal(ctx context.Context, kind machine.Kind, body, out any) error {
-	command, err := machine.Encode(kind, body)
+func (gr *Group) ProposeLocal(ctx context.Context, kind statemachine.Kind, body, out any) error {
+	command, err := statemachine.Encode(kind, body)
 	if err != nil {
 		return err
 	}
@@ -128,7 +128,7 @@
 		return err
 	}
 
-	return machine.DecodeReply(rep, out)
+	return statemachine.DecodeReply(rep, out)
 }
 
 func isRetriable(err error) bool {
@@ -312,7 +312,7 @@
 	for _, fo := range gr.cfg.Founders {
 		domains[fo.Address] = ""
 	}
-	gr.Read(func(ma *machine.Machine) {
+	gr.Read(func(ma *statemachine.Machine) {
 		for _, re := range ma.Replicas() {
 			domains[re.Address] = re.FailureDomain
 		}
@@ -363,7 +363,7 @@
 
 	var b []byte
 	err := error(result.New(result.NotLeader, "group: the replica has not started"))
-	gr.Read(func(ma *machine.Machine) {
+	gr.Read(func(ma *statemachine.Machine) {
 		var s *step.Step
 		if s, err = ma.Steps().Get(string(req.GetPayload())); err == nil {
 			b, err = cbor.Marshal(s)
--- a/internal/group/view.go
+++ b/internal/group/view.go
@@ -2,8 +2,8 @@
 
 import (
 	"github.com/tamarackbay/tamarackbay/internal/declaration"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/quarantine"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 )
 
 // View is a process's copy of the configuration and the quarantine. It is never changed,
@@ -15,7 +15,7 @@
 	Quarantine map[string]quarantine.Entry
 }
 
-func newView(fu machine.Full) (*View, error) {
+func newView(fu statemachine.Full) (*View, error) {
 	vi := &View{Version: fu.Version, Revision: fu.Revision, Set: declaration.NewSet(), Quarantine: fu.Quarantine}
 	if vi.Quarantine == nil {
 		vi.Quarantine = map[string]quarantine.Entry{}
@@ -28,7 +28,7 @@
 }
 
 // withDeltas returns the view with deltas applied. It copies only what they change.
-func (vi *View) withDeltas(deltas []machine.Delta) (*View, error) {
+func (vi *View) withDeltas(deltas []statemachine.Delta) (*View, error) {
 	n := *vi
 	changedSet, changedQuarantine := false, false
 	for _, d := range deltas {
--- a/internal/handlers/operator.go
+++ b/internal/handlers/operator.go
@@ -14,11 +14,11 @@
 	"github.com/tamarackbay/tamarackbay/internal/declaration"
 	"github.com/tamarackbay/tamarackbay/internal/gateway"
 	"github.com/tamarackbay/tamarackbay/internal/group"
+	"github.com/tamarackbay/tamarackbay/internal/intent"
 	"github.com/tamarackbay/tamarackbay/internal/lease"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
-	"github.com/tamarackbay/tamarackbay/internal/order"
 	"github.com/tamarackbay/tamarackbay/internal/pool"
 	"github.com/tamarackbay/tamarackbay/internal/result"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 )
 
 // readTimeout bounds how long a read waits for this gateway to be up to date.
@@ -160,7 +160,7 @@
 		n = 20
 	}
 	var out []declaration.Change
-	if !op.gateway.Group().Read(func(ma *machine.Machine) { out = ma.Configuration().History(n) }) {
+	if !op.gateway.Group().Read(func(ma *statemachine.Machine) { out = ma.Configuration().History(n) }) {
 		op.refuse(w, result.New(result.NotLeader, "this gateway has no disk and no history: ask a gateway with a disk"))
 
 		return
@@ -215,7 +215,7 @@
 	Replica group.Status           `json:"replica"`
 	Servers []pool.Info            `json:"servers"`
 	Leases  map[string]lease.Lease `json:"leases"`
-	Open    []order.Intent         `json:"openOrders"`
+	Open    []intent.Intent        `json:"openOrders"`
 	Steps   int                    `json:"steps"`
 }
 
@@ -230,7 +230,7 @@
 	for _, po := range op.gateway.Pools() {
 		rep.Servers = append(rep.Servers, po.Infos()...)
 	}
-	gr.Read(func(ma *machine.Machine) {
+	gr.Read(func(ma *statemachine.Machine) {
 		for n, le := range ma.Leases().Leases() {
 			rep.Leases[n] = le
 		}
@@ -244,14 +244,14 @@
 }
 
 type memberReply struct {
-	machine.Register
+	statemachine.Register
 	Voter bool `json:"voter"`
 }
 
 func (op *Operators) members(w http.ResponseWriter, _ *http.Request, _ string) {
 	st := op.gateway.Group().Status()
 	out := []memberReply{}
-	op.gateway.Group().Read(func(ma *machine.Machine) {
+	op.gateway.Group().Read(func(ma *statemachine.Machine) {
 		for _, id := range st.Membership.All() {
 			re := ma.Replicas()[id]
 			re.Replica = id
--- a/internal/call/call.go
+++ b/internal/idempotency/idempotency.go
@@ -1,7 +1,7 @@
-// Package call holds the ledger of non-repeatable requests. An intent with the
+// Package idempotency holds the ledger of non-repeatable requests. An intent with the
 // caller's idempotency key is committed before the request is sent to a backend
 // server, so that a resend through any gateway never causes a second run.
-package call
+package idempotency
 
 import (
 	"github.com/tamarackbay/tamarackbay/internal/result"
--- a/internal/order/order.go
+++ b/internal/intent/intent.go
@@ -1,7 +1,7 @@
-// Package order records the intents of outside orders in the replicated state. An intent
+// Package intent records the intents of outside orders in the replicated state. An intent
 // is committed before its call is made, so that the next lease holder can settle the
 // order under the same ID.
-package order
+package intent
 
 import (
 	"slices"
--- a/internal/dispatch/driver.go
+++ b/internal/jobdriver/driver.go
@@ -1,8 +1,8 @@
-// Package dispatch executes the items of batch jobs while its store is the leader of
+// Package jobdriver executes the items of batch jobs while its store is the leader of
 // the store group. It places each item at a backend server, resumes broken runs after
 // their last event, requests the score and commits the result. One process executes
 // all items of a group.
-package dispatch
+package jobdriver
 
 import (
 	"cmp"
@@ -18,9 +18,9 @@
 	"github.com/tamarackbay/tamarackbay/internal/feed"
 	"github.com/tamarackbay/tamarackbay/internal/group"
 	"github.com/tamarackbay/tamarackbay/internal/job"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/meter"
 	"github.com/tamarackbay/tamarackbay/internal/routing"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 )
 
 const (
@@ -71,7 +71,7 @@
 	return &Driver{
 		cfg: cfg, wake: make(chan struct{}, 1), jobs: map[string]*jobState{}, running: map[string]int{}, paces: newPaceTracker(),
 		demand: map[string]float64{}, commit: func(ctx context.Context, pr job.Progress) error {
-			return cfg.Group.ProposeLocal(ctx, machine.KindNoteProgress, pr, nil)
+			return cfg.Group.ProposeLocal(ctx, statemachine.KindNoteProgress, pr, nil)
 		},
 	}
 }
@@ -171,7 +171,7 @@
 
 // syncLedger takes over the changes of the ledger: new jobs, ended jobs, listed items.
 func (dr *Driver) syncLedger() {
-	dr.cfg.Group.Read(func(ma *machine.Machine) {
+	dr.cfg.Group.Read(func(ma *statemachine.Machine) {
 		le := ma.Jobs()
 		if le.Revision() == dr.revision && dr.revision != 0 {
 			return
@@ -461,7 +461,7 @@
 		fl["why"] = why
 	}
 	for ctx.Err() == nil {
-		err := dr.cfg.Group.ProposeLocal(ctx, machine.KindListResults, job.List{Job: t.job.id, Results: []job.Result{re}}, nil)
+		err := dr.cfg.Group.ProposeLocal(ctx, statemachine.KindListResults, job.List{Job: t.job.id, Results: []job.Result{re}}, nil)
 		if err == nil {
 			dr.cfg.Meter.Count("item.listed")
 			dr.cfg.Log.WithFields(fl).Info("item listed")
--- a/internal/dispatch/pace_test.go
+++ b/internal/jobdriver/pace_test.go
@@ -1,4 +1,4 @@
-package dispatch
+package jobdriver
 
 import (
 	"testing"
@@ -10,7 +10,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/suite"
 )
 
-func TestSuite(t *testing.T) { suite.Run(t, "dispatch") }
+func TestSuite(t *testing.T) { suite.Run(t, "jobdriver") }
 
 func slowOf(pa *paceTracker, at time.Time) []string {
 	slow, _ := pa.classify(at)
--- a/internal/dispatch/run.go
+++ b/internal/jobdriver/run.go
@@ -1,4 +1,4 @@
-package dispatch
+package jobdriver
 
 import (
 	"context"
@@ -94,8 +94,8 @@
 }
 
 var (
-	errSilent = errors.New("dispatch: no event from the backend server within the time limit")
-	errSlow   = errors.New("dispatch: run moved away from a slow backend server")
+	errSilent = errors.New("jobdriver: no event from the backend server within the time limit")
+	errSlow   = errors.New("jobdriver: run moved away from a slow backend server")
 )
 
 func (oc outcome) String() string {
--- a/internal/dispatch/course.go
+++ b/internal/jobdriver/timeline.go
@@ -1,4 +1,4 @@
-package dispatch
+package jobdriver
 
 import (
 	"cmp"
--- a/internal/jobstore/jobstore.go
+++ b/internal/jobstore/jobstore.go
@@ -17,18 +17,18 @@
 	"github.com/tamarackbay/tamarackbay/internal/balance"
 	"github.com/tamarackbay/tamarackbay/internal/consensus"
 	"github.com/tamarackbay/tamarackbay/internal/controller"
-	"github.com/tamarackbay/tamarackbay/internal/dispatch"
 	"github.com/tamarackbay/tamarackbay/internal/feed"
 	"github.com/tamarackbay/tamarackbay/internal/group"
 	"github.com/tamarackbay/tamarackbay/internal/job"
+	"github.com/tamarackbay/tamarackbay/internal/jobdriver"
 	"github.com/tamarackbay/tamarackbay/internal/jobproxy"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/meter"
 	"github.com/tamarackbay/tamarackbay/internal/peer"
 	"github.com/tamarackbay/tamarackbay/internal/result"
 	"github.com/tamarackbay/tamarackbay/internal/roster"
 	"github.com/tamarackbay/tamarackbay/internal/scheduler"
 	"github.com/tamarackbay/tamarackbay/internal/settings"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/storage"
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
@@ -60,7 +60,7 @@
 	links         *peer.Links
 	follower      *feed.Follower
 	balancer      *balance.Balancer
-	driver        *dispatch.Driver
+	driver        *jobdriver.Driver
 	statusChanged chan struct{} // holds an element after a change of the group's status
 }
 
@@ -83,7 +83,7 @@
 	st.balancer = balance.New(balance.Config{
 		FailureDomain: no.FailureDomain, Scheduler: scheduler.Config{Choices: schedulerChoices}, Now: cfg.Now, Random: rand.IntN, IdleTimeout: cfg.Client.IdleTimeout,
 	})
-	st.driver = dispatch.New(dispatch.Config{
+	st.driver = jobdriver.New(jobdriver.Config{
 		Group: st.group, View: st.follower.View, Changed: st.follower.Changed, Balancer: st.balancer, Client: cfg.Client,
 		Random: rand.Float64, Meter: cfg.Meter, Log: cfg.Log,
 	})
@@ -209,7 +209,7 @@
 func (st *Store) Handlers() peer.Mux {
 	mux := st.group.Handlers()
 	mux[jobproxy.MethodSubmit] = handle(st, func(ctx context.Context, su *job.Submit) (any, error) {
-		if err := st.group.ProposeLocal(ctx, machine.KindSubmitJob, su, nil); err != nil {
+		if err := st.group.ProposeLocal(ctx, statemachine.KindSubmitJob, su, nil); err != nil {
 			return nil, err
 		}
 		st.cfg.Log.WithFields(log.Fields{"job": su.Spec.ID, "items": len(su.Spec.Items)}).Info("job accepted")
@@ -217,7 +217,7 @@
 		return nil, nil
 	})
 	mux[jobproxy.MethodEnd] = handle(st, func(ctx context.Context, en *job.End) (any, error) {
-		if err := st.group.ProposeLocal(ctx, machine.KindEndJob, en, nil); err != nil {
+		if err := st.group.ProposeLocal(ctx, statemachine.KindEndJob, en, nil); err != nil {
 			return nil, err
 		}
 		st.cfg.Log.WithField("job", en.Job).Info("job ended")
@@ -275,7 +275,7 @@
 		changed := st.group.Applied()
 		var pa *job.Page
 		var jerr error
-		st.group.Read(func(ma *machine.Machine) {
+		st.group.Read(func(ma *statemachine.Machine) {
 			var jo *job.Job
 			if jo, jerr = ma.Jobs().Get(rd.Job, rd.Workspace); jerr == nil {
 				pa = jo.Page(rd.From)
@@ -313,7 +313,7 @@
 		}
 		changed = st.group.Applied()
 		hasResults := false
-		st.group.Read(func(ma *machine.Machine) {
+		st.group.Read(func(ma *statemachine.Machine) {
 			jo, err := ma.Jobs().Get(rd.Job, rd.Workspace)
 			hasResults = err != nil || len(jo.Results) > rd.From
 		})
@@ -330,7 +330,7 @@
 
 	var b []byte
 	var err error
-	st.group.Read(func(ma *machine.Machine) {
+	st.group.Read(func(ma *statemachine.Machine) {
 		var jo *job.Job
 		if jo, err = ma.Jobs().Get(rq.Job, rq.Workspace); err != nil {
 			return
--- a/internal/leasedtask/leasedtask.go
+++ b/internal/leasedtask/leasedtask.go
@@ -13,7 +13,7 @@
 
 	"github.com/tamarackbay/tamarackbay/internal/group"
 	"github.com/tamarackbay/tamarackbay/internal/lease"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 )
 
 const (
@@ -130,7 +130,7 @@
 		return // the applied state may be stale: neither observe the lease nor propose
 	}
 	var le lease.Lease
-	if !ta.cfg.Group.Read(func(ma *machine.Machine) { le = ma.Leases().Get(ta.cfg.Name) }) {
+	if !ta.cfg.Group.Read(func(ma *statemachine.Machine) { le = ma.Leases().Get(ta.cfg.Name) }) {
 		return
 	}
 	ac, ok := ta.nextAction(le)
@@ -144,14 +144,14 @@
 	var err error
 	switch {
 	case ac.Acquire != nil:
-		err = ta.cfg.Group.Propose(cctx, machine.KindAcquireLease, ac.Acquire, &got)
+		err = ta.cfg.Group.Propose(cctx, statemachine.KindAcquireLease, ac.Acquire, &got)
 		if err == nil {
 			ta.cfg.Log.WithFields(log.Fields{"lease": ta.cfg.Name, "fencing": got.Fencing}).Info("lease acquired")
 		}
 	case ac.Renew != nil:
-		err = ta.cfg.Group.Propose(cctx, machine.KindRenewLease, ac.Renew, &got)
+		err = ta.cfg.Group.Propose(cctx, statemachine.KindRenewLease, ac.Renew, &got)
 	case ac.Release != nil:
-		if err := ta.cfg.Group.Propose(cctx, machine.KindReleaseLease, ac.Release, nil); err != nil {
+		if err := ta.cfg.Group.Propose(cctx, statemachine.KindReleaseLease, ac.Release, nil); err != nil {
 			ta.cfg.Log.WithError(err).WithField("lease", ta.cfg.Name).Warn("lease not released, it expires")
 		}
 
--- a/internal/rollout/driver.go
+++ b/internal/rollout/driver.go
@@ -11,9 +11,9 @@
 	"github.com/apex/log"
 
 	"github.com/tamarackbay/tamarackbay/internal/group"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/meter"
 	"github.com/tamarackbay/tamarackbay/internal/result"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/step"
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
@@ -91,7 +91,7 @@
 	dr.store.mu.Unlock()
 
 	needed := map[string]map[string]struct{}{}
-	hasLedger := dr.cfg.Group.Read(func(ma *machine.Machine) {
+	hasLedger := dr.cfg.Group.Read(func(ma *statemachine.Machine) {
 		for _, k := range keys {
 			needed[k] = map[string]struct{}{}
 			st, err := ma.Steps().Get(k)
@@ -146,7 +146,7 @@
 
 	st.Driver = dr.cfg.Identity
 	var opened step.Step
-	if err := dr.cfg.Group.Propose(ctx, machine.KindOpenStep, step.Open{Step: st}, &opened); err != nil {
+	if err := dr.cfg.Group.Propose(ctx, statemachine.KindOpenStep, step.Open{Step: st}, &opened); err != nil {
 		return nil, err
 	}
 	if opened.Driver == dr.cfg.Identity && opened.DoneMs == 0 {
@@ -185,7 +185,7 @@
 	}
 
 	var st step.Step
-	err := dr.cfg.Group.Propose(ctx, machine.KindDrive, step.Drive{Key: key, From: from, To: dr.cfg.Identity}, &st)
+	err := dr.cfg.Group.Propose(ctx, statemachine.KindDrive, step.Drive{Key: key, From: from, To: dr.cfg.Identity}, &st)
 	if err != nil || st.Driver != dr.cfg.Identity || st.DoneMs > 0 {
 		return
 	}
--- a/internal/rollout/page.go
+++ b/internal/rollout/page.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/result"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/step"
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
@@ -33,7 +33,7 @@
 	for {
 		if dr.shouldPropose(fp) {
 			var rep step.PageReply
-			err := dr.cfg.Group.Propose(ctx, machine.KindFormPage, fp, &rep)
+			err := dr.cfg.Group.Propose(ctx, statemachine.KindFormPage, fp, &rep)
 			dr.cfg.Meter.Add("samples.stale", int64(rep.Stale))
 			if err == nil {
 				return dr.assemble(ctx, key, id, rep)
@@ -62,7 +62,7 @@
 // than a quarter of the step's samples have won, or after the deadline.
 func (dr *Driver) shouldPropose(fp step.FormPage) bool {
 	propose := true
-	dr.cfg.Group.Read(func(ma *machine.Machine) {
+	dr.cfg.Group.Read(func(ma *statemachine.Machine) {
 		st, err := ma.Steps().Get(fp.Key)
 		if err != nil || fp.Number != uint64(len(st.Pages))+1 {
 			return // the group returns the existing page or an error
@@ -87,7 +87,7 @@
 // checkDriver takes over the step if its driver does not answer.
 func (dr *Driver) checkDriver(ctx context.Context, key string) {
 	driver := ""
-	ok := dr.cfg.Group.Read(func(ma *machine.Machine) {
+	ok := dr.cfg.Group.Read(func(ma *statemachine.Machine) {
 		if st, err := ma.Steps().Get(key); err == nil && st.DoneMs == 0 {
 			driver = st.Driver
 		}
@@ -189,7 +189,7 @@
 			}
 		}
 	}
-	if dr.cfg.Group.Read(func(ma *machine.Machine) {
+	if dr.cfg.Group.Read(func(ma *statemachine.Machine) {
 		if st, err := ma.Steps().Get(key); err == nil {
 			find(st)
 		}
@@ -220,7 +220,7 @@
 	}
 	if len(confirmed.Samples) > 0 {
 		dr.cfg.Meter.Add("payloads.lost", int64(len(confirmed.Samples)))
-		if err := dr.cfg.Group.Propose(ctx, machine.KindLost, confirmed, nil); err != nil {
+		if err := dr.cfg.Group.Propose(ctx, statemachine.KindLost, confirmed, nil); err != nil {
 			return err
 		}
 	}
@@ -251,7 +251,7 @@
 // samples that are on no page yet.
 func (dr *Driver) Ack(ctx context.Context, workspace, id string, number uint64) (remaining int, err error) {
 	var rep step.PageReply
-	err = dr.cfg.Group.Propose(ctx, machine.KindAckPage, step.Ack{Key: step.Key(workspace, id), Number: number}, &rep)
+	err = dr.cfg.Group.Propose(ctx, statemachine.KindAckPage, step.Ack{Key: step.Key(workspace, id), Number: number}, &rep)
 
 	return rep.Remaining, err
 }
--- a/internal/rollout/steprun.go
+++ b/internal/rollout/steprun.go
@@ -8,8 +8,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/result"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/step"
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
@@ -135,7 +135,7 @@
 			}
 		}
 	}
-	if sr.dr.cfg.Group.Read(func(ma *machine.Machine) {
+	if sr.dr.cfg.Group.Read(func(ma *statemachine.Machine) {
 		if st, err := ma.Steps().Get(sr.st.Key()); err == nil {
 			read(st)
 		}
@@ -439,7 +439,7 @@
 	}
 	for ctx.Err() == nil {
 		cctx, cancel := context.WithTimeout(ctx, proposeTimeout)
-		err := sr.dr.cfg.Group.Propose(cctx, machine.KindWins, ws, nil)
+		err := sr.dr.cfg.Group.Propose(cctx, statemachine.KindWins, ws, nil)
 		cancel()
 		if err == nil || result.Is(err, result.UnknownStep) {
 			return
--- a/internal/machine/command.go
+++ b/internal/statemachine/command.go
@@ -1,4 +1,4 @@
-package machine
+package statemachine
 
 import (
 	"encoding/binary"
--- a/internal/machine/machine.go
+++ b/internal/statemachine/statemachine.go
@@ -1,20 +1,20 @@
-// Package machine is the replicated state machine of a consensus group. It applies
+// Package statemachine is the replicated state machine of a consensus group. It applies
 // the commands of the log to the state of each domain (configuration, leases, orders,
 // steps and so on). It never reads a clock: the time is a field of the command.
-package machine
+package statemachine
 
 import (
 	"encoding/binary"
 
 	"github.com/fxamacker/cbor/v2"
 
-	"github.com/tamarackbay/tamarackbay/internal/call"
 	"github.com/tamarackbay/tamarackbay/internal/codec"
 	"github.com/tamarackbay/tamarackbay/internal/consensus"
 	"github.com/tamarackbay/tamarackbay/internal/declaration"
+	"github.com/tamarackbay/tamarackbay/internal/idempotency"
+	"github.com/tamarackbay/tamarackbay/internal/intent"
 	"github.com/tamarackbay/tamarackbay/internal/job"
 	"github.com/tamarackbay/tamarackbay/internal/lease"
-	"github.com/tamarackbay/tamarackbay/internal/order"
 	"github.com/tamarackbay/tamarackbay/internal/quarantine"
 	"github.com/tamarackbay/tamarackbay/internal/result"
 	"github.com/tamarackbay/tamarackbay/internal/roster"
@@ -51,9 +51,9 @@
 	atMs          int64  // latest time of a command, Unix milliseconds
 	configuration *declaration.Configuration
 	leases        *lease.Table
-	orders        *order.Log
+	orders        *intent.Log
 	steps         *step.Ledger
-	calls         *call.Ledger
+	calls         *idempotency.Ledger
 	usage         *usage.Ledger
 	quarantine    *quarantine.State
 	replicas      map[consensus.ReplicaID]Register
@@ -83,9 +83,9 @@
 	AtMs          int64                            `cbor:"2,keyasint"`
 	Configuration declaration.Snapshot             `cbor:"3,keyasint"`
 	Leases        map[string]lease.Lease           `cbor:"4,keyasint"`
-	Orders        order.Snapshot                   `cbor:"5,keyasint"`
+	Orders        intent.Snapshot                  `cbor:"5,keyasint"`
 	Steps         map[string]*step.Step            `cbor:"6,keyasint"`
-	Calls         call.Snapshot                    `cbor:"7,keyasint"`
+	Calls         idempotency.Snapshot             `cbor:"7,keyasint"`
 	Usage         usage.Snapshot                   `cbor:"8,keyasint"`
 	Quarantine    map[string]quarantine.Entry      `cbor:"9,keyasint"`
 	Replicas      map[consensus.ReplicaID]Register `cbor:"10,keyasint"`
@@ -162,7 +162,7 @@
 
 	return &Machine{
 		applied: sn.Applied, atMs: sn.AtMs, configuration: cs, leases: lease.NewTable(sn.Leases),
-		orders: order.NewLog(sn.Orders), steps: step.NewLedger(sn.Steps), calls: call.NewLedger(sn.Calls),
+		orders: intent.NewLog(sn.Orders), steps: step.NewLedger(sn.Steps), calls: idempotency.NewLedger(sn.Calls),
 		usage: usage.NewLedger(sn.Usage), quarantine: quarantine.NewState(sn.Quarantine), replicas: sn.Replicas,
 		deltasAfter: sn.Applied, revision: sn.Revision,
 		routing: routing.NewState(sn.Routing), versions: weights.NewNames(sn.Versions),
@@ -183,13 +183,13 @@
 func (ma *Machine) Leases() *lease.Table { return ma.leases }
 
 // Orders returns the log of intents to order backend servers.
-func (ma *Machine) Orders() *order.Log { return ma.orders }
+func (ma *Machine) Orders() *intent.Log { return ma.orders }
 
 // Steps returns the ledger of the trainers' steps.
 func (ma *Machine) Steps() *step.Ledger { return ma.steps }
 
 // Calls returns the ledger of calls that may not be repeated.
-func (ma *Machine) Calls() *call.Ledger { return ma.calls }
+func (ma *Machine) Calls() *idempotency.Ledger { return ma.calls }
 
 // Usage returns the ledger of usage windows.
 func (ma *Machine) Usage() *usage.Ledger { return ma.usage }
@@ -270,9 +270,9 @@
 
 		return *st, nil
 	}),
-	KindBeginCall: handle(func(ma *Machine, c call.Begin) (any, error) { return ma.calls.Begin(c, ma.atMs) }),
-	KindEndCall:   handle(func(ma *Machine, c call.End) (any, error) { return nil, ma.calls.End(c) }),
-	KindAbandonCall: handle(func(ma *Machine, c call.Abandon) (any, error) {
+	KindBeginCall: handle(func(ma *Machine, c idempotency.Begin) (any, error) { return ma.calls.Begin(c, ma.atMs) }),
+	KindEndCall:   handle(func(ma *Machine, c idempotency.End) (any, error) { return nil, ma.calls.End(c) }),
+	KindAbandonCall: handle(func(ma *Machine, c idempotency.Abandon) (any, error) {
 		ma.calls.Abandon(c)
 
 		return nil, nil
@@ -342,7 +342,7 @@
 	return an, an.Err()
 }
 
-func (ma *Machine) openIntent(op order.Open) (any, error) {
+func (ma *Machine) openIntent(op intent.Open) (any, error) {
 	if err := ma.leases.Check(op.Intent.Lease, op.Intent.Fencing); err != nil {
 		return nil, err
 	}
@@ -351,7 +351,7 @@
 	return ma.orders.Open(op), nil
 }
 
-func (ma *Machine) settleIntent(se order.Settle) (any, error) {
+func (ma *Machine) settleIntent(se intent.Settle) (any, error) {
 	if err := ma.leases.Check(se.Lease, se.Fencing); err != nil {
 		return nil, err
 	}
