--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -89,7 +89,7 @@
 		}
 		for n := range 200 { // cost 10 every 10 ms
 			q.Pop(0, alwaysFits, ignoreExpired)
-			q.Served(time.Duration(n)*time.Millisecond*10, 10)
+			q.RecordServed(time.Duration(n)*time.Millisecond*10, 10)
 		}
 		now := 2 * time.Second
 		short := item("a", 1, 2, 10)
@@ -172,7 +172,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				it := q.Pop(time.Millisecond, alwaysFits, ignoreExpired)
-				q.Served(time.Millisecond, it.Cost)
+				q.RecordServed(time.Millisecond, it.Cost)
 				if err := q.Push(time.Millisecond, it); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -284,8 +284,8 @@
 	return false
 }
 
-// Served records served cost, from which the queue estimates its service rate.
-func (q *Queue) Served(now time.Duration, cost float64) { q.rate.add(now, cost, q.count > 0) }
+// RecordServed records served cost, from which the queue estimates its service rate.
+func (q *Queue) RecordServed(now time.Duration, cost float64) { q.rate.add(now, cost, q.count > 0) }
 
 // servedRate is a moving average of the cost served per second while requests waited.
 type servedRate struct {
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -116,7 +116,7 @@
 	Prefix     string // of its prompt, "" for none
 	Exclude    []string
 	Tokens     int
-	Extra      int // requests that a backend server accepts beyond its slots
+	ExtraSlots int // requests that a backend server accepts beyond its slots
 }
 
 // Grant is the right to send one request to a backend server.
@@ -153,7 +153,7 @@
 	}
 	for i, sv := range se.servers {
 		if now-sv.loadReportedAt > maxLoadAge {
-			se.cands[i].Running, se.cands[i].MineReported = 0, 0
+			se.cands[i].Running, se.cands[i].InFlightReported = 0, 0
 		}
 		sv.dropClosedConns(now, idleTimeout)
 		se.cands[i].HasIdle = len(sv.idleSince) > 0
@@ -166,7 +166,7 @@
 		if rq.Prefix != "" && sv.lastPrefix == rq.Prefix {
 			sr.Affinity = i
 		}
-		se.cands[i].Slots = sv.record.Slots + rq.Extra
+		se.cands[i].Slots = sv.record.Slots + rq.ExtraSlots
 	}
 
 	i := se.sched.Pick(now, se.cands, &sr)
@@ -180,7 +180,7 @@
 	if n := len(sv.idleSince); n > 0 {
 		sv.idleSince = sv.idleSince[:n-1] // the connection used last is used again
 	}
-	se.cands[i].Mine++
+	se.cands[i].InFlight++
 	se.cands[i].Tokens += rq.Tokens
 
 	return &Grant{balancer: ba, set: se, server: sv, record: sv.record, tokens: rq.Tokens, grantedAt: now}
@@ -244,22 +244,22 @@
 	}
 	now := ba.cfg.Now()
 	ca := &gr.set.cands[i]
-	ca.Mine--
+	ca.InFlight--
 	if (oc == Succeeded || oc == Busy) && ba.cfg.IdleTimeout != nil {
 		gr.server.idleSince = append(gr.server.idleSince, now)
 	}
 	ca.Tokens -= gr.tokens
 	if load != nil {
 		ca.Running = load.Running + load.Waiting
-		ca.MineReported = min(ca.Mine+1, ca.Running)
+		ca.InFlightReported = min(ca.InFlight+1, ca.Running)
 		gr.server.loadReportedAt = now
 	}
 	switch oc {
 	case Succeeded:
-		gr.set.sched.Succeeded(ca)
+		gr.set.sched.RecordSuccess(ca)
 		ca.Latency = 0.8*ca.Latency + 0.2*(now-gr.grantedAt).Seconds()
 	case Failed:
-		gr.set.sched.Failed(now, gr.set.cands, i)
+		gr.set.sched.RecordFailure(now, gr.set.cands, i)
 	case Busy:
 		gr.server.pausedUntil = now + busyPause
 	case Unused:
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -272,8 +272,8 @@
 			SequenceOf: func(string) uint64 { return 1 }, ReportPeriod: func() time.Duration { return time.Second },
 		})
 		for i := range n {
-			po.Announce(&wire.Announce{Server: fmt.Sprintf("server-%05d", i), Incarnation: 1, Model: "m", FailureDomain: "a", Slots: 16}, nil)
-			po.Load(loadReport(i, 1), 8)
+			po.AddServer(&wire.Announce{Server: fmt.Sprintf("server-%05d", i), Incarnation: 1, Model: "m", FailureDomain: "a", Slots: 16}, nil)
+			po.ApplyLoad(loadReport(i, 1), 8)
 		}
 
 		return po
@@ -288,7 +288,7 @@
 		po := newPool(60)
 		before := cpuTime()
 		for i := range n {
-			po.Load(loadReport(i%60, uint64(2+i/60)), 8)
+			po.ApplyLoad(loadReport(i%60, uint64(2+i/60)), 8)
 		}
 
 		return (cpuTime() - before).Seconds(), nil
@@ -300,7 +300,7 @@
 		po := newPool(60)
 		before := cpuTime()
 		for range n {
-			gr, err := po.Acquire(context.Background(), pool.Ticket{Workspace: "w", Weight: 1, Cost: 100, MaxQueued: 10})
+			gr, err := po.Acquire(context.Background(), pool.Request{Workspace: "w", Weight: 1, Cost: 100, MaxQueued: 10})
 			if err != nil {
 				return 0, err
 			}
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -147,7 +147,7 @@
 
 func (r *Replica) sendEarly(m Message) {
 	m.From, m.Group, m.Term = r.cfg.ID, r.cfg.Group, r.hardState.Term
-	r.earlyMessages = append(r.earlyMessages, m)
+	r.unsyncedMessages = append(r.unsyncedMessages, m)
 }
 
 func (r *Replica) startSnapshot(now time.Duration, id ReplicaID, pr *progress) {
@@ -330,7 +330,7 @@
 	case len(next.Voters) == 0:
 		return 0, ErrLastVoter
 	case !r.differsByOneVoter(r.log.membership(), next):
-		return 0, ErrUnknownReplica
+		return 0, ErrNotOneVoterChange
 	}
 	for _, id := range next.Voters {
 		if !r.log.membership().IsVoter(id) && !r.CaughtUp(id) {
@@ -375,9 +375,9 @@
 	return pr != nil && pr.match > 0 && pr.match+maxPromotionLag >= r.log.lastIndex()
 }
 
-// HeardFrom returns when the leader last received a reply from the follower id, or before the
+// LastContact returns when the leader last received a reply from the follower id, or before the
 // first reply, when it started to track id. It returns false if id is not tracked.
-func (r *Replica) HeardFrom(id ReplicaID) (time.Duration, bool) {
+func (r *Replica) LastContact(id ReplicaID) (time.Duration, bool) {
 	pr := r.progress[id]
 	if pr == nil {
 		return 0, false
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -9,12 +9,12 @@
 
 // Errors of proposals and membership changes.
 var (
-	ErrNotLeader       = errors.New("consensus: this replica is not the leader")
-	ErrChangeInFlight  = errors.New("consensus: a membership change is in flight, or no entry of this term is committed yet")
-	ErrNotCaughtUp     = errors.New("consensus: the learner has not caught up")
-	ErrLastVoter       = errors.New("consensus: cannot remove the last voter")
-	ErrUnknownReplica  = errors.New("consensus: the replica is not a member")
-	ErrTransferRunning = errors.New("consensus: a leadership transfer is in progress")
+	ErrNotLeader         = errors.New("consensus: this replica is not the leader")
+	ErrChangeInFlight    = errors.New("consensus: a membership change is in flight, or no entry of this term is committed yet")
+	ErrNotCaughtUp       = errors.New("consensus: the learner has not caught up")
+	ErrLastVoter         = errors.New("consensus: cannot remove the last voter")
+	ErrNotOneVoterChange = errors.New("consensus: the voter sets differ by more than one replica")
+	ErrTransferRunning   = errors.New("consensus: a leadership transfer is in progress")
 )
 
 // maxPromotionLag is how many entries a learner may lag behind when it becomes a voter.
@@ -46,9 +46,9 @@
 	partialSnapshot *Snapshot // being received in chunks
 	pendingInstall  *Snapshot // received completely; the next Ready returns it
 
-	earlyMessages []Message // for Ready.Early
-	messages      []Message // for Ready.Messages
-	readStates    []ReadState
+	unsyncedMessages []Message // for Ready.Unsynced
+	messages         []Message // for Ready.Messages
+	readStates       []ReadState
 }
 
 type pendingRead struct {
@@ -196,8 +196,8 @@
 
 // Ready returns the pending work. The driver calls Advance once it is stored.
 func (r *Replica) Ready() Ready {
-	rd := Ready{Early: r.earlyMessages, Messages: r.messages, Reads: r.readStates, Snapshot: r.pendingInstall}
-	r.earlyMessages, r.messages, r.readStates, r.pendingInstall = nil, nil, nil, nil
+	rd := Ready{Unsynced: r.unsyncedMessages, Messages: r.messages, Reads: r.readStates, Snapshot: r.pendingInstall}
+	r.unsyncedMessages, r.messages, r.readStates, r.pendingInstall = nil, nil, nil, nil
 
 	if r.hardState != r.emittedHardState {
 		hs := r.hardState
--- a/internal/consensus/scenario_test.go
+++ b/internal/consensus/scenario_test.go
@@ -126,7 +126,7 @@
 	// takeSentBytes takes the pending messages and returns the number of entry bytes sent to "b".
 	takeSentBytes := func(re *consensus.Replica) int {
 		rd, n := re.Ready(), 0
-		for _, m := range rd.Early {
+		for _, m := range rd.Unsynced {
 			for _, en := range m.Entries {
 				if m.To == "b" {
 					n += len(en.Data)
@@ -158,7 +158,7 @@
 			now += 10 * time.Millisecond
 			re.Tick(now)
 			rd := re.Ready()
-			for _, m := range rd.Early {
+			for _, m := range rd.Unsynced {
 				if m.To != "b" || m.Kind != consensus.MessageAppend {
 					continue
 				}
@@ -201,7 +201,7 @@
 			re.Step(time.Second, consensus.Message{Kind: consensus.MessageAppendReply, Group: 1, From: from, To: "a", Term: 2, Reject: true, Index: 50})
 		}
 		chunks := map[consensus.ReplicaID]int{}
-		for _, m := range re.Ready().Early {
+		for _, m := range re.Ready().Unsynced {
 			if m.Kind == consensus.MessageSnapshot {
 				chunks[m.To]++
 			}
--- a/internal/consensus/simulation_test.go
+++ b/internal/consensus/simulation_test.go
@@ -99,7 +99,7 @@
 		if rd.Empty() {
 			return
 		}
-		s.sendAll(rd.Early)
+		s.sendAll(rd.Unsynced)
 		if rd.MustSync() && !s.faultsDisabled && s.rnd.IntN(400) == 0 {
 			s.crash(n) // loses the unsynced tail
 			s.events["lostTail"]++
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -163,10 +163,10 @@
 	OK      bool
 }
 
-// Ready lists the driver's pending work, in this order: send Early, store HardState,
+// Ready lists the driver's pending work, in this order: send Unsynced, store HardState,
 // Snapshot and Entries with one sync, send Messages, call Advance, apply Committed.
 type Ready struct {
-	Early     []Message // a leader's appends and snapshots, which need no sync first
+	Unsynced  []Message // a leader's appends and snapshots, which need no sync first
 	HardState *HardState
 	Snapshot  *Snapshot
 	Entries   []Entry
@@ -177,7 +177,7 @@
 
 // Empty reports whether there is no pending work.
 func (rd *Ready) Empty() bool {
-	return len(rd.Early) == 0 && rd.HardState == nil && rd.Snapshot == nil && len(rd.Entries) == 0 &&
+	return len(rd.Unsynced) == 0 && rd.HardState == nil && rd.Snapshot == nil && len(rd.Entries) == 0 &&
 		len(rd.Messages) == 0 && len(rd.Committed) == 0 && len(rd.Reads) == 0
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -84,8 +84,8 @@
 	stores             map[string]*store // by name
 	publishWake        chan struct{}
 	startedAt          time.Duration
-	formationWaitSince time.Duration             // when stores were first known without a formed group, 0 before
-	swapPlanners       map[string]*weights.Joint // by service
+	formationWaitSince time.Duration                    // when stores were first known without a formed group, 0 before
+	swapPlanners       map[string]*weights.JointPlanner // by service
 	swapWake           chan struct{}
 	usage              usageState
 }
@@ -119,7 +119,7 @@
 	co := &Controller{
 		cfg: cfg, feed: feed.NewServer(), links: peer.NewLinks(context.Background(), cfg.Peer), stopped: make(chan struct{}),
 		registry: registry.New(maxMissedHeartbeats * no.BeatPeriod), stores: map[string]*store{}, publishWake: make(chan struct{}, 1),
-		startedAt: cfg.Now(), swapPlanners: map[string]*weights.Joint{}, swapWake: make(chan struct{}, 1),
+		startedAt: cfg.Now(), swapPlanners: map[string]*weights.JointPlanner{}, swapWake: make(chan struct{}, 1),
 	}
 	var founders []group.Founder
 	for _, a := range no.Controllers {
@@ -221,7 +221,7 @@
 func (co *Controller) leasedTasks() []*leasedtask.Task {
 	with := func(name string, wake <-chan struct{}, work func(ctx context.Context, held leasedtask.Held)) *leasedtask.Task {
 		return leasedtask.New(leasedtask.Config{
-			Name: name, Holder: co.cfg.Settings.Name, Terms: leaseTerms, Group: co.group, Now: co.cfg.Now, Work: work, Wake: wake,
+			Name: name, Holder: co.cfg.Settings.Name, Timing: leaseTiming, Group: co.group, Now: co.cfg.Now, Work: work, Wake: wake,
 			Stopped: co.stopped, ReacquireDelay: co.cfg.Settings.ReacquireDelay, Log: co.cfg.Log,
 		})
 	}
@@ -233,9 +233,9 @@
 	return out
 }
 
-// leaseTerms are short because the platform and the backend servers check fencing
+// leaseTiming is short because the platform and the backend servers check fencing
 // numbers themselves: a successor may act as soon as it holds a higher one.
-var leaseTerms = lease.Terms{Duration: 1500 * time.Millisecond, MaxCall: 500 * time.Millisecond, Drift: 0.01}
+var leaseTiming = lease.Timing{Duration: 1500 * time.Millisecond, MaxCall: 500 * time.Millisecond, Drift: 0.01}
 
 // HandOver releases the leases and transfers leadership before the process stops.
 func (co *Controller) HandOver(ctx context.Context) {
@@ -400,7 +400,7 @@
 
 // NameVersion commits a weight version.
 func (co *Controller) NameVersion(ctx context.Context, model string, version uint64) error {
-	if err := co.group.Propose(ctx, statemachine.KindNameVersion, weights.Name{Model: model, Version: version}, nil); err != nil {
+	if err := co.group.Propose(ctx, statemachine.KindRecordVersion, weights.VersionRecord{Model: model, Version: version}, nil); err != nil {
 		return err
 	}
 	co.wakeSwaps()
--- a/internal/controller/usage.go
+++ b/internal/controller/usage.go
@@ -73,7 +73,7 @@
 	if !ok {
 		return false
 	}
-	cctx, cancel := context.WithTimeout(ctx, leaseTerms.MaxCall)
+	cctx, cancel := context.WithTimeout(ctx, leaseTiming.MaxCall)
 	defer cancel()
 	fl := log.Fields{"window": re.Window, "fencing": fencing, "workspaces": len(re.Lines)}
 	err := co.cfg.ReportUsage(cctx, co.cfg.Settings.Name, fencing, re)
--- a/internal/controller/weights.go
+++ b/internal/controller/weights.go
@@ -54,7 +54,7 @@
 	for service, hs := range hosts {
 		jo := co.swapPlanners[service]
 		if jo == nil {
-			jo = weights.NewJoint()
+			jo = weights.NewJointPlanner()
 			co.swapPlanners[service] = jo
 		}
 		wave := max(minWave, int(waveShare*float64(len(hs))))
@@ -129,7 +129,7 @@
 
 // swap orders an engine to load a version, waits until it serves that version and
 // records the result.
-func (co *Controller) swap(ctx context.Context, held leasedtask.Held, jo *weights.Joint, re registry.Record, we *backend.Weights) {
+func (co *Controller) swap(ctx context.Context, held leasedtask.Held, jo *weights.JointPlanner, re registry.Record, we *backend.Weights) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 
@@ -180,7 +180,7 @@
 		return errLeaseLost
 	}
 	we.Fencing, we.Holder = fencing, co.cfg.Settings.Name
-	cctx, cancel := context.WithTimeout(ctx, leaseTerms.MaxCall)
+	cctx, cancel := context.WithTimeout(ctx, leaseTiming.MaxCall)
 	err = co.cfg.Client.Swap(cctx, re.Address, we)
 	cancel()
 	if err != nil && !backend.HasRun(err) {
@@ -199,7 +199,7 @@
 }
 
 func (co *Controller) fetchReport(ctx context.Context, re registry.Record) (backend.Report, error) {
-	cctx, cancel := context.WithTimeout(ctx, leaseTerms.MaxCall)
+	cctx, cancel := context.WithTimeout(ctx, leaseTiming.MaxCall)
 	defer cancel()
 	rep, err := co.cfg.Client.Report(cctx, re.Address)
 	if err == nil && rep.BornMs != 0 && rep.BornMs != re.BornMs {
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -71,7 +71,7 @@
 	}
 	ed.follower = feed.NewFollower(feed.Config{Links: ed.links, Seeds: cfg.Controllers, Log: cfg.Log})
 	ed.balancer = balance.New(balance.Config{
-		FailureDomain: cfg.Settings.FailureDomain, Scheduler: scheduler.Config{Choices: schedulerCandidates}, Now: cfg.Now, Random: rand.IntN, IdleTimeout: cfg.Client.IdleTimeout,
+		FailureDomain: cfg.Settings.FailureDomain, Scheduler: scheduler.Config{RandomChoices: schedulerCandidates}, Now: cfg.Now, Random: rand.IntN, IdleTimeout: cfg.Client.IdleTimeout,
 	})
 	ed.ingress = ingress.New(ingress.Config{
 		Table: ed.Table, Fresh: ed.fresh, Balancer: ed.balancer, Client: cfg.Client, Random: rand.Float64, Began: ed.tally.Count,
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -35,7 +35,7 @@
 
 	mu        sync.Mutex
 	changed   chan struct{} // closed and replaced with each new view
-	merged    *registry.Merged
+	merged    *registry.MergedView
 	following map[string]context.CancelFunc
 	confirmed time.Time // when the replicated part of the view was last confirmed
 	wg        sync.WaitGroup
@@ -44,7 +44,7 @@
 // NewFollower returns a follower with an empty view.
 func NewFollower(cfg Config) *Follower {
 	fo := &Follower{
-		cfg: cfg, changed: make(chan struct{}), merged: registry.NewMerged(), following: map[string]context.CancelFunc{},
+		cfg: cfg, changed: make(chan struct{}), merged: registry.NewMergedView(), following: map[string]context.CancelFunc{},
 	}
 	fo.view.Store(&View{})
 
@@ -228,7 +228,7 @@
 	if b, ok := next.Leader(); ok && a.Name != b.Name {
 		fo.cfg.Log.WithFields(log.Fields{"store": b.Name, "term": b.Term, "source": source}).Info("store leader known")
 	}
-	registry.TellChanges(fo.cfg.Log, old.Servers, next.Servers)
+	registry.LogChanges(fo.cfg.Log, old.Servers, next.Servers)
 }
 
 // dropController discards the reports of an unreachable controller about backend servers,
@@ -237,7 +237,7 @@
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 
-	fo.merged.Lost(address)
+	fo.merged.MarkUnreachable(address)
 	fo.merged.Reset(address)
 	next := *fo.View()
 	next.Servers = fo.merged.Live()
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -34,10 +34,10 @@
 
 // Decision lists the backend servers to start and to stop.
 type Decision struct {
-	Start []string // failure domains, one entry for each backend server
-	Stop  []string // names of backend servers
-	Want  int      // number of backend servers wanted in all failure domains
-	Why   string   // the reason, in words
+	Start  []string // failure domains, one entry for each backend server
+	Stop   []string // names of backend servers
+	Wanted int      // number of backend servers wanted in all failure domains
+	Reason string   // the reason, in words
 }
 
 // Planner decides for one class and remembers its recent demand.
@@ -71,19 +71,19 @@
 			total++
 		}
 	}
-	de := Decision{Want: want}
+	de := Decision{Wanted: want}
 	switch {
 	case want > total || pl.belowMinimum(in.Bounds, counts):
 		pl.hasSurplus = false
 		de.Start = selectStarts(in.Bounds, counts, max(want-total, 0))
-		de.Why = fmt.Sprintf("%d requests run and %d wait: %d backend servers wanted, %d exist or are ordered", in.Running, in.Waiting, want, total)
+		de.Reason = fmt.Sprintf("%d requests run and %d wait: %d backend servers wanted, %d exist or are ordered", in.Running, in.Waiting, want, total)
 	case want < total:
 		n := pl.countToStop(in, want, total)
 		de.Stop = selectStops(in, counts, n)
-		de.Why = fmt.Sprintf("%d backend servers wanted, %d exist or are ordered, fewer sufficed for %v", want, total, in.Now-pl.surplusSince)
+		de.Reason = fmt.Sprintf("%d backend servers wanted, %d exist or are ordered, fewer sufficed for %v", want, total, in.Now-pl.surplusSince)
 	default:
 		pl.hasSurplus = false
-		de.Why = fmt.Sprintf("%d backend servers wanted, %d exist or are ordered", want, total)
+		de.Reason = fmt.Sprintf("%d backend servers wanted, %d exist or are ordered", want, total)
 	}
 
 	return de
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -51,7 +51,7 @@
 			de := fleet.NewPlanner().Next(fleet.Input{Class: class, Bounds: tc.bounds, Servers: tc.have, Running: tc.running, Waiting: tc.waiting})
 			Expect(de.Start).To(ConsistOf(toAny(tc.start)...))
 			Expect(de.Stop).To(ConsistOf(toAny(tc.stop)...))
-			Expect(de.Why).NotTo(BeEmpty())
+			Expect(de.Reason).NotTo(BeEmpty())
 		})
 	}
 
--- a/internal/gateway/complete.go
+++ b/internal/gateway/complete.go
@@ -116,7 +116,7 @@
 	rn.output.RequestID = rn.id
 	key := co.Route + "/" + co.Workspace
 	ga.mu.Lock()
-	ga.budget.First(key)
+	ga.budget.RecordFirstAttempt(key)
 	ga.mu.Unlock()
 
 	for n := 1; ; n++ {
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -51,7 +51,7 @@
 		return // order nothing more until the outcome of every earlier order is known
 	}
 
-	cctx, cancel := context.WithTimeout(ctx, ft.ga.leaseTerms().MaxCall)
+	cctx, cancel := context.WithTimeout(ctx, ft.ga.leaseTiming().MaxCall)
 	listed, err := ft.ga.ordering.Servers(cctx)
 	cancel()
 	if err != nil {
@@ -90,7 +90,7 @@
 	if in.Kind == intent.KindStop {
 		action = ordering.ActionStop
 	}
-	cctx, cancel := context.WithTimeout(ctx, ft.ga.leaseTerms().MaxCall)
+	cctx, cancel := context.WithTimeout(ctx, ft.ga.leaseTiming().MaxCall)
 	defer cancel()
 	an, err := ft.ga.ordering.Send(cctx, ordering.Order{
 		ID: in.ID, Action: action, Class: in.Class, FailureDomain: in.FailureDomain, Server: in.Server,
@@ -146,7 +146,7 @@
 		ft.planners[class] = fleet.NewPlanner()
 	}
 	de := ft.planners[class].Next(in)
-	ft.ga.setFleetReason(class, de.Why)
+	ft.ga.setFleetReason(class, de.Reason)
 	for _, d := range de.Start {
 		ft.placeOrder(ctx, held, intent.Intent{Kind: intent.KindStart, Class: class, FailureDomain: d})
 	}
@@ -160,7 +160,7 @@
 	own := ft.ga.poolOf(serves).Demand()
 	running, waiting = own.Running, own.Waiting
 	for _, a := range ft.ga.group.Others("") {
-		cctx, cancel := context.WithTimeout(ctx, ft.ga.leaseTerms().MaxCall)
+		cctx, cancel := context.WithTimeout(ctx, ft.ga.leaseTiming().MaxCall)
 		var rep wire.Load
 		if err := ft.ga.group.Call(cctx, a, methodDemand, &wire.QueryRequest{Kind: serves}, &rep); err == nil {
 			running += int(rep.GetRunning())
@@ -185,7 +185,7 @@
 		return
 	}
 
-	cctx, cancel := context.WithTimeout(ctx, ft.ga.leaseTerms().MaxCall)
+	cctx, cancel := context.WithTimeout(ctx, ft.ga.leaseTiming().MaxCall)
 	defer cancel()
 	err := se.Session().Call(cctx, agent.MethodOrder, &wire.Order{
 		OrderId: fmt.Sprintf("d%d-%s", fencing, name), Kind: agent.KindDrain, Fencing: fencing, Giver: ft.ga.leaseHolder(),
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -137,7 +137,7 @@
 func (f *forward) run(ctx context.Context) error {
 	key := f.fo.RouteName + "/" + f.fo.Caller.Workspace
 	f.ga.mu.Lock()
-	f.ga.budget.First(key)
+	f.ga.budget.RecordFirstAttempt(key)
 	f.ga.mu.Unlock()
 
 	for n := 1; ; n++ {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -231,8 +231,8 @@
 	return fmt.Sprintf("%s/%016x", ga.cfg.Settings.Name, ga.instance)
 }
 
-func (ga *Gateway) leaseTerms() lease.Terms {
-	te := lease.DefaultTerms()
+func (ga *Gateway) leaseTiming() lease.Timing {
+	te := lease.DefaultTiming()
 	te.Duration = settings.Duration(ga.cfg.Settings.Times.LeaseMs)
 	te.MaxCall = settings.Duration(ga.cfg.Settings.Times.MaxCallMs)
 
--- a/internal/gateway/leasedtask.go
+++ b/internal/gateway/leasedtask.go
@@ -18,7 +18,7 @@
 	we, fl := newWeightsTask(ga), newFleetTask(ga)
 	with := func(name string, work func(ctx context.Context, held leaseCheck)) *leasedtask.Task {
 		return leasedtask.New(leasedtask.Config{
-			Name: name, Holder: ga.leaseHolder(), Terms: ga.leaseTerms(), Group: ga.group, Now: ga.now, Work: work,
+			Name: name, Holder: ga.leaseHolder(), Timing: ga.leaseTiming(), Group: ga.group, Now: ga.now, Work: work,
 			Stopped: ga.stopped, Log: ga.cfg.Log,
 		})
 	}
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -36,7 +36,7 @@
 	}
 
 	wo := pl.ga.group.View().Set.Workspaces[pl.workspace]
-	gr, err := pl.po.Acquire(ctx, pool.Ticket{
+	gr, err := pl.po.Acquire(ctx, pool.Request{
 		Workspace: pl.workspace, Weight: max(wo.Weight, 0.001), Class: declaration.ClassRank(pl.class), Cost: pl.cost,
 		Deadline: pl.deadline, MaxQueued: max(wo.MaxQueued, 1), MinSequence: pl.minSequence, NewestFirst: pl.newestFirst,
 		Prefix: pl.prefix, IsSuspect: pl.suspect, Exclude: pl.exclude, Fingerprint: pl.fingerprint,
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -67,10 +67,10 @@
 
 	se := st.Session()
 	po := ga.poolOf(an.GetModel() + an.GetService())
-	po.Announce(&an, se)
+	po.AddServer(&an, se)
 	go func() {
 		<-se.Done()
-		po.Gone(an.GetServer(), an.GetIncarnation(), se)
+		po.RemoveServer(an.GetServer(), an.GetIncarnation(), se)
 	}()
 
 	return st.Reply(&wire.AnnounceReply{WindowSeconds: windowSeconds(ga.group.View())})
@@ -85,7 +85,7 @@
 	resync := false
 	for _, po := range ga.Pools() {
 		if _, ok := po.Find(lo.GetServer()); ok {
-			resync = po.Load(&lo, int(lo.GetGateways()))
+			resync = po.ApplyLoad(&lo, int(lo.GetGateways()))
 		}
 	}
 
@@ -127,7 +127,7 @@
 	ga.cfg.Meter.Count("servers.crashed")
 
 	return ga.group.Propose(ctx, statemachine.KindCrash, quarantine.Crash{
-		Server: rq.GetServer(), Fingerprints: rq.GetFingerprints(), Alone: rq.GetAlone(),
+		Server: rq.GetServer(), Fingerprints: rq.GetFingerprints(), WereSuspects: rq.GetAlone(),
 	}, nil)
 }
 
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -57,7 +57,7 @@
 		return false
 	}
 
-	cctx, cancel := context.WithTimeout(ctx, ga.leaseTerms().MaxCall)
+	cctx, cancel := context.WithTimeout(ctx, ga.leaseTiming().MaxCall)
 	defer cancel()
 	fencing, ok := held()
 	if !ok {
--- a/internal/group/membership.go
+++ b/internal/group/membership.go
@@ -379,7 +379,7 @@
 		if isRetiring(nameOf(id, names)) {
 			return true
 		}
-		heard, ok := re.HeardFrom(id)
+		heard, ok := re.LastContact(id)
 
 		return id != re.ID() && ok && (now > heard+after || isSuperseded(now, id, re, names))
 	}
@@ -422,14 +422,14 @@
 // isSuperseded reports whether id is silent while another replica of the same name was
 // heard from later, which happens when a data folder was emptied.
 func isSuperseded(now time.Duration, id consensus.ReplicaID, re *consensus.Replica, names map[consensus.ReplicaID]string) bool {
-	heard, ok := re.HeardFrom(id)
+	heard, ok := re.LastContact(id)
 	if !ok || now < heard+supersededAfter {
 		return false
 	}
 
 	name := nameOf(id, names)
 	for _, other := range re.Membership().All() {
-		at, ok := re.HeardFrom(other)
+		at, ok := re.LastContact(other)
 		if other != id && nameOf(other, names) == name && (other == re.ID() || (ok && at > heard)) {
 			return true
 		}
--- a/internal/group/node.go
+++ b/internal/group/node.go
@@ -265,7 +265,7 @@
 			return nil
 		}
 
-		for _, m := range rd.Early {
+		for _, m := range rd.Unsynced {
 			n.send(m)
 		}
 		if rd.MustSync() {
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -256,9 +256,9 @@
 	defer func() { gr.Release(outcome, load) }()
 
 	ca := rs.newCall(gr)
-	if rs.canRetryAfterThis() && rs.ro.Aim > 0 {
+	if rs.canRetryAfterThis() && rs.ro.LatencyObjective > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, attemptTimeoutFactor*rs.ro.Aim)
+		ctx, cancel = context.WithTimeout(ctx, attemptTimeoutFactor*rs.ro.LatencyObjective)
 		defer cancel()
 	}
 	sent := time.Now()
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -79,7 +79,7 @@
 // no replies. It fills in the route's name, host, prefix, times and targets.
 func newFixture(ro routing.Route, replies ...reply) *fixture {
 	fi := &fixture{}
-	ro.Name, ro.Host, ro.Prefix, ro.Timeout, ro.Aim = "r", "h", "/p/", time.Second, 50*time.Millisecond
+	ro.Name, ro.Host, ro.Prefix, ro.Timeout, ro.LatencyObjective = "r", "h", "/p/", time.Second, 50*time.Millisecond
 	ro.Targets = []routing.Target{{Service: "s", Weight: 1}}
 	cfg := &routing.Config{
 		Version:    1,
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -40,16 +40,16 @@
 
 // Spec is a job as it was submitted.
 type Spec struct {
-	ID             string `cbor:"1,keyasint"`
-	Workspace      string `cbor:"2,keyasint"`
-	Host           string `cbor:"3,keyasint"`
-	Step           uint64 `cbor:"4,keyasint"`
-	Model          string `cbor:"5,keyasint"`
-	MinVersion     uint64 `cbor:"6,keyasint"` // oldest weight version that may write its texts
-	TargetGroups   int    `cbor:"7,keyasint"` // number of complete groups that the trainer waits for
-	Items          []Item `cbor:"8,keyasint"`
-	ResultDeadline int64  `cbor:"9,keyasint"`  // milliseconds from the submission
-	MaxQueue       int64  `cbor:"10,keyasint"` // milliseconds from the submission after which a waiting item may be aborted, 0 for never
+	ID               string `cbor:"1,keyasint"`
+	Workspace        string `cbor:"2,keyasint"`
+	Host             string `cbor:"3,keyasint"`
+	Step             uint64 `cbor:"4,keyasint"`
+	Model            string `cbor:"5,keyasint"`
+	MinVersion       uint64 `cbor:"6,keyasint"` // oldest weight version that may write its texts
+	TargetGroups     int    `cbor:"7,keyasint"` // number of complete groups that the trainer waits for
+	Items            []Item `cbor:"8,keyasint"`
+	ResultDeadlineMs int64  `cbor:"9,keyasint"`  // milliseconds from the submission
+	MaxQueueMs       int64  `cbor:"10,keyasint"` // milliseconds from the submission after which a waiting item may be aborted, 0 for never
 }
 
 // State is the state of a listed result.
@@ -84,10 +84,10 @@
 
 // Partial is the committed beginning of an item's text.
 type Partial struct {
-	Events   []string `cbor:"1,keyasint"` // data of each event
-	Last     uint64   `cbor:"2,keyasint"` // number of the last event
-	Versions []uint64 `cbor:"3,keyasint"` // weight versions that wrote it, ascending
-	Term     uint64   `cbor:"4,keyasint"` // term of the driver that reported the last event
+	Events    []string `cbor:"1,keyasint"` // data of each event
+	LastEvent uint64   `cbor:"2,keyasint"` // number of the last event
+	Versions  []uint64 `cbor:"3,keyasint"` // weight versions that wrote it, ascending
+	Term      uint64   `cbor:"4,keyasint"` // term of the driver that reported the last event
 }
 
 // IsOpen reports whether the job has not ended yet.
@@ -98,8 +98,8 @@
 	Spec Spec `cbor:"1,keyasint"`
 }
 
-// List is the command that adds results of a job at its next positions.
-type List struct {
+// ListResults is the command that adds results of a job at its next positions.
+type ListResults struct {
 	Job     string   `cbor:"1,keyasint"`
 	Results []Result `cbor:"2,keyasint"`
 }
@@ -112,11 +112,11 @@
 
 // Part is the progress of one item.
 type Part struct {
-	Job   string  `cbor:"1,keyasint"`
-	Item  int     `cbor:"2,keyasint"`
-	After uint64  `cbor:"3,keyasint"` // number of the event before this part, 0 if the text restarts
-	Text  Partial `cbor:"4,keyasint"` // the further events; its versions are those of the complete text so far
-	First bool    `cbor:"5,keyasint"` // first part of the item that the driver of this term reports
+	Job     string  `cbor:"1,keyasint"`
+	Item    int     `cbor:"2,keyasint"`
+	After   uint64  `cbor:"3,keyasint"` // number of the event before this part, 0 if the text restarts
+	Text    Partial `cbor:"4,keyasint"` // the further events; its versions are those of the complete text so far
+	IsFirst bool    `cbor:"5,keyasint"` // first part of the item that the driver of this term reports
 }
 
 // follows reports whether the part continues the recorded text. Events of two runs
@@ -126,11 +126,11 @@
 	switch {
 	case pa.After == 0:
 		return pa.Text.Term >= old.Term
-	case pa.After != old.Last:
+	case pa.After != old.LastEvent:
 		return false
 	}
 
-	return pa.Text.Term == old.Term || (pa.First && pa.Text.Term > old.Term)
+	return pa.Text.Term == old.Term || (pa.IsFirst && pa.Text.Term > old.Term)
 }
 
 // End is the command that ends a job.
@@ -145,10 +145,10 @@
 	revision uint64 // increases with each change except progress
 }
 
-// KeepFor is how long an ended job stays readable at least, counted from its
+// RetentionPeriod is how long an ended job stays readable at least, counted from its
 // submission. It is longer than the 120 s for which the platform's clients may read
 // a job.
-const KeepFor = 150 * time.Second
+const RetentionPeriod = 150 * time.Second
 
 // NewLedger returns the ledger that holds jobs.
 func NewLedger(jobs map[string]*Job) *Ledger {
@@ -247,9 +247,9 @@
 	return jo, nil
 }
 
-// List adds results and returns how many were added. An item that is already listed
+// ListResults adds results and returns how many were added. An item that is already listed
 // keeps its first result, and an ended job accepts none.
-func (le *Ledger) List(li List) (added int) {
+func (le *Ledger) ListResults(li ListResults) (added int) {
 	jo, ok := le.jobs[li.Job]
 	if !ok || !jo.IsOpen() {
 		return 0
@@ -273,8 +273,8 @@
 	return added
 }
 
-// Note records progress. Parts that do not continue the recorded text are ignored.
-func (le *Ledger) Note(pr Progress) {
+// RecordProgress records progress. Parts that do not continue the recorded text are ignored.
+func (le *Ledger) RecordProgress(pr Progress) {
 	for _, pa := range pr.Parts {
 		jo, ok := le.jobs[pa.Job]
 		if !ok || !jo.IsOpen() || pa.Item < 0 || pa.Item >= len(jo.Listed) || jo.Listed[pa.Item] {
@@ -311,11 +311,11 @@
 	return nil
 }
 
-// expire removes ended jobs after KeepFor since their submission, but not before half
+// expire removes ended jobs after RetentionPeriod since their submission, but not before half
 // of it has passed since their end.
 func (le *Ledger) expire(atMs int64) {
 	for id, jo := range le.jobs {
-		if !jo.IsOpen() && atMs-jo.SubmittedMs > KeepFor.Milliseconds() && atMs-jo.EndedMs > KeepFor.Milliseconds()/2 {
+		if !jo.IsOpen() && atMs-jo.SubmittedMs > RetentionPeriod.Milliseconds() && atMs-jo.EndedMs > RetentionPeriod.Milliseconds()/2 {
 			delete(le.jobs, id)
 			le.revision++
 		}
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -31,7 +31,7 @@
 var _ = ginkgo.Describe("the ledger of batch jobs", func() {
 	ginkgo.It("accepts a job once and rejects its ID from another workspace", func() {
 		le := newLedger()
-		le.List(job.List{Job: "j", Results: []job.Result{completed(1, "x")}})
+		le.ListResults(job.ListResults{Job: "j", Results: []job.Result{completed(1, "x")}})
 		Expect(le.Submit(job.Submit{Spec: job.Spec{ID: "j", Workspace: "w"}}, 2000)).To(Succeed())
 		jo, err := le.Get("j", "w")
 		Expect(err).NotTo(HaveOccurred())
@@ -52,7 +52,7 @@
 			{[]job.Result{completed(7, "no such item"), completed(-1, "nor this")}, 0},
 			{[]job.Result{{Item: 0, State: job.Aborted}}, 0},
 		} {
-			Expect(le.List(job.List{Job: "j", Results: tc.results})).To(Equal(tc.added))
+			Expect(le.ListResults(job.ListResults{Job: "j", Results: tc.results})).To(Equal(tc.added))
 		}
 		jo, err := le.Get("j", "w")
 		Expect(err).NotTo(HaveOccurred())
@@ -63,12 +63,12 @@
 		Expect(jo.Page(2).Results).To(BeEmpty())
 	})
 
-	ginkgo.It("lists no results of an ended job and keeps it readable for KeepFor", func() {
+	ginkgo.It("lists no results of an ended job and keeps it readable for RetentionPeriod", func() {
 		le := newLedger()
 		Expect(le.End(job.End{Job: "j", Workspace: "w"}, 2000)).To(Succeed())
 		Expect(le.End(job.End{Job: "j", Workspace: "w"}, 3000)).To(Succeed())
-		Expect(le.List(job.List{Job: "j", Results: []job.Result{completed(0, "late")}})).To(BeZero())
-		keepMs := job.KeepFor.Milliseconds()
+		Expect(le.ListResults(job.ListResults{Job: "j", Results: []job.Result{completed(0, "late")}})).To(BeZero())
+		keepMs := job.RetentionPeriod.Milliseconds()
 		Expect(le.Submit(job.Submit{Spec: job.Spec{ID: "k", Workspace: "w"}}, 1000+keepMs)).To(Succeed())
 		_, err := le.Get("j", "w")
 		Expect(err).NotTo(HaveOccurred())
@@ -82,7 +82,7 @@
 		jo, err := le.Get("j", "w")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(jo.Body("b")).To(Equal([]byte("B")))
-		le.List(job.List{Job: "j", Results: []job.Result{completed(1, "x")}})
+		le.ListResults(job.ListResults{Job: "j", Results: []job.Result{completed(1, "x")}})
 		_, err = jo.Body("b")
 		Expect(result.Is(err, result.UnknownObject)).To(BeTrue())
 		Expect(jo.Body("c")).To(Equal([]byte("C")))
@@ -91,7 +91,7 @@
 	ginkgo.It("records progress only if it continues the recorded text or restarts it", func() {
 		le := newLedger()
 		part := func(after, last uint64, events ...string) {
-			le.Note(job.Progress{Parts: []job.Part{{Job: "j", Item: 0, After: after, Text: job.Partial{Events: events, Last: last}}}})
+			le.RecordProgress(job.Progress{Parts: []job.Part{{Job: "j", Item: 0, After: after, Text: job.Partial{Events: events, LastEvent: last}}}})
 		}
 		part(0, 2, "e1", "e2")
 		part(2, 3, "e3")
@@ -99,10 +99,10 @@
 		part(1, 2, "e2") // repeated
 		jo, err := le.Get("j", "w")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(jo.Partial[0]).To(Equal(job.Partial{Events: []string{"e1", "e2", "e3"}, Last: 3}))
+		Expect(jo.Partial[0]).To(Equal(job.Partial{Events: []string{"e1", "e2", "e3"}, LastEvent: 3}))
 		part(0, 1, "f1") // restarted
 		Expect(jo.Partial[0].Events).To(Equal([]string{"f1"}))
-		le.List(job.List{Job: "j", Results: []job.Result{completed(0, "x")}})
+		le.ListResults(job.ListResults{Job: "j", Results: []job.Result{completed(0, "x")}})
 		part(1, 2, "f2")
 		Expect(jo.Partial).NotTo(HaveKey(0))
 	})
@@ -110,7 +110,7 @@
 	ginkgo.It("never joins events of two runs, even if their numbers are consecutive", func() {
 		le := newLedger()
 		note := func(term, after, last uint64, first bool, events ...string) {
-			le.Note(job.Progress{Parts: []job.Part{{Job: "j", Item: 0, After: after, First: first, Text: job.Partial{Events: events, Last: last, Term: term}}}})
+			le.RecordProgress(job.Progress{Parts: []job.Part{{Job: "j", Item: 0, After: after, IsFirst: first, Text: job.Partial{Events: events, LastEvent: last, Term: term}}}})
 		}
 		recorded := func() []string {
 			jo, err := le.Get("j", "w")
@@ -144,8 +144,8 @@
 		}
 		Expect(le.Submit(job.Submit{Spec: job.Spec{ID: "big", Workspace: "w", Items: items}}, 1)).To(Succeed())
 		for i := range 100 {
-			le.List(job.List{Job: "big", Results: []job.Result{{Item: i, State: job.Completed, Text: string(make([]byte, 8000)), Versions: []uint64{7, 8}, Score: "3e1b.07.5a2"}}})
-			le.Note(job.Progress{Parts: []job.Part{{Job: "big", Item: i + 100, Text: job.Partial{Events: []string{"one", "two"}, Last: 2}}}})
+			le.ListResults(job.ListResults{Job: "big", Results: []job.Result{{Item: i, State: job.Completed, Text: string(make([]byte, 8000)), Versions: []uint64{7, 8}, Score: "3e1b.07.5a2"}}})
+			le.RecordProgress(job.Progress{Parts: []job.Part{{Job: "big", Item: i + 100, Text: job.Partial{Events: []string{"one", "two"}, LastEvent: 2}}}})
 		}
 		b, err := cbor.Marshal(le.Jobs())
 		Expect(err).NotTo(HaveOccurred())
@@ -156,7 +156,7 @@
 	ginkgo.It("fills a page up to MaxPageBytes and returns at least one result", func() {
 		big := string(make([]byte, job.MaxPageBytes))
 		le := newLedger()
-		le.List(job.List{Job: "j", Results: []job.Result{completed(0, big), completed(1, "x"), completed(2, "y")}})
+		le.ListResults(job.ListResults{Job: "j", Results: []job.Result{completed(0, big), completed(1, "x"), completed(2, "y")}})
 		jo, err := le.Get("j", "w")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(jo.Page(0).Next).To(Equal(1))
--- a/internal/jobdriver/driver.go
+++ b/internal/jobdriver/driver.go
@@ -212,8 +212,8 @@
 		id: sp.ID, workspace: sp.Workspace, host: sp.Host, model: sp.Model, minVersion: sp.MinVersion, submitted: at,
 		tasks: map[int]*task{}, timeline: timeline{runs: map[string]int{}},
 	}
-	if sp.MaxQueue > 0 {
-		js.queueDeadline = at.Add(time.Duration(sp.MaxQueue) * time.Millisecond)
+	if sp.MaxQueueMs > 0 {
+		js.queueDeadline = at.Add(time.Duration(sp.MaxQueueMs) * time.Millisecond)
 	}
 	for i := range sp.Items {
 		if !jo.Listed[i] {
@@ -309,8 +309,8 @@
 	if dr.jobs[t.job.id] != t.job || t.phase != running || t.isProgressStopped {
 		return
 	}
-	dr.progress = append(dr.progress, job.Part{Job: t.job.id, Item: t.index, After: te.proposed, First: !te.hasProposed, Text: job.Partial{
-		Events: slices.Clone(te.events[te.proposedEvents:]), Last: te.lastEvent, Versions: slices.Clone(te.versions), Term: dr.term,
+	dr.progress = append(dr.progress, job.Part{Job: t.job.id, Item: t.index, After: te.proposed, IsFirst: !te.hasProposed, Text: job.Partial{
+		Events: slices.Clone(te.events[te.proposedEvents:]), LastEvent: te.lastEvent, Versions: slices.Clone(te.versions), Term: dr.term,
 	}})
 	te.proposed, te.proposedEvents, te.hasProposed = te.lastEvent, len(te.events), true
 }
@@ -461,7 +461,7 @@
 		fl["why"] = why
 	}
 	for ctx.Err() == nil {
-		err := dr.cfg.Group.ProposeLocal(ctx, statemachine.KindListResults, job.List{Job: t.job.id, Results: []job.Result{re}}, nil)
+		err := dr.cfg.Group.ProposeLocal(ctx, statemachine.KindListResults, job.ListResults{Job: t.job.id, Results: []job.Result{re}}, nil)
 		if err == nil {
 			dr.cfg.Meter.Count("item.listed")
 			dr.cfg.Log.WithFields(fl).Info("item listed")
--- a/internal/jobdriver/run.go
+++ b/internal/jobdriver/run.go
@@ -317,7 +317,7 @@
 		return "", "", refused, 1
 	}
 	limit = max(ro.MaxAttempts, 1)
-	rq := &balance.Request{Service: ro.PickTarget(dr.cfg.Random()), Exclude: tried, Extra: rewardQueueSlots}
+	rq := &balance.Request{Service: ro.PickTarget(dr.cfg.Random()), Exclude: tried, ExtraSlots: rewardQueueSlots}
 	gr := dr.cfg.Balancer.Acquire(rq)
 	if gr == nil {
 		rq.Exclude = nil
--- a/internal/jobdriver/task.go
+++ b/internal/jobdriver/task.go
@@ -75,7 +75,7 @@
 // newGeneratedText returns the text that a former driver committed.
 func newGeneratedText(pa *job.Partial) generatedText {
 	return generatedText{
-		events: slices.Clone(pa.Events), lastEvent: pa.Last, versions: slices.Clone(pa.Versions), proposed: pa.Last, proposedEvents: len(pa.Events),
+		events: slices.Clone(pa.Events), lastEvent: pa.LastEvent, versions: slices.Clone(pa.Versions), proposed: pa.LastEvent, proposedEvents: len(pa.Events),
 	}
 }
 
--- a/internal/jobproxy/jobproxy.go
+++ b/internal/jobproxy/jobproxy.go
@@ -82,7 +82,7 @@
 		if ws != nil {
 			sp.Workspace = ws.Name
 		}
-		sp.ResultDeadline, sp.MaxQueue = ro.ResultDeadline.Milliseconds(), ro.MaxQueue.Milliseconds()
+		sp.ResultDeadlineMs, sp.MaxQueueMs = ro.ResultDeadline.Milliseconds(), ro.MaxQueueTime.Milliseconds()
 		err = pr.callStores(ctx, MethodSubmit, &job.Submit{Spec: *sp}, nil, true)
 	}
 	pr.logOutcome("request to submit a job", sp.ID, sp.Workspace, err, log.Fields{
--- a/internal/jobstore/jobstore.go
+++ b/internal/jobstore/jobstore.go
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	st.balancer = balance.New(balance.Config{
-		FailureDomain: no.FailureDomain, Scheduler: scheduler.Config{Choices: schedulerChoices}, Now: cfg.Now, Random: rand.IntN, IdleTimeout: cfg.Client.IdleTimeout,
+		FailureDomain: no.FailureDomain, Scheduler: scheduler.Config{RandomChoices: schedulerChoices}, Now: cfg.Now, Random: rand.IntN, IdleTimeout: cfg.Client.IdleTimeout,
 	})
 	st.driver = jobdriver.New(jobdriver.Config{
 		Group: st.group, View: st.follower.View, Changed: st.follower.Changed, Balancer: st.balancer, Client: cfg.Client,
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -120,22 +120,22 @@
 	return nil
 }
 
-// Terms are the time limits of a lease.
-type Terms struct {
+// Timing holds the time limits of a lease.
+type Timing struct {
 	Duration time.Duration // how long a holder may act after it sent an acquire or a renewal
 	MaxCall  time.Duration // longest outside call of a holder
 	Drift    float64       // largest relative clock drift between two processes
 }
 
-// DefaultTerms returns the terms for current deployments.
-func DefaultTerms() Terms {
-	return Terms{Duration: 3 * time.Second, MaxCall: time.Second, Drift: 0.01}
+// DefaultTiming returns the time limits for current deployments.
+func DefaultTiming() Timing {
+	return Timing{Duration: 3 * time.Second, MaxCall: time.Second, Drift: 0.01}
 }
 
-// Wait returns how long a candidate must observe no renewal before it may acquire the
+// AcquireDelay returns how long a candidate must observe no renewal before it may acquire the
 // lease: the duration and the longest call, plus the drift of both clocks.
-func (te Terms) Wait() time.Duration {
-	return time.Duration(float64(te.Duration+te.MaxCall) * (1 + 2*te.Drift))
+func (ti Timing) AcquireDelay() time.Duration {
+	return time.Duration(float64(ti.Duration+ti.MaxCall) * (1 + 2*ti.Drift))
 }
 
 // Keeper decides for one process when to acquire, renew and release a lease. It does
@@ -144,7 +144,7 @@
 type Keeper struct {
 	name   string
 	holder string
-	terms  Terms
+	timing Timing
 	nonce  func() string
 
 	seen      Lease         // last observed state
@@ -168,8 +168,8 @@
 }
 
 // NewKeeper returns a keeper of the lease called name for the process holder.
-func NewKeeper(name, holder string, terms Terms, nonce func() string) *Keeper {
-	return &Keeper{name: name, holder: holder, terms: terms, nonce: nonce}
+func NewKeeper(name, holder string, timing Timing, nonce func() string) *Keeper {
+	return &Keeper{name: name, holder: holder, timing: timing, nonce: nonce}
 }
 
 // Observe records the state of the lease as applied by the local replica.
@@ -196,7 +196,7 @@
 		return Action{}, false
 	}
 	if ke.held && now < ke.heldUntil {
-		if ke.heldUntil-now > 2*ke.terms.Duration/3 {
+		if ke.heldUntil-now > 2*ke.timing.Duration/3 {
 			return Action{}, false
 		}
 		// Each renewal sends a new number: a candidate must be able to observe every
@@ -208,7 +208,7 @@
 	}
 
 	ke.held = false
-	if ke.seen.Holder != "" && now < ke.seenSince+ke.terms.Wait() {
+	if ke.seen.Holder != "" && now < ke.seenSince+ke.timing.AcquireDelay() {
 		return Action{}, false
 	}
 	ke.requestPending, ke.requestSentAt = true, now
@@ -218,8 +218,8 @@
 	}}, true
 }
 
-// Answered records the result of the last acquire or renewal.
-func (ke *Keeper) Answered(now time.Duration, le Lease, err error) {
+// HandleResult records the result of the last acquire or renewal.
+func (ke *Keeper) HandleResult(now time.Duration, le Lease, err error) {
 	ke.requestPending = false
 	if err != nil {
 		if result.Is(err, result.LeaseLost) || result.Is(err, result.LeaseTaken) {
@@ -231,7 +231,7 @@
 	}
 
 	ke.held, ke.fencing, ke.renewal = true, le.Fencing, max(ke.renewal, le.Renewal)
-	ke.heldUntil = ke.requestSentAt + ke.terms.Duration
+	ke.heldUntil = ke.requestSentAt + ke.timing.Duration
 	ke.seen, ke.seenSince = le, now
 }
 
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -38,7 +38,7 @@
 	isAnswered bool
 }
 
-var terms = lease.Terms{Duration: time.Second, MaxCall: 200 * time.Millisecond, Drift: 0.01}
+var terms = lease.Timing{Duration: time.Second, MaxCall: 200 * time.Millisecond, Drift: 0.01}
 
 func newSimulation(seed uint64) *simulation {
 	w := &simulation{rnd: rand.New(rand.NewPCG(seed, 9)), table: lease.NewTable(nil)}
@@ -128,9 +128,9 @@
 		p := w.procs[c.from]
 		switch {
 		case c.isAnswered:
-			p.keeper.Answered(p.clock(w.now), le, err)
+			p.keeper.HandleResult(p.clock(w.now), le, err)
 		case c.action.Release == nil:
-			p.keeper.Answered(p.clock(w.now), lease.Lease{}, fmt.Errorf("lost")) // a timeout
+			p.keeper.HandleResult(p.clock(w.now), lease.Lease{}, fmt.Errorf("lost")) // a timeout
 		}
 	}
 	w.queue = rest
@@ -156,7 +156,7 @@
 		Expect(ok).To(BeTrue())
 		le, err := ta.Acquire(*ac.Acquire)
 		Expect(err).NotTo(HaveOccurred())
-		a.Answered(0, le, nil)
+		a.HandleResult(0, le, nil)
 		a.Stop()
 		ac, ok = a.Next(time.Millisecond)
 		Expect(ok).To(BeTrue())
--- a/internal/leasedtask/leasedtask.go
+++ b/internal/leasedtask/leasedtask.go
@@ -28,7 +28,7 @@
 type Config struct {
 	Name   string // of the lease
 	Holder string
-	Terms  lease.Terms
+	Timing lease.Timing
 	Group  *group.Group
 	Now    func() time.Duration
 	// Work is called repeatedly while the lease is held.
@@ -58,7 +58,7 @@
 func New(cfg Config) *Task {
 	nonce := func() string { return fmt.Sprintf("%016x", rand.Uint64()) }
 
-	return &Task{cfg: cfg, keeper: lease.NewKeeper(cfg.Name, cfg.Holder, cfg.Terms, nonce)}
+	return &Task{cfg: cfg, keeper: lease.NewKeeper(cfg.Name, cfg.Holder, cfg.Timing, nonce)}
 }
 
 // Run maintains the lease and runs the work until ctx ends.
@@ -138,7 +138,7 @@
 		return
 	}
 
-	cctx, cancel := context.WithTimeout(ctx, ta.cfg.Terms.Duration/2)
+	cctx, cancel := context.WithTimeout(ctx, ta.cfg.Timing.Duration/2)
 	defer cancel()
 	var got lease.Lease
 	var err error
@@ -158,6 +158,6 @@
 		return
 	}
 	ta.mu.Lock()
-	ta.keeper.Answered(ta.cfg.Now(), got, err)
+	ta.keeper.HandleResult(ta.cfg.Now(), got, err)
 	ta.mu.Unlock()
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// Ticket describes a request that needs a backend server.
-type Ticket struct {
+// Request describes what a request needs of a backend server.
+type Request struct {
 	Workspace   string
 	Weight      float64
 	Class       int
@@ -86,7 +86,7 @@
 type Grant struct {
 	pool      *Pool
 	server    *Server
-	ticket    Ticket
+	request   Request
 	once      sync.Once
 	grantedAt time.Duration
 	waited    time.Duration
@@ -100,20 +100,20 @@
 
 // waiter is the payload of a queued item.
 type waiter struct {
-	ticket  Ticket
+	request Request
 	granted chan *Grant // receives nil if the deadline has passed
 }
 
 // Acquire waits until the request is granted a slot of a backend server. It returns an
 // error at once if no ready backend server can run it or the queue refuses it.
-func (po *Pool) Acquire(ctx context.Context, ti Ticket) (*Grant, error) {
-	w := &waiter{ticket: ti, granted: make(chan *Grant, 1)}
+func (po *Pool) Acquire(ctx context.Context, rq Request) (*Grant, error) {
+	w := &waiter{request: rq, granted: make(chan *Grant, 1)}
 	it := &admission.Item{
-		Workspace: ti.Workspace, Weight: ti.Weight, Class: ti.Class, Cost: ti.Cost,
-		Deadline: ti.Deadline, MaxQueued: ti.MaxQueued, Payload: w,
+		Workspace: rq.Workspace, Weight: rq.Weight, Class: rq.Class, Cost: rq.Cost,
+		Deadline: rq.Deadline, MaxQueued: rq.MaxQueued, Payload: w,
 	}
 	po.mu.Lock()
-	if err := po.checkEligible(&ti); err != nil {
+	if err := po.checkEligible(&rq); err != nil {
 		po.mu.Unlock()
 
 		return nil, err
@@ -153,14 +153,14 @@
 }
 
 // checkEligible returns an error if no ready backend server can run the request.
-func (po *Pool) checkEligible(ti *Ticket) error {
+func (po *Pool) checkEligible(rq *Request) error {
 	ready, eligible := 0, 0
 	for i := range po.cands {
 		if !po.cands[i].IsReady {
 			continue
 		}
 		ready++
-		if po.cands[i].Sequence >= ti.MinSequence {
+		if po.cands[i].Sequence >= rq.MinSequence {
 			eligible++
 		}
 	}
@@ -170,7 +170,7 @@
 
 		return result.New(result.NoBackendServer, "pool %s: none of %d backend servers is ready", po.cfg.Name, len(po.cands)).After(time.Second)
 	case eligible == 0:
-		return result.New(result.NoEligibleVersion, "pool %s: no ready backend server runs the weight version with sequence %d or a later one", po.cfg.Name, ti.MinSequence).After(time.Second)
+		return result.New(result.NoEligibleVersion, "pool %s: no ready backend server runs the weight version with sequence %d or a later one", po.cfg.Name, rq.MinSequence).After(time.Second)
 	}
 
 	return nil
@@ -182,7 +182,7 @@
 	for {
 		chosen := scheduler.NoCandidate
 		it := po.queue.Pop(now, func(it *admission.Item) bool {
-			chosen = po.pick(now, &it.Payload.(*waiter).ticket)
+			chosen = po.pick(now, &it.Payload.(*waiter).request)
 
 			return chosen != scheduler.NoCandidate
 		}, func(it *admission.Item) {
@@ -195,38 +195,38 @@
 	}
 }
 
-func (po *Pool) pick(now time.Duration, ti *Ticket) int {
-	rq := scheduler.Request{
-		MinSequence: ti.MinSequence, NewestFirst: ti.NewestFirst, FailureDomain: po.cfg.FailureDomain,
-		Affinity: -1, Tokens: int(ti.Cost), IsSuspect: ti.IsSuspect, Gateways: po.gateways,
+func (po *Pool) pick(now time.Duration, rq *Request) int {
+	sr := scheduler.Request{
+		MinSequence: rq.MinSequence, NewestFirst: rq.NewestFirst, FailureDomain: po.cfg.FailureDomain,
+		Affinity: -1, Tokens: int(rq.Cost), IsSuspect: rq.IsSuspect, Gateways: po.gateways,
 	}
-	if name, ok := po.prefixes[ti.Prefix]; ok && ti.Prefix != 0 {
+	if name, ok := po.prefixes[rq.Prefix]; ok && rq.Prefix != 0 {
 		if i, ok := po.byName[name]; ok {
-			rq.Affinity = i
+			sr.Affinity = i
 		}
 	}
-	rq.Exclude = po.excluded(now, ti)
+	sr.Exclude = po.excluded(now, rq)
 
-	return po.sched.Pick(now, po.cands, &rq)
+	return po.sched.Pick(now, po.cands, &sr)
 }
 
 // excluded returns the indices of the candidates that a request should avoid. It
 // returns none if only those could run the request, which would otherwise wait for
 // backend servers that may never come.
-func (po *Pool) excluded(now time.Duration, ti *Ticket) []int {
-	if len(ti.Exclude) == 0 {
+func (po *Pool) excluded(now time.Duration, rq *Request) []int {
+	if len(rq.Exclude) == 0 {
 		return nil
 	}
 
-	out := make([]int, 0, len(ti.Exclude))
-	for _, name := range ti.Exclude {
+	out := make([]int, 0, len(rq.Exclude))
+	for _, name := range rq.Exclude {
 		if i, ok := po.byName[name]; ok {
 			out = append(out, i)
 		}
 	}
 	for i := range po.cands {
 		ca := &po.cands[i]
-		if ca.IsReady && ca.Sequence >= ti.MinSequence && now >= ca.EjectedUntil && !slices.Contains(out, i) {
+		if ca.IsReady && ca.Sequence >= rq.MinSequence && now >= ca.EjectedUntil && !slices.Contains(out, i) {
 			return out
 		}
 	}
@@ -237,17 +237,17 @@
 func (po *Pool) grant(now time.Duration, it *admission.Item, i int) {
 	w := it.Payload.(*waiter)
 	se := po.servers[i]
-	gr := &Grant{pool: po, server: se, ticket: w.ticket, grantedAt: now, waited: now - it.Arrived}
+	gr := &Grant{pool: po, server: se, request: w.request, grantedAt: now, waited: now - it.Arrived}
 	se.inFlight[gr] = struct{}{}
-	po.cands[i].Mine++
+	po.cands[i].InFlight++
 	po.cands[i].Tokens += int(it.Cost)
-	if w.ticket.IsSuspect {
+	if w.request.IsSuspect {
 		se.suspectCount++
-		po.cands[i].IsExclusive = true
+		po.cands[i].RunsSuspect = true
 	}
-	if w.ticket.Prefix != 0 && len(po.prefixes) < maxPrefixes {
-		po.prefixes[w.ticket.Prefix] = se.Name()
-		se.prefixes[w.ticket.Prefix] = struct{}{}
+	if w.request.Prefix != 0 && len(po.prefixes) < maxPrefixes {
+		po.prefixes[w.request.Prefix] = se.Name()
+		se.prefixes[w.request.Prefix] = struct{}{}
 	}
 	w.granted <- gr
 }
@@ -274,30 +274,30 @@
 	now := po.cfg.Now()
 	delete(gr.server.inFlight, gr)
 	if oc == Succeeded {
-		po.queue.Served(now, gr.ticket.Cost)
+		po.queue.RecordServed(now, gr.request.Cost)
 	}
 	i, ok := po.byName[gr.server.Name()]
 	if ok && po.servers[i] == gr.server {
 		ca := &po.cands[i]
-		ca.Mine--
-		ca.Tokens -= int(gr.ticket.Cost)
-		if gr.ticket.IsSuspect {
+		ca.InFlight--
+		ca.Tokens -= int(gr.request.Cost)
+		if gr.request.IsSuspect {
 			gr.server.suspectCount--
-			ca.IsExclusive = gr.server.suspectCount > 0
+			ca.RunsSuspect = gr.server.suspectCount > 0
 		}
 		switch oc {
 		case Succeeded:
-			po.sched.Succeeded(ca)
+			po.sched.RecordSuccess(ca)
 		case Failed:
-			po.sched.Failed(now, po.cands, i)
+			po.sched.RecordFailure(now, po.cands, i)
 		case Unused:
 		}
 	}
 	po.dispatch()
 }
 
-// Announce adds a backend server. A new incarnation replaces the previous one.
-func (po *Pool) Announce(an *wire.Announce, session *peer.Session) {
+// AddServer adds a backend server. A new incarnation replaces the previous one.
+func (po *Pool) AddServer(an *wire.Announce, session *peer.Session) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 
@@ -319,9 +319,9 @@
 	po.cands = append(po.cands, scheduler.Candidate{Slots: int(an.GetSlots()), FailureDomain: an.GetFailureDomain(), ReadySince: now})
 }
 
-// Load applies a load report. It returns true if cache events are missing and the
+// ApplyLoad applies a load report. It returns true if cache events are missing and the
 // agent should resend the complete cache state. Outdated reports are ignored.
-func (po *Pool) Load(lo *wire.Load, gateways int) bool {
+func (po *Pool) ApplyLoad(lo *wire.Load, gateways int) bool {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 
@@ -342,7 +342,7 @@
 	}
 	ca.IsReady = isReady
 	ca.Running = int(lo.GetRunning())
-	ca.MineReported = min(ca.Mine, ca.Running)
+	ca.InFlightReported = min(ca.InFlight, ca.Running)
 	ca.Sequence = po.cfg.SequenceOf(lo.GetVersion())
 	resync := po.applyCacheEvents(se, lo.GetCacheEvents())
 	po.dispatch()
@@ -389,9 +389,9 @@
 	se.prefixes = map[uint64]struct{}{}
 }
 
-// Gone removes a backend server whose agent's session has ended, unless it has a new
+// RemoveServer removes a backend server whose agent's session has ended, unless it has a new
 // session or incarnation.
-func (po *Pool) Gone(name string, incarnation uint64, session *peer.Session) {
+func (po *Pool) RemoveServer(name string, incarnation uint64, session *peer.Session) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 
@@ -461,12 +461,12 @@
 
 	var all, suspects []string
 	for gr := range se.inFlight {
-		if gr.ticket.Fingerprint == "" {
+		if gr.request.Fingerprint == "" {
 			continue
 		}
-		all = append(all, gr.ticket.Fingerprint)
-		if gr.ticket.IsSuspect {
-			suspects = append(suspects, gr.ticket.Fingerprint)
+		all = append(all, gr.request.Fingerprint)
+		if gr.request.IsSuspect {
+			suspects = append(suspects, gr.request.Fingerprint)
 		}
 	}
 	if len(suspects) > 0 {
--- a/internal/pool/view.go
+++ b/internal/pool/view.go
@@ -15,7 +15,7 @@
 	de := Demand{Waiting: po.queue.Len() + po.refused + po.refusedBefore}
 	po.refusedBefore, po.refused = po.refused, 0
 	for i := range po.cands {
-		de.Running += po.cands[i].Mine
+		de.Running += po.cands[i].InFlight
 	}
 
 	return de
@@ -54,7 +54,7 @@
 		in := Info{
 			Server: se.Name(), Incarnation: se.Incarnation(), Class: an.GetClass(), Serves: an.GetModel() + an.GetService(),
 			FailureDomain: an.GetFailureDomain(), State: StateStarting, Slots: int(an.GetSlots()),
-			InFlight: po.cands[i].Mine, Order: an.GetOrder(), HeardAgoMs: (now - se.heardAt).Milliseconds(),
+			InFlight: po.cands[i].InFlight, Order: an.GetOrder(), HeardAgoMs: (now - se.heardAt).Milliseconds(),
 			Failures: po.cands[i].Failures, ChecksFencing: an.GetChecksFencing(),
 		}
 		if se.lastLoad != nil {
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -18,17 +18,17 @@
 
 // Entry records the crashes of one fingerprint.
 type Entry struct {
-	Crashes  []string `cbor:"1,keyasint"` // names and incarnations of the backend servers that crashed
-	Alone    bool     `cbor:"2,keyasint"` // it was the only suspect at one of the crashes
-	AtMs     int64    `cbor:"3,keyasint"` // time of the last crash
-	Released bool     `cbor:"4,keyasint"` // by an operator
+	Crashes        []string `cbor:"1,keyasint"` // names and incarnations of the backend servers that crashed
+	WasOnlySuspect bool     `cbor:"2,keyasint"` // it was the only suspect at one of the crashes
+	AtMs           int64    `cbor:"3,keyasint"` // time of the last crash
+	Released       bool     `cbor:"4,keyasint"` // by an operator
 }
 
 // Crash records which fingerprints were in flight on a backend server that crashed.
 type Crash struct {
 	Server       string   `cbor:"1,keyasint"` // name and incarnation
 	Fingerprints []string `cbor:"2,keyasint"`
-	Alone        bool     `cbor:"3,keyasint"` // the fingerprints ran as suspects
+	WereSuspects bool     `cbor:"3,keyasint"` // the fingerprints ran as suspects
 }
 
 // Cleared records that a request of a suspect fingerprint has completed.
@@ -69,7 +69,7 @@
 	switch {
 	case en.Released || len(en.Crashes) == 0:
 		return Clear
-	case len(en.Crashes) >= crashLimit && en.Alone:
+	case len(en.Crashes) >= crashLimit && en.WasOnlySuspect:
 		return Refused
 	}
 
@@ -89,7 +89,7 @@
 			continue
 		}
 		en.Crashes = append(append([]string(nil), en.Crashes...), cr.Server)
-		en.Alone = en.Alone || cr.Alone
+		en.WasOnlySuspect = en.WasOnlySuspect || cr.WereSuspects
 		en.AtMs = atMs
 		st.entries[fp] = en
 	}
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -9,7 +9,7 @@
 
 var _ = Describe("the quarantine state", func() {
 	crash := func(server string, alone bool, fps ...string) quarantine.Crash {
-		return quarantine.Crash{Server: server, Fingerprints: fps, Alone: alone}
+		return quarantine.Crash{Server: server, Fingerprints: fps, WereSuspects: alone}
 	}
 	cases := []struct {
 		name    string
--- a/internal/registry/merged.go
+++ b/internal/registry/merged.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// Merged combines the registries of several sources, each a process that receives
+// MergedView combines the registries of several sources, each a process that receives
 // heartbeats. A backend server is alive while any source receives its heartbeats. One
 // that no source knows any more is retained until a source that has listened long
-// enough sends an update without it. Merged is not safe for concurrent use.
-type Merged struct {
+// enough sends an update without it. MergedView is not safe for concurrent use.
+type MergedView struct {
 	sources map[string]*source
 	known   map[string]Record // the newest record of each ID
 }
@@ -17,21 +17,21 @@
 type source struct {
 	statuses  map[string]Status
 	isSettled bool // it has listened longer than a backend server may be silent
-	isCurrent bool // updated since the last Reset or Lost; other sources don't count
+	isCurrent bool // updated since the last Reset or MarkUnreachable; other sources don't count
 }
 
-// NewMerged returns a view without sources.
-func NewMerged() *Merged {
-	return &Merged{sources: map[string]*source{}, known: map[string]Record{}}
+// NewMergedView returns a view without sources.
+func NewMergedView() *MergedView {
+	return &MergedView{sources: map[string]*source{}, known: map[string]Record{}}
 }
 
 // Reset discards the statuses of a source, whose next Update is complete.
-func (me *Merged) Reset(name string) {
+func (me *MergedView) Reset(name string) {
 	me.sources[name] = &source{statuses: map[string]Status{}}
 }
 
 // Update applies the changes at one source.
-func (me *Merged) Update(name string, changed []Status, forgotten []string, isSettled bool) {
+func (me *MergedView) Update(name string, changed []Status, forgotten []string, isSettled bool) {
 	so, ok := me.sources[name]
 	if !ok {
 		so = &source{statuses: map[string]Status{}}
@@ -49,7 +49,7 @@
 
 // mergeRecord keeps the newer of the known and the given record. A server that has left
 // stays so for the same incarnation.
-func (me *Merged) mergeRecord(re Record) {
+func (me *MergedView) mergeRecord(re Record) {
 	old, ok := me.known[re.ID]
 	switch {
 	case !ok:
@@ -62,8 +62,8 @@
 	me.known[re.ID] = re
 }
 
-// Lost marks a source as unreachable: it is ignored until its next Update.
-func (me *Merged) Lost(name string) {
+// MarkUnreachable marks a source as unreachable: it is ignored until its next Update.
+func (me *MergedView) MarkUnreachable(name string) {
 	if so, ok := me.sources[name]; ok {
 		so.isCurrent = false
 	}
@@ -71,7 +71,7 @@
 
 // Live returns the backend servers that have neither left nor lapsed, sorted by ID. Of
 // several at one address only the last incarnation counts.
-func (me *Merged) Live() []Record {
+func (me *MergedView) Live() []Record {
 	latest := map[string]int64{} // address to BornMs of its last incarnation
 	for _, re := range me.known {
 		if re.State != Left {
@@ -98,7 +98,7 @@
 
 // isLapsed reports whether no current source finds the backend server alive and at
 // least one finds it lapsed or, being settled, doesn't know it.
-func (me *Merged) isLapsed(id string) bool {
+func (me *MergedView) isLapsed(id string) bool {
 	votes := 0
 	for _, so := range me.sources {
 		if !so.isCurrent {
@@ -118,7 +118,7 @@
 
 // isLoading reports whether any current source has an order to load weights in flight at this
 // incarnation.
-func (me *Merged) isLoading(re *Record) bool {
+func (me *MergedView) isLoading(re *Record) bool {
 	for _, so := range me.sources {
 		if st, ok := so.statuses[re.ID]; ok && so.isCurrent && st.Record.IsLoading && st.Record.BornMs == re.BornMs {
 			return true
@@ -130,7 +130,7 @@
 
 // isUnknownToAll reports whether all sources are current and settled, and none knows
 // the ID.
-func (me *Merged) isUnknownToAll(id string) bool {
+func (me *MergedView) isUnknownToAll(id string) bool {
 	for _, so := range me.sources {
 		if _, ok := so.statuses[id]; ok || !so.isCurrent || !so.isSettled {
 			return false
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -223,8 +223,8 @@
 // Equal reports whether two records are equal apart from the sequence number.
 func (re *Record) Equal(other *Record) bool { return re.ID == other.ID && re.hasSameContent(other) }
 
-// TellChanges logs the differences between two lists of records.
-func TellChanges(lo log.Interface, old, next []Record) {
+// LogChanges logs the differences between two lists of records.
+func LogChanges(lo log.Interface, old, next []Record) {
 	before := make(map[string]*Record, len(old))
 	for i := range old {
 		before[old[i].ID] = &old[i]
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -91,7 +91,7 @@
 })
 
 var _ = ginkgo.Describe("the merged view of several controllers", func() {
-	live := func(me *registry.Merged) []string {
+	live := func(me *registry.MergedView) []string {
 		var out []string
 		for _, re := range me.Live() {
 			out = append(out, re.ID)
@@ -104,7 +104,7 @@
 	}
 
 	ginkgo.It("keeps a backend server alive while any controller receives its heartbeats", func() {
-		me := registry.NewMerged()
+		me := registry.NewMergedView()
 		me.Update("a", status(false), nil, true)
 		me.Update("b", status(true), nil, true)
 		Expect(live(me)).To(Equal([]string{"i"}))
@@ -113,9 +113,9 @@
 	})
 
 	ginkgo.It("retains backend servers while controllers restart, until one is settled", func() {
-		me := registry.NewMerged()
+		me := registry.NewMergedView()
 		me.Update("a", status(false), nil, true)
-		me.Lost("a")
+		me.MarkUnreachable("a")
 		me.Reset("a")
 		Expect(live(me)).To(Equal([]string{"i"}), "no controller is current")
 		me.Update("a", nil, nil, false)
@@ -125,14 +125,14 @@
 	})
 
 	ginkgo.It("drops a backend server that one controller saw leave, even if another reports it ready", func() {
-		me := registry.NewMerged()
+		me := registry.NewMergedView()
 		me.Update("a", []registry.Status{{Record: record("i", "x", 1, 5, registry.Left)}}, nil, true)
 		me.Update("b", status(false), nil, true)
 		Expect(live(me)).To(BeEmpty())
 	})
 
 	ginkgo.It("reports an engine as loading if any controller does", func() {
-		me := registry.NewMerged()
+		me := registry.NewMergedView()
 		loading := status(false)
 		loading[0].Record.IsLoading = true
 		me.Update("a", status(false), nil, true)
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -10,11 +10,11 @@
 
 // Config holds the limits of retries.
 type Config struct {
-	Ratio     float64       // retries added to the budget by each first attempt
-	MinBudget float64       // retries in a new budget, which holds up to ten times as many
-	BaseDelay time.Duration // back-off before jitter, doubled with each attempt
-	MaxDelay  time.Duration // largest back-off before jitter
-	NoBudget  bool          // every retriable failure is retried, a baseline for comparison
+	Ratio         float64       // retries added to the budget by each first attempt
+	InitialBudget float64       // retries in a new budget, which holds up to ten times as many
+	BaseDelay     time.Duration // back-off before jitter, doubled with each attempt
+	MaxDelay      time.Duration // largest back-off before jitter
+	NoBudget      bool          // every retriable failure is retried, a baseline for comparison
 }
 
 // Defaults fills the fields left zero.
@@ -22,8 +22,8 @@
 	if c.Ratio == 0 {
 		c.Ratio = 0.1
 	}
-	if c.MinBudget == 0 {
-		c.MinBudget = 10
+	if c.InitialBudget == 0 {
+		c.InitialBudget = 10
 	}
 	if c.BaseDelay == 0 {
 		c.BaseDelay = 10 * time.Millisecond
@@ -40,7 +40,7 @@
 	retriesLeft map[string]float64
 }
 
-// NewBudget returns a budget in which every key starts with Config.MinBudget. random
+// NewBudget returns a budget in which every key starts with Config.InitialBudget. random
 // returns a number in [0, 1).
 func NewBudget(cfg Config, random func() float64) *Budget {
 	cfg.Defaults()
@@ -48,13 +48,13 @@
 	return &Budget{cfg: cfg, random: random, retriesLeft: map[string]float64{}}
 }
 
-// First records a first attempt, which adds Config.Ratio to the budget of key.
-func (bu *Budget) First(key string) {
+// RecordFirstAttempt records a first attempt, which adds Config.Ratio to the budget of key.
+func (bu *Budget) RecordFirstAttempt(key string) {
 	v, ok := bu.retriesLeft[key]
 	if !ok {
-		v = bu.cfg.MinBudget
+		v = bu.cfg.InitialBudget
 	}
-	bu.retriesLeft[key] = min(v+bu.cfg.Ratio, bu.cfg.MinBudget*10)
+	bu.retriesLeft[key] = min(v+bu.cfg.Ratio, bu.cfg.InitialBudget*10)
 }
 
 // Attempt describes a failed attempt.
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -31,7 +31,7 @@
 		It("decides on "+tc.name, func() {
 			bu := retry.NewBudget(retry.Config{}, half)
 			tc.at.Key = "k"
-			bu.First("k")
+			bu.RecordFirstAttempt("k")
 			de := bu.Decide(tc.at)
 			Expect(de.Retry).To(Equal(tc.want))
 			Expect(de.Reason).To(Equal(tc.reason))
@@ -42,7 +42,7 @@
 		bu := retry.NewBudget(retry.Config{}, half)
 		first, retries := 0, 0
 		for range 10_000 {
-			bu.First("k")
+			bu.RecordFirstAttempt("k")
 			first++
 			for n := 1; bu.Decide(retry.Attempt{Key: "k", Number: n, MaxRetries: 5, IsRepeatable: true, Err: crashed}).Retry; n++ {
 				retries++
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -10,20 +10,20 @@
 
 // Candidate is the state of one backend server, as known to this gateway.
 type Candidate struct {
-	Slots         int
-	Running       int    // requests of all gateways, as last reported
-	Mine          int    // requests in flight from this gateway
-	MineReported  int    // the part of Running that came from this gateway
-	Tokens        int    // estimated tokens in flight from this gateway
-	Sequence      uint64 // of the weight version that it serves
-	FailureDomain string
-	IsReady       bool
-	IsExclusive   bool // runs a suspect request and accepts no second one
-	HasIdle       bool // an idle connection to it is open
-	ReadySince    time.Duration
-	Failures      float64 // count of failures, reduced by each success
-	EjectedUntil  time.Duration
-	Latency       float64 // moving average in seconds per token or per request
+	Slots            int
+	Running          int    // requests of all gateways, as last reported
+	InFlight         int    // requests in flight from this gateway
+	InFlightReported int    // the part of Running that came from this gateway
+	Tokens           int    // estimated tokens in flight from this gateway
+	Sequence         uint64 // of the weight version that it serves
+	FailureDomain    string
+	IsReady          bool
+	RunsSuspect      bool // runs a suspect request and accepts no second one
+	HasIdle          bool // an idle connection to it is open
+	ReadySince       time.Duration
+	Failures         float64 // count of failures, reduced by each success
+	EjectedUntil     time.Duration
+	Latency          float64 // moving average in seconds per token or per request
 }
 
 // Request describes the request to place.
@@ -40,21 +40,21 @@
 
 // Values of Config.Policy.
 const (
-	PolicyScore      = "score"
-	PolicyRoundRobin = "roundRobin"
-	PolicyLeastMine  = "leastInFlight"
+	PolicyScore         = "score"
+	PolicyRoundRobin    = "roundRobin"
+	PolicyLeastInFlight = "leastInFlight"
 )
 
 // Config holds the policy and the weights of the score.
 type Config struct {
-	Policy         string
-	Choices        int           // number of random candidates compared
-	AffinityGain   float64       // bonus for the holder of the prefix
-	DomainGain     float64       // bonus for the gateway's own failure domain
-	IdleGain       float64       // bonus for an idle connection
-	SlowStart      time.Duration // time until a new candidate gets its full load
-	EjectFailures  float64       // value of Candidate.Failures that ejects a candidate
-	MaxEjectedPart float64       // largest share of the ready candidates that may be ejected
+	Policy          string
+	RandomChoices   int           // number of random candidates compared
+	AffinityBonus   float64       // bonus for the holder of the prefix
+	DomainBonus     float64       // bonus for the gateway's own failure domain
+	IdleBonus       float64       // bonus for an idle connection
+	SlowStart       time.Duration // time until a new candidate gets its full load
+	EjectFailures   float64       // value of Candidate.Failures that ejects a candidate
+	MaxEjectedShare float64       // largest share of the ready candidates that may be ejected
 }
 
 // Defaults fills the fields left zero.
@@ -62,17 +62,17 @@
 	if c.Policy == "" {
 		c.Policy = PolicyScore
 	}
-	if c.Choices == 0 {
-		c.Choices = 4
+	if c.RandomChoices == 0 {
+		c.RandomChoices = 4
 	}
-	if c.AffinityGain == 0 {
-		c.AffinityGain = 0.25
+	if c.AffinityBonus == 0 {
+		c.AffinityBonus = 0.25
 	}
-	if c.DomainGain == 0 {
-		c.DomainGain = 0.1
+	if c.DomainBonus == 0 {
+		c.DomainBonus = 0.1
 	}
-	if c.IdleGain == 0 {
-		c.IdleGain = 0.12 // less than the 1/8 that one more request costs with eight slots
+	if c.IdleBonus == 0 {
+		c.IdleBonus = 0.12 // less than the 1/8 that one more request costs with eight slots
 	}
 	if c.SlowStart == 0 {
 		c.SlowStart = 2 * time.Second
@@ -80,8 +80,8 @@
 	if c.EjectFailures == 0 {
 		c.EjectFailures = 3
 	}
-	if c.MaxEjectedPart == 0 {
-		c.MaxEjectedPart = 0.4
+	if c.MaxEjectedShare == 0 {
+		c.MaxEjectedShare = 0.4
 	}
 }
 
@@ -116,7 +116,7 @@
 	switch sc.cfg.Policy {
 	case PolicyRoundRobin:
 		return sc.pickRoundRobin(now, cands, rq)
-	case PolicyLeastMine:
+	case PolicyLeastInFlight:
 		return sc.pickLeastInFlight(now, cands, rq)
 	}
 
@@ -132,7 +132,7 @@
 	if rq.Affinity >= 0 && rq.Affinity < len(cands) {
 		consider(rq.Affinity)
 	}
-	if len(cands) <= 2*sc.cfg.Choices {
+	if len(cands) <= 2*sc.cfg.RandomChoices {
 		for i := range cands {
 			consider(i)
 		}
@@ -145,7 +145,7 @@
 			consider(i)
 		}
 	}
-	for range sc.cfg.Choices {
+	for range sc.cfg.RandomChoices {
 		consider(sc.random(len(cands)))
 	}
 	if best != NoCandidate {
@@ -176,23 +176,23 @@
 // slots that other gateways leave free, but at least an equal share of all slots,
 // less its own requests in flight.
 func Room(ca *Candidate, gateways int) int {
-	others := max(0, ca.Running-ca.MineReported)
+	others := max(0, ca.Running-ca.InFlightReported)
 	share := (ca.Slots + gateways - 1) / max(gateways, 1)
 
-	return max(ca.Slots-others, share) - ca.Mine
+	return max(ca.Slots-others, share) - ca.InFlight
 }
 
 func (sc *Scheduler) hasRoom(now time.Duration, ca *Candidate, i int, rq *Request) bool {
 	if !ca.IsReady || ca.Sequence < rq.MinSequence || isExcluded(rq, i) || now < ca.EjectedUntil {
 		return false
 	}
-	if rq.IsSuspect && ca.IsExclusive {
+	if rq.IsSuspect && ca.RunsSuspect {
 		return false
 	}
 	room := Room(ca, rq.Gateways)
 	if age := now - ca.ReadySince; age < sc.cfg.SlowStart {
 		allowed := 1 + int(float64(ca.Slots)*float64(age)/float64(sc.cfg.SlowStart))
-		room = min(room, allowed-ca.Mine)
+		room = min(room, allowed-ca.InFlight)
 	}
 
 	return room > 0
@@ -202,17 +202,17 @@
 // affinity, failure domain, idle connection and newer weights, plus penalties for
 // tokens in flight and failures. The lowest score is the best.
 func (sc *Scheduler) score(now time.Duration, ca *Candidate, i int, rq *Request) float64 {
-	others := max(0, ca.Running-ca.MineReported)
-	s := float64(others+ca.Mine+1) / float64(max(ca.Slots, 1))
+	others := max(0, ca.Running-ca.InFlightReported)
+	s := float64(others+ca.InFlight+1) / float64(max(ca.Slots, 1))
 	s += float64(ca.Tokens) / float64(64*1024)
 	if i == rq.Affinity {
-		s -= sc.cfg.AffinityGain
+		s -= sc.cfg.AffinityBonus
 	}
 	if ca.FailureDomain == rq.FailureDomain {
-		s -= sc.cfg.DomainGain
+		s -= sc.cfg.DomainBonus
 	}
 	if ca.HasIdle {
-		s -= sc.cfg.IdleGain
+		s -= sc.cfg.IdleBonus
 	}
 	s += 0.3 * ca.Failures
 	if rq.NewestFirst && ca.Sequence > 0 {
@@ -236,7 +236,7 @@
 func (sc *Scheduler) pickLeastInFlight(now time.Duration, cands []Candidate, rq *Request) int {
 	best := NoCandidate
 	for i := range cands {
-		if sc.hasRoom(now, &cands[i], i, rq) && (best == NoCandidate || cands[i].Mine < cands[best].Mine) {
+		if sc.hasRoom(now, &cands[i], i, rq) && (best == NoCandidate || cands[i].InFlight < cands[best].InFlight) {
 			best = i
 		}
 	}
@@ -244,9 +244,9 @@
 	return best
 }
 
-// Failed records a failure of candidate i. It ejects the candidate once its failures
+// RecordFailure records a failure of candidate i. It ejects the candidate once its failures
 // reach Config.EjectFailures, unless too many are ejected already.
-func (sc *Scheduler) Failed(now time.Duration, cands []Candidate, i int) {
+func (sc *Scheduler) RecordFailure(now time.Duration, cands []Candidate, i int) {
 	ca := &cands[i]
 	ca.Failures++
 	if ca.Failures < sc.cfg.EjectFailures {
@@ -262,10 +262,10 @@
 			ejected++
 		}
 	}
-	if float64(ejected) <= sc.cfg.MaxEjectedPart*float64(ready) {
+	if float64(ejected) <= sc.cfg.MaxEjectedShare*float64(ready) {
 		ca.EjectedUntil = now + min(time.Duration(ca.Failures)*time.Second, maxEjection)
 	}
 }
 
-// Succeeded records a success of the candidate, which reduces its failure count.
-func (sc *Scheduler) Succeeded(ca *Candidate) { ca.Failures *= 0.7 }
+// RecordSuccess records a success of the candidate, which reduces its failure count.
+func (sc *Scheduler) RecordSuccess(ca *Candidate) { ca.Failures *= 0.7 }
--- a/internal/statemachine/command.go
+++ b/internal/statemachine/command.go
@@ -37,7 +37,7 @@
 	KindRelease
 	KindRegister
 	KindPutRouting
-	KindNameVersion
+	KindRecordVersion
 	KindAnnounceMember
 	KindFormStores
 	KindRetireMember
--- a/internal/statemachine/statemachine.go
+++ b/internal/statemachine/statemachine.go
@@ -58,7 +58,7 @@
 	quarantine    *quarantine.State
 	replicas      map[consensus.ReplicaID]Register
 	routing       *routing.State
-	versions      *weights.Names
+	versions      *weights.VersionTable
 	roster        *roster.Roster
 	jobs          *job.Ledger
 
@@ -165,7 +165,7 @@
 		orders: intent.NewLog(sn.Orders), steps: step.NewLedger(sn.Steps), calls: idempotency.NewLedger(sn.Calls),
 		usage: usage.NewLedger(sn.Usage), quarantine: quarantine.NewState(sn.Quarantine), replicas: sn.Replicas,
 		deltasAfter: sn.Applied, revision: sn.Revision,
-		routing: routing.NewState(sn.Routing), versions: weights.NewNames(sn.Versions),
+		routing: routing.NewState(sn.Routing), versions: weights.NewVersionTable(sn.Versions),
 		roster: roster.NewRoster(sn.Roster), jobs: job.NewLedger(sn.Jobs),
 	}, nil
 }
@@ -204,7 +204,7 @@
 func (ma *Machine) Routing() *routing.State { return ma.routing }
 
 // Versions returns the newest weight version named for each model.
-func (ma *Machine) Versions() *weights.Names { return ma.versions }
+func (ma *Machine) Versions() *weights.VersionTable { return ma.versions }
 
 // Roster returns the VMs that store batch jobs.
 func (ma *Machine) Roster() *roster.Roster { return ma.roster }
@@ -301,8 +301,8 @@
 		return nil, nil
 	}),
 	KindPutRouting: handle(func(ma *Machine, c routing.Put) (any, error) { return ma.routing.Put(c), nil }),
-	KindNameVersion: handle(func(ma *Machine, c weights.Name) (any, error) {
-		ma.versions.Name(c)
+	KindRecordVersion: handle(func(ma *Machine, c weights.VersionRecord) (any, error) {
+		ma.versions.Record(c)
 
 		return nil, nil
 	}),
@@ -323,9 +323,9 @@
 		return nil, nil
 	}),
 	KindSubmitJob:   handle(func(ma *Machine, c job.Submit) (any, error) { return nil, ma.jobs.Submit(c, ma.atMs) }),
-	KindListResults: handle(func(ma *Machine, c job.List) (any, error) { return ma.jobs.List(c), nil }),
+	KindListResults: handle(func(ma *Machine, c job.ListResults) (any, error) { return ma.jobs.ListResults(c), nil }),
 	KindNoteProgress: handle(func(ma *Machine, c job.Progress) (any, error) {
-		ma.jobs.Note(c)
+		ma.jobs.RecordProgress(c)
 
 		return nil, nil
 	}),
--- a/internal/statemachine/statemachine_test.go
+++ b/internal/statemachine/statemachine_test.go
@@ -30,12 +30,12 @@
 		body any
 	}{
 		{statemachine.KindPutRouting, routing.Put{Config: routing.Config{Version: 4, Services: []routing.Service{{Name: "s"}}}, Document: []byte("{}")}},
-		{statemachine.KindNameVersion, weights.Name{Model: "m", Version: 3}},
+		{statemachine.KindRecordVersion, weights.VersionRecord{Model: "m", Version: 3}},
 		{statemachine.KindAnnounceMember, roster.Announce{Member: roster.Member{Name: "a", Replica: "a-1", Address: "x"}}},
 		{statemachine.KindFormStores, roster.Form{Replicas: []consensus.ReplicaID{"a-1"}}},
 		{statemachine.KindSubmitJob, job.Submit{Spec: job.Spec{ID: "j", Workspace: "w", Items: []job.Item{{ID: "i", Body: []byte("B")}, {ID: "k"}}}}},
-		{statemachine.KindNoteProgress, job.Progress{Parts: []job.Part{{Job: "j", Item: 0, First: true, Text: job.Partial{Events: []string{"e"}, Last: 1, Term: 2}}}}},
-		{statemachine.KindListResults, job.List{Job: "j", Results: []job.Result{{Item: 1, State: job.Completed, Text: "t", Versions: []uint64{3}}}}},
+		{statemachine.KindNoteProgress, job.Progress{Parts: []job.Part{{Job: "j", Item: 0, IsFirst: true, Text: job.Partial{Events: []string{"e"}, LastEvent: 1, Term: 2}}}}},
+		{statemachine.KindListResults, job.ListResults{Job: "j", Results: []job.Result{{Item: 1, State: job.Completed, Text: "t", Versions: []uint64{3}}}}},
 	}
 
 	ginkgo.It("is equal after a snapshot and applies further commands alike", func() {
@@ -55,7 +55,7 @@
 		Expect(re.Jobs().Jobs()).To(Equal(ma.Jobs().Jobs()))
 
 		for _, m := range []*statemachine.Machine{ma, re} {
-			Expect(apply(m, 20, statemachine.KindListResults, job.List{Job: "j", Results: []job.Result{
+			Expect(apply(m, 20, statemachine.KindListResults, job.ListResults{Job: "j", Results: []job.Result{
 				{Item: 1, State: job.Aborted}, {Item: 0, State: job.Completed, Text: "u"},
 			}})).To(Succeed())
 			Expect(apply(m, 21, statemachine.KindEndJob, job.End{Job: "j", Workspace: "w"})).To(Succeed())
--- a/internal/weights/joint.go
+++ b/internal/weights/joint.go
@@ -31,28 +31,30 @@
 // that the loss of one leaves it another.
 const minHosts = 2
 
-// Joint plans the swaps of engines that serve several models. One limit covers the loads
+// JointPlanner plans the swaps of engines that serve several models. One limit covers the loads
 // of all models, and an engine carries out one order at a time. Each engine has a home
 // model and loads only its new versions, since an engine could not keep up with the
 // versions of several models that are trained at once.
-type Joint struct {
+type JointPlanner struct {
 	orderTracker
 	homes map[string]string // server to its home model
 }
 
-// NewJoint returns a planner without homes, orders or failures.
-func NewJoint() *Joint { return &Joint{orderTracker: newOrderTracker(), homes: map[string]string{}} }
+// NewJointPlanner returns a planner without homes, orders or failures.
+func NewJointPlanner() *JointPlanner {
+	return &JointPlanner{orderTracker: newOrderTracker(), homes: map[string]string{}}
+}
 
-// Home returns the model whose new versions an engine loads.
-func (jo *Joint) Home(server string) string { return jo.homes[server] }
+// HomeModel returns the model whose new versions an engine loads.
+func (jp *JointPlanner) HomeModel(server string) string { return jp.homes[server] }
 
 // Next returns the orders to give now; at most wave engines load at once. The model with
 // the fewest engines at its newest version goes first, and of its engines the one with
 // the fewest running items.
-func (jo *Joint) Next(now time.Duration, targets []Target, hosts []Host, wave int) []Swap {
+func (jp *JointPlanner) Next(now time.Duration, targets []Target, hosts []Host, wave int) []Swap {
 	targets = slices.SortedFunc(slices.Values(targets), func(a, b Target) int { return cmp.Compare(a.Model, b.Model) })
 	hosts = slices.SortedFunc(slices.Values(hosts), func(a, b Host) int { return cmp.Compare(a.Server, b.Server) })
-	jo.assignHomes(targets, hosts)
+	jp.assignHomes(targets, hosts)
 
 	byModel := map[string]Target{}
 	current := map[string]int{} // engines at the newest version or loading it
@@ -61,25 +63,25 @@
 	}
 	var due []Host
 	for _, ho := range hosts {
-		ta := byModel[jo.homes[ho.Server]]
-		if ho.Versions[ta.Model] >= ta.Version || jo.inFlight[ho.Server] != "" {
+		ta := byModel[jp.homes[ho.Server]]
+		if ho.Versions[ta.Model] >= ta.Version || jp.inFlight[ho.Server] != "" {
 			current[ta.Model]++
-		} else if !jo.isBackingOff(now, ho.Server) {
+		} else if !jp.isBackingOff(now, ho.Server) {
 			due = append(due, ho)
 		}
 	}
 
 	var out []Swap
-	for len(jo.inFlight) < wave && len(due) > 0 {
+	for len(jp.inFlight) < wave && len(due) > 0 {
 		best := slices.MinFunc(due, func(a, b Host) int {
-			ma, mb := jo.homes[a.Server], jo.homes[b.Server]
+			ma, mb := jp.homes[a.Server], jp.homes[b.Server]
 
 			return cmp.Or(cmp.Compare(current[ma], current[mb]), cmp.Compare(a.Running, b.Running), cmp.Compare(a.Server, b.Server))
 		})
-		model := jo.homes[best.Server]
+		model := jp.homes[best.Server]
 		out = append(out, Swap{Server: best.Server, Model: model, Version: byModel[model].Version})
 		current[model]++
-		jo.inFlight[best.Server] = Load
+		jp.inFlight[best.Server] = Load
 		due = slices.DeleteFunc(due, func(ho Host) bool { return ho.Server == best.Server })
 	}
 
@@ -88,14 +90,14 @@
 
 // assignHomes gives each engine a home model. An engine moves to another model only if
 // its model has more engines than it should have and allowedSurplus permits.
-func (jo *Joint) assignHomes(targets []Target, hosts []Host) {
+func (jp *JointPlanner) assignHomes(targets []Target, hosts []Host) {
 	alive := map[string]bool{}
 	for _, ho := range hosts {
 		alive[ho.Server] = true
 	}
-	for server := range jo.homes {
+	for server := range jp.homes {
 		if !alive[server] {
-			delete(jo.homes, server)
+			delete(jp.homes, server)
 		}
 	}
 	if len(targets) == 0 {
@@ -104,28 +106,28 @@
 
 	want := divideHosts(targets, len(hosts))
 	have := map[string]int{}
-	for server, model := range jo.homes {
+	for server, model := range jp.homes {
 		if _, ok := want[model]; !ok {
-			delete(jo.homes, server)
+			delete(jp.homes, server)
 
 			continue
 		}
 		have[model]++
 	}
 	for _, ho := range hosts {
-		if model, ok := jo.homes[ho.Server]; ok && have[model] > want[model]+allowedSurplus(want, have) {
+		if model, ok := jp.homes[ho.Server]; ok && have[model] > want[model]+allowedSurplus(want, have) {
 			have[model]--
-			delete(jo.homes, ho.Server)
+			delete(jp.homes, ho.Server)
 		}
 	}
 	for _, ho := range hosts {
-		if _, ok := jo.homes[ho.Server]; ok {
+		if _, ok := jp.homes[ho.Server]; ok {
 			continue
 		}
 		best := slices.MaxFunc(targets, func(a, b Target) int {
 			return cmp.Compare(want[a.Model]-have[a.Model], want[b.Model]-have[b.Model])
 		})
-		jo.homes[ho.Server] = best.Model
+		jp.homes[ho.Server] = best.Model
 		have[best.Model]++
 	}
 }
--- a/internal/weights/joint_test.go
+++ b/internal/weights/joint_test.go
@@ -32,7 +32,7 @@
 	return en
 }
 
-func (en *fakeEngines) step(now, load time.Duration, jo *weights.Joint, targets []weights.Target, wave int) {
+func (en *fakeEngines) step(now, load time.Duration, jo *weights.JointPlanner, targets []weights.Target, wave int) {
 	for server, end := range en.loadEndsAt {
 		if now >= end {
 			for i := range en.hosts {
@@ -66,7 +66,7 @@
 	const load, tick = 900 * time.Millisecond, 50 * time.Millisecond
 
 	ginkgo.It("keep two models that are trained at once recent enough for each training step", func() {
-		jo, en := weights.NewJoint(), newFakeEngines(8, "short", "long")
+		jo, en := weights.NewJointPlanner(), newFakeEngines(8, "short", "long")
 		targets := []weights.Target{{Model: "long", Version: 1, Demand: 3}, {Model: "short", Version: 1, Demand: 1}}
 		// Each model's trainer publishes a version every 4.5 s; its step then uses engines
 		// that are at most one version behind.
@@ -98,7 +98,7 @@
 			{[]float64{1, 1, 1, 1}, 40, []int{10, 10, 10, 10}},
 			{[]float64{0, 0}, 3, []int{2, 1}},
 		} {
-			jo, en := weights.NewJoint(), newFakeEngines(tc.n, "a", "b", "c", "d")
+			jo, en := weights.NewJointPlanner(), newFakeEngines(tc.n, "a", "b", "c", "d")
 			var targets []weights.Target
 			for i, d := range tc.demands {
 				targets = append(targets, weights.Target{Model: string(rune('a' + i)), Version: 2, Demand: d})
@@ -106,27 +106,27 @@
 			jo.Next(0, targets, en.hosts, 1)
 			got := make([]int, len(tc.demands))
 			for _, ho := range en.hosts {
-				got[jo.Home(ho.Server)[0]-'a']++
+				got[jo.HomeModel(ho.Server)[0]-'a']++
 			}
 			Expect(got).To(Equal(tc.want), "%v of %d", tc.demands, tc.n)
 		}
 	})
 
 	ginkgo.It("move no engine for a small change of demand", func() {
-		jo, en := weights.NewJoint(), newFakeEngines(8, "a", "b")
+		jo, en := weights.NewJointPlanner(), newFakeEngines(8, "a", "b")
 		jo.Next(0, []weights.Target{{"a", 1, 1}, {"b", 1, 1}}, en.hosts, 2)
 		before := map[string]string{}
 		for _, ho := range en.hosts {
-			before[ho.Server] = jo.Home(ho.Server)
+			before[ho.Server] = jo.HomeModel(ho.Server)
 		}
 		jo.Next(0, []weights.Target{{"a", 1, 1.4}, {"b", 1, 1}}, en.hosts, 2)
 		for _, ho := range en.hosts {
-			Expect(jo.Home(ho.Server)).To(Equal(before[ho.Server]))
+			Expect(jo.HomeModel(ho.Server)).To(Equal(before[ho.Server]))
 		}
 	})
 
 	ginkgo.It("continue with the other engines when one fails an order", func() {
-		jo, en := weights.NewJoint(), newFakeEngines(3, "a")
+		jo, en := weights.NewJointPlanner(), newFakeEngines(3, "a")
 		targets := []weights.Target{{"a", 2, 1}}
 		first := jo.Next(0, targets, en.hosts, 1)
 		Expect(first).To(HaveLen(1))
