--- a/internal/agent/usage.go
+++ b/internal/agent/usage.go
@@ -20,9 +20,9 @@
 type counters struct {
 	mu            sync.Mutex
 	windowSeconds int64                        // length of a usage window; 0 until a gateway reports it
-	unassigned    map[secondKey]usage.Figures  // counted before the length is known
-	totals        map[counterKey]usage.Figures // current values
-	acknowledged  map[counterKey]usage.Figures // values last acknowledged by a gateway
+	unassigned    map[secondKey]usage.Amounts  // counted before the length is known
+	totals        map[counterKey]usage.Amounts // current values
+	acknowledged  map[counterKey]usage.Amounts // values last acknowledged by a gateway
 }
 
 // secondKey identifies a counter that can't be assigned to a window yet, because the
@@ -37,12 +37,12 @@
 const retainedWindows = 8
 
 func newCounters() *counters {
-	return &counters{unassigned: map[secondKey]usage.Figures{}, totals: map[counterKey]usage.Figures{}, acknowledged: map[counterKey]usage.Figures{}}
+	return &counters{unassigned: map[secondKey]usage.Amounts{}, totals: map[counterKey]usage.Amounts{}, acknowledged: map[counterKey]usage.Amounts{}}
 }
 
 // count adds to the counter of a workspace in the current window.
 func (ag *Agent) count(workspace string, requests, tokens uint64) {
-	ag.usage.count(workspace, ag.cfg.WallSeconds(), usage.Figures{Requests: requests, Tokens: tokens})
+	ag.usage.count(workspace, ag.cfg.WallSeconds(), usage.Amounts{Requests: requests, Tokens: tokens})
 }
 
 // setWindowLength sets the length of windows that a gateway reported. A gateway that
@@ -50,16 +50,16 @@
 // length would never be part of a usage report.
 func (ag *Agent) setWindowLength(seconds uint32) { ag.usage.setWindowSeconds(int64(seconds)) }
 
-func (co *counters) count(workspace string, second int64, f usage.Figures) {
+func (co *counters) count(workspace string, second int64, f usage.Amounts) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 
 	if co.windowSeconds == 0 {
-		addFigures(co.unassigned, secondKey{workspace, second}, f)
+		addAmounts(co.unassigned, secondKey{workspace, second}, f)
 
 		return
 	}
-	addFigures(co.totals, counterKey{workspace, uint64(second / co.windowSeconds)}, f)
+	addAmounts(co.totals, counterKey{workspace, uint64(second / co.windowSeconds)}, f)
 }
 
 // setWindowSeconds sets the length of windows and assigns the counters in unassigned
@@ -73,12 +73,12 @@
 	}
 	co.windowSeconds = seconds
 	for k, f := range co.unassigned {
-		addFigures(co.totals, counterKey{k.workspace, uint64(k.second / seconds)}, f)
+		addAmounts(co.totals, counterKey{k.workspace, uint64(k.second / seconds)}, f)
 	}
 	clear(co.unassigned)
 }
 
-func addFigures[K comparable](m map[K]usage.Figures, k K, f usage.Figures) {
+func addAmounts[K comparable](m map[K]usage.Amounts, k K, f usage.Amounts) {
 	v := m[k]
 	v.Requests += f.Requests
 	v.Tokens += f.Tokens
@@ -86,11 +86,11 @@
 }
 
 // unacknowledged returns the counters that changed since they were last acknowledged.
-func (co *counters) unacknowledged() map[counterKey]usage.Figures {
+func (co *counters) unacknowledged() map[counterKey]usage.Amounts {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 
-	out := map[counterKey]usage.Figures{}
+	out := map[counterKey]usage.Amounts{}
 	for k, v := range co.totals {
 		if co.acknowledged[k] != v {
 			out[k] = v
@@ -102,7 +102,7 @@
 
 // acknowledge records the counters that a gateway acknowledged as committed, and
 // removes old counters that are fully committed.
-func (co *counters) acknowledge(cs map[counterKey]usage.Figures) {
+func (co *counters) acknowledge(cs map[counterKey]usage.Amounts) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 
--- a/internal/agent/usage_test.go
+++ b/internal/agent/usage_test.go
@@ -20,7 +20,7 @@
 		ag = New(Config{Server: "s", Service: "p", WallSeconds: func() int64 { return now }})
 	})
 	const length = 3
-	one := usage.Figures{Requests: 1, Tokens: 20}
+	one := usage.Amounts{Requests: 1, Tokens: 20}
 
 	ginkgo.It("keep the reported window length when a gateway that has just started reports 0", func() {
 		ag.setWindowLength(length)
@@ -29,7 +29,7 @@
 		now += length
 		ag.count("w", 1, 20)
 		first := uint64(1_800_000_007 / length)
-		Expect(ag.usage.unacknowledged()).To(Equal(map[counterKey]usage.Figures{{"w", first}: one, {"w", first + 1}: one}))
+		Expect(ag.usage.unacknowledged()).To(Equal(map[counterKey]usage.Amounts{{"w", first}: one, {"w", first + 1}: one}))
 	})
 
 	ginkgo.It("are assigned to windows once the window length is known", func() {
@@ -40,7 +40,7 @@
 		Expect(ag.usage.unacknowledged()).To(BeEmpty())
 		ag.setWindowLength(length)
 		first := uint64(1_800_000_007 / length)
-		Expect(ag.usage.unacknowledged()).To(Equal(map[counterKey]usage.Figures{{"w", first}: one, {"v", first + 1}: one}))
+		Expect(ag.usage.unacknowledged()).To(Equal(map[counterKey]usage.Amounts{{"w", first}: one, {"v", first + 1}: one}))
 		ag.setWindowLength(length)
 		Expect(ag.usage.unacknowledged()).To(HaveLen(2))
 	})
--- a/internal/capacity/groups.go
+++ b/internal/capacity/groups.go
@@ -71,8 +71,8 @@
 		return nil, err
 	}
 	out := []Figure{
-		{"one sync of the disk, p50", "ms", quantile.Ms(syncs, 0.5)},
-		{"one sync of the disk, p99", "ms", quantile.Ms(syncs, 0.99)},
+		{"one sync of the disk, p50", "ms", quantile.Milliseconds(syncs, 0.5)},
+		{"one sync of the disk, p99", "ms", quantile.Milliseconds(syncs, 0.99)},
 	}
 	vo, err := startVoters(folder, 1, 3)
 	if err != nil {
@@ -85,12 +85,12 @@
 	cpu := (cpuTime() - before).Seconds()
 	out = append(out,
 		Figure{"commits a second, 3 voters, 64 writers", "1/s", rate},
-		Figure{"commit p50, 64 writers", "ms", quantile.Ms(lat, 0.5)},
-		Figure{"commit p99, 64 writers", "ms", quantile.Ms(lat, 0.99)},
+		Figure{"commit p50, 64 writers", "ms", quantile.Milliseconds(lat, 0.5)},
+		Figure{"commit p99, 64 writers", "ms", quantile.Milliseconds(lat, 0.99)},
 		Figure{"CPU of a commit, 3 voters and writers together", "us", cpu / (rate * commitDuration.Seconds()) * 1e6},
 	)
 	_, one := measureCommitRate([]*voters{vo}, 1, time.Second)
-	out = append(out, Figure{"commit p50, 1 writer", "ms", quantile.Ms(one, 0.5)})
+	out = append(out, Figure{"commit p50, 1 writer", "ms", quantile.Milliseconds(one, 0.5)})
 
 	before = cpuTime()
 	time.Sleep(idleDuration)
@@ -169,7 +169,7 @@
 			next := all.groups[(i+1)%3]
 			pctx, pcancel := context.WithTimeout(ctx, 10*time.Second)
 			defer pcancel()
-			err := next.Propose(pctx, statemachine.KindRegister, statemachine.Register{Replica: "probe"}, nil)
+			err := next.Propose(pctx, statemachine.KindRegister, statemachine.Registration{Replica: "probe"}, nil)
 
 			return time.Since(at), err
 		}
@@ -316,7 +316,7 @@
 		}()
 	}
 
-	return su, su.waitAll(func(gr *group.Group) bool { return gr.Fresh() == nil })
+	return su, su.waitAll(func(gr *group.Group) bool { return gr.CheckFresh() == nil })
 }
 
 func newSubscriber(vo *voters, address string, i int) (*group.Group, error) {
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -188,7 +188,7 @@
 		return cpuOf(rounds, func() {
 			page++
 			_, _ = le.FormPage(step.FormPage{Key: "w/s", Number: page, Max: 256}, 1, 1)
-			_, _ = le.Ack(step.Ack{Key: "w/s", Number: page}, 1)
+			_, _ = le.Ack(step.AckPage{Key: "w/s", Number: page}, 1)
 		}), nil
 	})
 	if err != nil {
@@ -232,7 +232,7 @@
 	for g := range n / 8 {
 		st.Groups = append(st.Groups, step.Group{ID: fmt.Sprintf("g%05d", g), Prompt: fmt.Sprintf("prompt %d", g), Samples: 8, MaxTokens: 100})
 	}
-	if _, err := le.Open(step.Open{Step: st}, 1); err != nil {
+	if _, err := le.Open(step.OpenStep{Step: st}, 1); err != nil {
 		panic(err)
 	}
 	for i := 0; i < n; i += 64 {
@@ -255,9 +255,9 @@
 func newFilledUsage(n int) *usage.Ledger {
 	le := usage.NewLedger(usage.Snapshot{})
 	for i := range n {
-		le.Fold(usage.Fold{Counters: []usage.Counter{{
+		le.AddCounters(usage.AddCounters{Counters: []usage.Counter{{
 			Agent: fmt.Sprintf("server-%05d", i/8), Incarnation: uint64(i), Workspace: fmt.Sprintf("w%d", i%8), Window: 1,
-			Figures: usage.Figures{Requests: 1, Tokens: 100},
+			Amounts: usage.Amounts{Requests: 1, Tokens: 100},
 		}}})
 	}
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -128,7 +128,7 @@
 	gc := group.Config{
 		Name: no.Name, Address: no.PeerAddress, FailureDomain: no.FailureDomain, DataFolder: no.DataFolder, Founders: founders,
 		Peer: cfg.Peer, Files: cfg.Files, Election: settings.NodeElection, Heartbeat: settings.NodeHeartbeat, FreshnessBound: freshnessBound,
-		ReplaceAfter: settings.NodeReplaceAfter, Voters: no.Voters(), Addresses: co.addresses, WallMs: cfg.WallMs, Log: cfg.Log,
+		ReplaceAfter: settings.NodeReplaceAfter, TargetVoters: no.Voters(), CandidateAddresses: co.addresses, WallMs: cfg.WallMs, Log: cfg.Log,
 		OnStatus: func(group.Status) { co.wakePublish() },
 	}
 	if !no.MayForm {
@@ -185,11 +185,11 @@
 	}
 	mux[MethodAnnounce] = co.handleAnnounce
 	mux[MethodUsage] = func(ctx context.Context, st *peer.Stream) error {
-		var fo usage.Fold
+		var fo usage.AddCounters
 		if err := st.RequestRecord(&fo); err != nil {
 			return err
 		}
-		if err := co.group.Propose(ctx, statemachine.KindFoldUsage, fo, nil); err != nil {
+		if err := co.group.Propose(ctx, statemachine.KindAddUsage, fo, nil); err != nil {
 			return err
 		}
 
--- a/internal/controller/stores.go
+++ b/internal/controller/stores.go
@@ -158,7 +158,7 @@
 
 // Retire requests that the store group replaces a store, so that its VM can be removed.
 func (co *Controller) Retire(ctx context.Context, name string) error {
-	err := co.group.Propose(ctx, statemachine.KindRetireMember, roster.Retire{Name: name, Keep: co.cfg.Settings.Voters()}, nil)
+	err := co.group.Propose(ctx, statemachine.KindRetireMember, roster.Retire{Name: name, MinRemaining: co.cfg.Settings.Voters()}, nil)
 	fl := log.Fields{"store": name}
 	if err != nil {
 		fl["error"] = err.Error()
--- a/internal/controller/usage.go
+++ b/internal/controller/usage.go
@@ -85,7 +85,7 @@
 		return false
 	}
 	co.cfg.Log.WithFields(fl).Info("usage window reported")
-	if err := co.group.Propose(ctx, statemachine.KindReported, usage.Reported{Window: re.Window, Fencing: fencing}, nil); err != nil {
+	if err := co.group.Propose(ctx, statemachine.KindMarkReported, usage.MarkReported{Window: re.Window, Fencing: fencing}, nil); err != nil {
 		if !result.Is(err, result.LeaseLost) {
 			co.cfg.Log.WithError(err).Warn("usage report sent but not recorded, the same figures are sent again")
 		}
--- a/internal/demo/check.go
+++ b/internal/demo/check.go
@@ -308,16 +308,16 @@
 }
 
 // reportedUsage returns the sum of all reported usage.
-func (dr *demoRun) reportedUsage() usage.Figures {
-	var sum usage.Figures
+func (dr *demoRun) reportedUsage() usage.Amounts {
+	var sum usage.Amounts
 	for _, rs := range dr.reportsByWindow() {
 		var re usage.Report
 		if err := json.Unmarshal([]byte(rs[0].Body), &re); err != nil {
 			continue
 		}
 		for _, li := range re.Lines {
-			sum.Tokens += li.Figures.Tokens + li.Adjustment.Tokens
-			sum.Requests += li.Figures.Requests + li.Adjustment.Requests
+			sum.Tokens += li.Amounts.Tokens + li.Adjustment.Tokens
+			sum.Requests += li.Amounts.Requests + li.Adjustment.Requests
 		}
 	}
 
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -158,7 +158,7 @@
 	if len(counters) == 0 {
 		return
 	}
-	b, err := cbor.Marshal(usage.Fold{Counters: counters})
+	b, err := cbor.Marshal(usage.AddCounters{Counters: counters})
 	if err != nil {
 		ed.cfg.Log.WithError(err).Error("cannot encode usage counters")
 
--- a/internal/endtoend/drain_test.go
+++ b/internal/endtoend/drain_test.go
@@ -335,7 +335,7 @@
 				Expect(json.Unmarshal([]byte(r.Body), &re)).To(Succeed())
 				for _, li := range re.Lines {
 					if li.Workspace == "alpha" {
-						sum += li.Figures.Tokens + li.Adjustment.Tokens
+						sum += li.Amounts.Tokens + li.Adjustment.Tokens
 					}
 				}
 			}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -446,7 +446,7 @@
 	}
 	total += tr.completedBy["greedy"]
 	oc.Worst = float64(worst) / max(1, float64(total)/float64(tr.workload.fairWorkspaces+1))
-	oc.LookupP99 = quantile.Ms(tr.lookupTimes, 0.99)
+	oc.LookupP99 = quantile.Milliseconds(tr.lookupTimes, 0.99)
 	oc.Goodput = float64(tr.completed) / d.Seconds()
 	runs := 0
 	for _, en := range tr.deployment.AllEngines() {
--- a/internal/experiment/overload.go
+++ b/internal/experiment/overload.go
@@ -145,7 +145,7 @@
 
 	return Load{
 		Name: name, Sent: float64(sent) / d.Seconds(), Goodput: float64(answered) / d.Seconds(), Lost: lost,
-		LookupP50: quantile.Ms(lookups, 0.5), LookupP99: quantile.Ms(lookups, 0.99),
+		LookupP50: quantile.Milliseconds(lookups, 0.5), LookupP99: quantile.Milliseconds(lookups, 0.99),
 	}
 }
 
--- a/internal/experiment/spending.go
+++ b/internal/experiment/spending.go
@@ -186,7 +186,7 @@
 
 	return Spending{
 		Policy: policy, Served: len(da.latencies), Refused: da.refused,
-		P50: quantile.Ms(da.latencies, 0.5), P99: quantile.Ms(da.latencies, 0.99),
+		P50: quantile.Milliseconds(da.latencies, 0.5), P99: quantile.Milliseconds(da.latencies, 0.99),
 	}
 }
 
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -67,7 +67,7 @@
 	Versions  map[string]uint64 `cbor:"2,keyasint,omitempty"`
 	Roster    *roster           `cbor:"3,keyasint,omitempty"`
 	Changed   []registry.Status `cbor:"4,keyasint,omitempty"`
-	Forgotten []string          `cbor:"5,keyasint,omitempty"`
+	Removed   []string          `cbor:"5,keyasint,omitempty"`
 	IsSettled bool              `cbor:"6,keyasint,omitempty"`
 	AgeMs     int64             `cbor:"7,keyasint"`
 }
@@ -97,16 +97,16 @@
 		delete(before, se.Record.ID)
 	}
 	for id := range before {
-		de.Forgotten = append(de.Forgotten, id)
+		de.Removed = append(de.Removed, id)
 	}
-	slices.Sort(de.Forgotten)
+	slices.Sort(de.Removed)
 
 	return de
 }
 
 // isEmpty reports whether a delta changes nothing, so that it is only a heartbeat.
 func (de *stateDelta) isEmpty() bool {
-	return de.Config == nil && de.Versions == nil && de.Roster == nil && len(de.Changed) == 0 && len(de.Forgotten) == 0
+	return de.Config == nil && de.Versions == nil && de.Roster == nil && len(de.Changed) == 0 && len(de.Removed) == 0
 }
 
 // View is the merged state of all controllers that a follower follows. It is never
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -32,7 +32,7 @@
 		Expect(de.Versions).To(BeNil())
 		Expect(de.Roster).To(BeNil())
 		Expect(de.Changed).To(Equal([]registry.Status{server("x", 2)}))
-		Expect(de.Forgotten).To(Equal([]string{"y"}))
+		Expect(de.Removed).To(Equal([]string{"y"}))
 	})
 })
 
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -22,10 +22,10 @@
 
 // Config holds the settings of a Follower.
 type Config struct {
-	Links *peer.Links
-	Seeds func() []string // peer addresses of some controllers
-	Own   string          // own peer address, which is not followed
-	Log   log.Interface
+	Links      *peer.Links
+	Seeds      func() []string // peer addresses of some controllers
+	OwnAddress string          // own peer address, which is not followed
+	Log        log.Interface
 }
 
 // Follower merges the state of every controller that it knows of.
@@ -115,7 +115,7 @@
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 	for _, a := range want {
-		if _, ok := fo.following[a]; ok || a == fo.cfg.Own {
+		if _, ok := fo.following[a]; ok || a == fo.cfg.OwnAddress {
 			continue
 		}
 		fctx, cancel := context.WithCancel(ctx)
@@ -193,7 +193,7 @@
 		fo.confirmed = t
 	}
 	old := fo.View()
-	fo.merged.Update(address, de.Changed, de.Forgotten, de.IsSettled)
+	fo.merged.Update(address, de.Changed, de.Removed, de.IsSettled)
 	servers := fo.merged.Live()
 	if de.isEmpty() && sameServers(old.Servers, servers) {
 		return
--- a/internal/gateway/caller.go
+++ b/internal/gateway/caller.go
@@ -17,7 +17,7 @@
 
 // Authenticate returns the caller that the token belongs to.
 func (ga *Gateway) Authenticate(token string) (Caller, error) {
-	if err := ga.group.Fresh(); err != nil {
+	if err := ga.group.CheckFresh(); err != nil {
 		return Caller{}, err
 	}
 	if token == "" {
@@ -88,7 +88,7 @@
 // cancelRevoked cancels the active requests whose key was withdrawn or has expired,
 // and all of them once this process's view is too stale to verify keys.
 func (ga *Gateway) cancelRevoked() {
-	stale := ga.group.Fresh()
+	stale := ga.group.CheckFresh()
 	verdicts := map[string]error{}
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -159,7 +159,7 @@
 func (ft *fleetTask) demand(ctx context.Context, serves string) (running, waiting int) {
 	own := ft.ga.poolOf(serves).Demand()
 	running, waiting = own.Running, own.Waiting
-	for _, a := range ft.ga.group.Others("") {
+	for _, a := range ft.ga.group.ConnectedPeers("") {
 		cctx, cancel := context.WithTimeout(ctx, ft.ga.leaseTiming().MaxCall)
 		var rep wire.Load
 		if err := ft.ga.group.Call(cctx, a, methodDemand, &wire.QueryRequest{Kind: serves}, &rep); err == nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -146,7 +146,7 @@
 	se := ga.cfg.Settings
 	rc := rollout.Config{
 		Identity: fmt.Sprintf("%s|%016x", se.PeerAddress, ga.instance), Group: ga.group, Complete: ga.completeSample,
-		Latest: ga.latestSequence, Now: ga.now, NoHedging: se.Policy.NoHedging, NoSpread: se.Policy.NoSpread, Meter: ga.cfg.Meter, Log: ga.cfg.Log,
+		LatestSequence: ga.latestSequence, Now: ga.now, NoHedging: se.Policy.NoHedging, NoSpread: se.Policy.NoSpread, Meter: ga.cfg.Meter, Log: ga.cfg.Log,
 		FailureDomain: se.FailureDomain,
 	}
 	if se.ExternalServices.Scorer != "" {
@@ -298,7 +298,7 @@
 		return result.New(result.ShuttingDown, "gateway %s is shutting down", ga.cfg.Settings.Name)
 	}
 
-	return ga.group.Fresh()
+	return ga.group.CheckFresh()
 }
 
 // BeginShutdown makes Ready fail and has the leases released. New work is still accepted.
--- a/internal/gateway/operator.go
+++ b/internal/gateway/operator.go
@@ -133,5 +133,5 @@
 
 // ReleaseFingerprint releases a fingerprint from quarantine.
 func (ga *Gateway) ReleaseFingerprint(ctx context.Context, fp string) error {
-	return ga.group.Propose(ctx, statemachine.KindRelease, quarantine.Release{Fingerprint: fp}, nil)
+	return ga.group.Propose(ctx, statemachine.KindReleaseQuarantine, quarantine.Release{Fingerprint: fp}, nil)
 }
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -100,16 +100,16 @@
 		return err
 	}
 
-	var fo usage.Fold
+	var fo usage.AddCounters
 	for _, co := range rq.GetCounters() {
 		fo.Counters = append(fo.Counters, usage.Counter{
 			Agent: rq.GetAgent(), Incarnation: co.GetIncarnation(), Workspace: co.GetWorkspace(), Window: co.GetWindow(),
-			Figures: usage.Figures{Requests: co.GetRequests(), Tokens: co.GetTokens()},
+			Amounts: usage.Amounts{Requests: co.GetRequests(), Tokens: co.GetTokens()},
 		})
 	}
 
 	tooOld := 0
-	if err := ga.group.Propose(ctx, statemachine.KindFoldUsage, fo, &tooOld); err != nil {
+	if err := ga.group.Propose(ctx, statemachine.KindAddUsage, fo, &tooOld); err != nil {
 		return err
 	}
 	if tooOld > 0 {
@@ -126,7 +126,7 @@
 	}
 	ga.cfg.Meter.Count("servers.crashed")
 
-	return ga.group.Propose(ctx, statemachine.KindCrash, quarantine.Crash{
+	return ga.group.Propose(ctx, statemachine.KindRecordCrash, quarantine.Crash{
 		Server: rq.GetServer(), Fingerprints: rq.GetFingerprints(), WereSuspects: rq.GetAlone(),
 	}, nil)
 }
@@ -204,7 +204,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), groupCallTimeout)
 	defer cancel()
-	if err := ga.group.Propose(ctx, statemachine.KindCleared, quarantine.Cleared{Fingerprint: fp}, nil); err == nil {
+	if err := ga.group.Propose(ctx, statemachine.KindClearSuspect, quarantine.Cleared{Fingerprint: fp}, nil); err == nil {
 		ga.cfg.Meter.Count("quarantine.cleared")
 	}
 }
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -70,5 +70,5 @@
 	}
 	ga.cfg.Meter.Count("reports.sent")
 
-	return ga.group.Propose(ctx, statemachine.KindReported, usage.Reported{Window: window, Fencing: fencing}, nil) == nil
+	return ga.group.Propose(ctx, statemachine.KindMarkReported, usage.MarkReported{Window: window, Fencing: fencing}, nil) == nil
 }
--- a/internal/group/feed.go
+++ b/internal/group/feed.go
@@ -113,7 +113,7 @@
 		if len(rep.GetDeltas()) != 1 {
 			return nil, nil, result.New(result.Internal, "group: a full feed reply holds %d parts instead of one", len(rep.GetDeltas()))
 		}
-		var fu statemachine.Full
+		var fu statemachine.FullState
 		if err := decode(rep.GetDeltas()[0], &fu); err != nil {
 			return nil, nil, err
 		}
@@ -160,7 +160,7 @@
 	var ds []statemachine.Delta
 	ok := false
 	if gr.Read(func(ma *statemachine.Machine) {
-		if ds, ok = ma.Since(revision); ok {
+		if ds, ok = ma.DeltasSince(revision); ok {
 			ds = append([]statemachine.Delta(nil), ds...)
 		}
 	}) {
@@ -256,7 +256,7 @@
 	if err != nil {
 		return nil, err
 	}
-	b, err := cbor.Marshal(statemachine.Full{Revision: vi.Revision, Version: vi.Version, Ops: ops, Quarantine: vi.Quarantine})
+	b, err := cbor.Marshal(statemachine.FullState{Revision: vi.Revision, Version: vi.Version, Ops: ops, Quarantine: vi.Quarantine})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -48,14 +48,14 @@
 	Heartbeat      time.Duration
 	FreshnessBound time.Duration
 	ReplaceAfter   time.Duration // how long a voter may be silent before a caught-up learner replaces it
-	Voters         int           // target number; 0 means as many as formed the group
-	// Addresses returns where other replicas may be found; the founders' addresses where nil.
-	Addresses func() []string
+	TargetVoters   int           // target number; 0 means as many as formed the group
+	// CandidateAddresses returns where other replicas may be found; the founders' addresses where nil.
+	CandidateAddresses func() []string
 	// Formation returns the replicas that form the group, none where that is not
 	// known or this process may not form it. Where nil, the first founder decides.
 	Formation func() []consensus.ReplicaID
-	// Locate returns the address of a replica, "" where it is not known.
-	Locate func(id consensus.ReplicaID) string
+	// AddressOf returns the address of a replica, "" where it is not known.
+	AddressOf func(id consensus.ReplicaID) string
 	// IsRetiring reports whether the replicas of a VM are to leave the group.
 	IsRetiring func(name string) bool
 	// OnStatus is called with each change of role, leader, term or membership. It must not block.
@@ -102,7 +102,7 @@
 		addresses: map[consensus.ReplicaID]string{}, feedSlots: make(chan struct{}, maxFeeds),
 	}
 	gr.cfg.defaults()
-	vi, err := newView(statemachine.Full{})
+	vi, err := newView(statemachine.FullState{})
 	if err != nil {
 		return nil, err
 	}
@@ -126,8 +126,8 @@
 	if c.Count == nil {
 		c.Count = func(string) {}
 	}
-	if c.Addresses == nil {
-		c.Addresses = func() []string {
+	if c.CandidateAddresses == nil {
+		c.CandidateAddresses = func() []string {
 			out := make([]string, len(c.Founders))
 			for i, fo := range c.Founders {
 				out[i] = fo.Address
@@ -136,8 +136,8 @@
 			return out
 		}
 	}
-	if c.Locate == nil {
-		c.Locate = func(consensus.ReplicaID) string { return "" }
+	if c.AddressOf == nil {
+		c.AddressOf = func(consensus.ReplicaID) string { return "" }
 	}
 	if c.IsRetiring == nil {
 		c.IsRetiring = func(string) bool { return false }
@@ -179,8 +179,8 @@
 	return gr.now() - time.Duration(at), at > 0
 }
 
-// Fresh returns an error when the view is too old, so that the process must refuse new work.
-func (gr *Group) Fresh() error {
+// CheckFresh returns an error when the view is too old, so that the process must refuse new work.
+func (gr *Group) CheckFresh() error {
 	age, ok := gr.Age()
 	switch {
 	case !ok:
@@ -291,13 +291,13 @@
 }
 
 func (gr *Group) nextView(ma *statemachine.Machine, vi *View) (*View, error) {
-	if ds, ok := ma.Since(vi.Revision); ok {
+	if ds, ok := ma.DeltasSince(vi.Revision); ok {
 		if next, err := vi.withDeltas(ds); err == nil {
 			return next, nil
 		}
 	}
 
-	fu, err := ma.Full()
+	fu, err := ma.FullState()
 	if err != nil {
 		return nil, err
 	}
@@ -314,7 +314,7 @@
 		return a
 	}
 
-	if a := gr.cfg.Locate(id); a != "" {
+	if a := gr.cfg.AddressOf(id); a != "" {
 		return a
 	}
 	if n := gr.node.Load(); n != nil && n.mu.TryRLock() {
--- a/internal/group/membership.go
+++ b/internal/group/membership.go
@@ -82,7 +82,7 @@
 	ctx, cancel := context.WithTimeout(ctx, discoveryTimeout)
 	defer cancel()
 
-	addresses := gr.cfg.Addresses()
+	addresses := gr.cfg.CandidateAddresses()
 	gr.mu.Lock()
 	addresses = slices.AppendSeq(slices.Clone(addresses), maps.Values(gr.storedPeers))
 	gr.mu.Unlock()
@@ -256,7 +256,7 @@
 	if gr.cfg.IsRetiring(req.GetName()) {
 		return result.New(result.MembershipRefused, "group: VM %s is retiring, its replica may not join", req.GetName())
 	}
-	reg := statemachine.Register{Replica: id, Name: req.GetName(), Address: req.GetAddress(), FailureDomain: req.GetFailureDomain()}
+	reg := statemachine.Registration{Replica: id, Name: req.GetName(), Address: req.GetAddress(), FailureDomain: req.GetFailureDomain()}
 	if err := gr.Propose(ctx, statemachine.KindRegister, reg, nil); err != nil {
 		return err
 	}
@@ -277,7 +277,7 @@
 // registerLoop keeps this replica's address registered in the group.
 func (gr *Group) registerLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		want := statemachine.Register{
+		want := statemachine.Registration{
 			Replica: gr.identity.Replica, Name: gr.cfg.Name, Address: gr.cfg.Address, FailureDomain: gr.cfg.FailureDomain,
 		}
 		known := false
@@ -360,8 +360,8 @@
 
 // targetVoters returns how many voters the group should have.
 func (gr *Group) targetVoters() int {
-	if gr.cfg.Voters > 0 {
-		return gr.cfg.Voters
+	if gr.cfg.TargetVoters > 0 {
+		return gr.cfg.TargetVoters
 	}
 
 	return len(gr.identity.Bootstrap)
--- a/internal/group/propose.go
+++ b/internal/group/propose.go
@@ -305,9 +305,9 @@
 	return gr.callAddress(ctx, address, method, req, rep)
 }
 
-// Others returns the peer addresses of other gateways that are connected, those of
+// ConnectedPeers returns the peer addresses of other gateways that are connected, those of
 // other failure domains first.
-func (gr *Group) Others(failureDomain string) []string {
+func (gr *Group) ConnectedPeers(failureDomain string) []string {
 	domains := map[string]string{}
 	for _, fo := range gr.cfg.Founders {
 		domains[fo.Address] = ""
@@ -332,8 +332,8 @@
 	return append(far, near...)
 }
 
-// QueryStep returns a step as recorded at the upstream, which may lag behind the leader.
-func (gr *Group) QueryStep(ctx context.Context, key string) (*step.Step, error) {
+// QueryStepUpstream returns a step as recorded at the upstream, which may lag behind the leader.
+func (gr *Group) QueryStepUpstream(ctx context.Context, key string) (*step.Step, error) {
 	var rep wire.ProposeReply
 	req := &wire.QueryRequest{Kind: "step", Payload: []byte(key)}
 	if err := gr.callUpstream(ctx, methodQuery, req, &rep); err != nil {
@@ -376,8 +376,8 @@
 	return st.Reply(&wire.ProposeReply{Result: b})
 }
 
-// Open starts a call with several answers at another process.
-func (gr *Group) Open(ctx context.Context, address, method string, req message) (*peer.Stream, error) {
+// OpenStream starts a call with several answers at another process.
+func (gr *Group) OpenStream(ctx context.Context, address, method string, req message) (*peer.Stream, error) {
 	wctx, cancel := context.WithTimeout(ctx, sessionTimeout)
 	defer cancel()
 	se, err := gr.transport.session(wctx, address)
--- a/internal/group/view.go
+++ b/internal/group/view.go
@@ -15,7 +15,7 @@
 	Quarantine map[string]quarantine.Entry
 }
 
-func newView(fu statemachine.Full) (*View, error) {
+func newView(fu statemachine.FullState) (*View, error) {
 	vi := &View{Version: fu.Version, Revision: fu.Revision, Set: declaration.NewSet(), Quarantine: fu.Quarantine}
 	if vi.Quarantine == nil {
 		vi.Quarantine = map[string]quarantine.Entry{}
--- a/internal/handlers/caller.go
+++ b/internal/handlers/caller.go
@@ -93,7 +93,7 @@
 
 	cl := gateway.Caller{Workspace: ro.OpenWorkspace}
 	if ro.Open {
-		err = ca.gateway.Group().Fresh()
+		err = ca.gateway.Group().CheckFresh()
 	} else {
 		cl, err = ca.gateway.Authenticate(bearer(r))
 	}
--- a/internal/handlers/operator.go
+++ b/internal/handlers/operator.go
@@ -123,7 +123,7 @@
 // freshness bound.
 func (op *Operators) awaitCurrent(ctx context.Context) error {
 	if !op.gateway.Group().HasDisk() {
-		return op.gateway.Group().Fresh()
+		return op.gateway.Group().CheckFresh()
 	}
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -244,7 +244,7 @@
 }
 
 type memberReply struct {
-	statemachine.Register
+	statemachine.Registration
 	Voter bool `json:"voter"`
 }
 
@@ -255,7 +255,7 @@
 		for _, id := range st.Membership.All() {
 			re := ma.Replicas()[id]
 			re.Replica = id
-			out = append(out, memberReply{Register: re, Voter: st.Membership.IsVoter(id)})
+			out = append(out, memberReply{Registration: re, Voter: st.Membership.IsVoter(id)})
 		}
 	})
 	writeJSON(w, http.StatusOK, map[string]any{"leader": st.Leader, "members": out})
--- a/internal/handlers/trainer.go
+++ b/internal/handlers/trainer.go
@@ -133,7 +133,7 @@
 			return result.New(result.InvalidField, "group %s: temperature %g is not between 0 and 10", g.ID, g.Temperature)
 		}
 		seen[g.ID] = true
-		st.Groups = append(st.Groups, step.Group{ID: g.ID, Prompt: g.Prompt, Samples: g.Samples, MaxTokens: g.MaxTokens, Heat: g.Temperature})
+		st.Groups = append(st.Groups, step.Group{ID: g.ID, Prompt: g.Prompt, Samples: g.Samples, MaxTokens: g.MaxTokens, Temperature: g.Temperature})
 	}
 
 	return nil
--- a/internal/idempotency/idempotency.go
+++ b/internal/idempotency/idempotency.go
@@ -28,7 +28,7 @@
 	Owner   string   `cbor:"2,keyasint"` // ID of the request that runs the call
 	Gateway string   `cbor:"3,keyasint"` // peer address of the gateway that runs the call
 	State   State    `cbor:"4,keyasint"`
-	AtMs    int64    `cbor:"5,keyasint"` // when the call began
+	BegunMs int64    `cbor:"5,keyasint"` // when the call began
 	Status  int      `cbor:"6,keyasint"`
 	Headers []Header `cbor:"7,keyasint"`
 	Body    []byte   `cbor:"8,keyasint"`
@@ -102,7 +102,7 @@
 		return Record{}, result.New(result.QueueFull, "call %s: the ledger is full, its limit is %d calls", be.Key, maxRecords)
 	}
 
-	re := &Record{Digest: be.Digest, Owner: be.Owner, Gateway: be.Gateway, State: Begun, AtMs: atMs}
+	re := &Record{Digest: be.Digest, Owner: be.Owner, Gateway: be.Gateway, State: Begun, BegunMs: atMs}
 	le.records[be.Key] = re
 	le.keysByAge = append(le.keysByAge, be.Key)
 
@@ -113,7 +113,7 @@
 func (le *Ledger) dropExpired(atMs int64) {
 	for len(le.keysByAge) > 0 {
 		re, ok := le.records[le.keysByAge[0]]
-		if ok && atMs <= re.AtMs+retentionMs {
+		if ok && atMs <= re.BegunMs+retentionMs {
 			return
 		}
 		delete(le.records, le.keysByAge[0])
--- a/internal/jobdriver/driver.go
+++ b/internal/jobdriver/driver.go
@@ -71,7 +71,7 @@
 	return &Driver{
 		cfg: cfg, wake: make(chan struct{}, 1), jobs: map[string]*jobState{}, running: map[string]int{}, paces: newPaceTracker(),
 		demand: map[string]float64{}, commit: func(ctx context.Context, pr job.Progress) error {
-			return cfg.Group.ProposeLocal(ctx, statemachine.KindNoteProgress, pr, nil)
+			return cfg.Group.ProposeLocal(ctx, statemachine.KindRecordProgress, pr, nil)
 		},
 	}
 }
--- a/internal/jobstore/jobstore.go
+++ b/internal/jobstore/jobstore.go
@@ -69,12 +69,12 @@
 func New(cfg Config) (*Store, error) {
 	no := cfg.Settings
 	st := &Store{cfg: cfg, statusChanged: make(chan struct{}, 1), links: peer.NewLinks(context.Background(), cfg.Peer)}
-	st.follower = feed.NewFollower(feed.Config{Links: st.links, Seeds: cfg.Controllers, Own: no.PeerAddress, Log: cfg.Log})
+	st.follower = feed.NewFollower(feed.Config{Links: st.links, Seeds: cfg.Controllers, OwnAddress: no.PeerAddress, Log: cfg.Log})
 	var err error
 	st.group, err = group.New(group.Config{
 		Name: no.Name, Address: no.PeerAddress, FailureDomain: no.FailureDomain, DataFolder: no.DataFolder, Peer: cfg.Peer,
 		Files: cfg.Files, Election: settings.NodeElection, Heartbeat: settings.NodeHeartbeat, FreshnessBound: time.Hour,
-		ReplaceAfter: settings.NodeReplaceAfter, Voters: no.Voters(), Addresses: st.addresses, Formation: st.formation, Locate: st.locate,
+		ReplaceAfter: settings.NodeReplaceAfter, TargetVoters: no.Voters(), CandidateAddresses: st.addresses, Formation: st.formation, AddressOf: st.locate,
 		IsRetiring: st.isRetiring, WallMs: cfg.WallMs, Log: cfg.Log, OnStatus: st.onStatus,
 	})
 	if err != nil {
--- a/internal/leasedtask/leasedtask.go
+++ b/internal/leasedtask/leasedtask.go
@@ -126,7 +126,7 @@
 
 // maintainLease observes the lease and proposes the keeper's next action.
 func (ta *Task) maintainLease(ctx context.Context) {
-	if ta.cfg.Group.Fresh() != nil {
+	if ta.cfg.Group.CheckFresh() != nil {
 		return // the applied state may be stale: neither observe the lease nor propose
 	}
 	var le lease.Lease
--- a/internal/quantile/quantile.go
+++ b/internal/quantile/quantile.go
@@ -17,5 +17,5 @@
 	return ds[min(len(ds)-1, int(p*float64(len(ds))))]
 }
 
-// Ms returns the quantile of Of in milliseconds.
-func Ms(ds []time.Duration, p float64) float64 { return Of(ds, p).Seconds() * 1000 }
+// Milliseconds returns the quantile of Of in milliseconds.
+func Milliseconds(ds []time.Duration, p float64) float64 { return Of(ds, p).Seconds() * 1000 }
--- a/internal/rollout/driver.go
+++ b/internal/rollout/driver.go
@@ -20,17 +20,17 @@
 
 // Config holds the settings and dependencies of a Driver.
 type Config struct {
-	Identity      string // peer address and process instance, joined by |
-	FailureDomain string
-	Group         *group.Group
-	Complete      func(ctx context.Context, at SampleRequest) (*SampleResult, error)        // runs an attempt through this gateway
-	Score         func(ctx context.Context, sampleID, prompt, text string) (float64, error) // nil without a scorer
-	Latest        func(model string) uint64                                                 // sequence of the newest weight version
-	Now           func() time.Duration                                                      // monotonic, since the start of the process
-	NoHedging     bool
-	NoSpread      bool // run every attempt through this gateway
-	Meter         *meter.Meter
-	Log           log.Interface
+	Identity       string // peer address and process instance, joined by |
+	FailureDomain  string
+	Group          *group.Group
+	Complete       func(ctx context.Context, at SampleRequest) (*SampleResult, error)        // runs an attempt through this gateway
+	Score          func(ctx context.Context, sampleID, prompt, text string) (float64, error) // nil without a scorer
+	LatestSequence func(model string) uint64                                                 // sequence of the newest weight version
+	Now            func() time.Duration                                                      // monotonic, since the start of the process
+	NoHedging      bool
+	NoSpread       bool // run every attempt through this gateway
+	Meter          *meter.Meter
+	Log            log.Interface
 }
 
 // Driver drives the steps that were opened at, or moved to, this gateway.
@@ -146,7 +146,7 @@
 
 	st.Driver = dr.cfg.Identity
 	var opened step.Step
-	if err := dr.cfg.Group.Propose(ctx, statemachine.KindOpenStep, step.Open{Step: st}, &opened); err != nil {
+	if err := dr.cfg.Group.Propose(ctx, statemachine.KindOpenStep, step.OpenStep{Step: st}, &opened); err != nil {
 		return nil, err
 	}
 	if opened.Driver == dr.cfg.Identity && opened.DoneMs == 0 {
@@ -185,7 +185,7 @@
 	}
 
 	var st step.Step
-	err := dr.cfg.Group.Propose(ctx, statemachine.KindDrive, step.Drive{Key: key, From: from, To: dr.cfg.Identity}, &st)
+	err := dr.cfg.Group.Propose(ctx, statemachine.KindChangeDriver, step.ChangeDriver{Key: key, From: from, To: dr.cfg.Identity}, &st)
 	if err != nil || st.Driver != dr.cfg.Identity || st.DoneMs > 0 {
 		return
 	}
--- a/internal/rollout/page.go
+++ b/internal/rollout/page.go
@@ -93,7 +93,7 @@
 		}
 	})
 	if !ok {
-		if st, err := dr.cfg.Group.QueryStep(ctx, key); err == nil && st.DoneMs == 0 {
+		if st, err := dr.cfg.Group.QueryStepUpstream(ctx, key); err == nil && st.DoneMs == 0 {
 			driver = st.Driver
 		}
 	}
@@ -123,7 +123,7 @@
 		dr.fetchPayloads(ctx, key, holder, digests, found)
 	}
 
-	lost := step.Lost{Key: key}
+	lost := step.ResetLost{Key: key}
 	var buf bytes.Buffer
 	stepID, err := json.Marshal(id)
 	if err != nil {
@@ -196,7 +196,7 @@
 	}) {
 		return index
 	}
-	if st, err := dr.cfg.Group.QueryStep(ctx, key); err == nil {
+	if st, err := dr.cfg.Group.QueryStepUpstream(ctx, key); err == nil {
 		find(st)
 	}
 
@@ -206,12 +206,12 @@
 // reportLost asks the holders of each missing payload once more and resets the
 // samples whose payload none of them returns. The other payloads are fetched again
 // with the next request for the page.
-func (dr *Driver) reportLost(ctx context.Context, lost step.Lost, samples []step.Sample) error {
+func (dr *Driver) reportLost(ctx context.Context, lost step.ResetLost, samples []step.Sample) error {
 	byDigest := map[string]step.Sample{}
 	for _, sa := range samples {
 		byDigest[sa.Digest] = sa
 	}
-	confirmed := step.Lost{Key: lost.Key}
+	confirmed := step.ResetLost{Key: lost.Key}
 	for i, d := range lost.Digests {
 		if dr.isPayloadLost(ctx, lost.Key, byDigest[d]) {
 			confirmed.Samples = append(confirmed.Samples, lost.Samples[i])
@@ -220,7 +220,7 @@
 	}
 	if len(confirmed.Samples) > 0 {
 		dr.cfg.Meter.Add("payloads.lost", int64(len(confirmed.Samples)))
-		if err := dr.cfg.Group.Propose(ctx, statemachine.KindLost, confirmed, nil); err != nil {
+		if err := dr.cfg.Group.Propose(ctx, statemachine.KindResetLost, confirmed, nil); err != nil {
 			return err
 		}
 	}
@@ -251,7 +251,7 @@
 // samples that are on no page yet.
 func (dr *Driver) Ack(ctx context.Context, workspace, id string, number uint64) (remaining int, err error) {
 	var rep step.PageReply
-	err = dr.cfg.Group.Propose(ctx, statemachine.KindAckPage, step.Ack{Key: step.Key(workspace, id), Number: number}, &rep)
+	err = dr.cfg.Group.Propose(ctx, statemachine.KindAckPage, step.AckPage{Key: step.Key(workspace, id), Number: number}, &rep)
 
 	return rep.Remaining, err
 }
--- a/internal/rollout/spread.go
+++ b/internal/rollout/spread.go
@@ -19,7 +19,7 @@
 		return dr.cfg.Complete(ctx, at)
 	}
 
-	others := dr.cfg.Group.Others(dr.cfg.FailureDomain)
+	others := dr.cfg.Group.ConnectedPeers(dr.cfg.FailureDomain)
 	i := int(dr.nextGateway.Add(1) % uint64(len(others)+1))
 	if i == len(others) {
 		return dr.cfg.Complete(ctx, at)
@@ -32,7 +32,7 @@
 func (dr *Driver) completeAt(ctx context.Context, address string, at SampleRequest) (*SampleResult, error) {
 	cctx, cancel := context.WithTimeout(ctx, at.Timeout)
 	defer cancel()
-	st, err := dr.cfg.Group.Open(cctx, address, methodRun, &wire.SampleRequest{
+	st, err := dr.cfg.Group.OpenStream(cctx, address, methodRun, &wire.SampleRequest{
 		Workspace: at.Workspace, Model: at.Model, Prompt: at.Prompt, MaxTokens: at.MaxTokens, Temperature: at.Temperature,
 		Seed: at.Seed, Retries: uint32(at.Retries), MinSequence: at.MinSequence, Exclude: at.Exclude,
 	})
--- a/internal/rollout/steprun.go
+++ b/internal/rollout/steprun.go
@@ -143,7 +143,7 @@
 		return out, state
 	}
 
-	st, err := sr.dr.cfg.Group.QueryStep(ctx, sr.st.Key())
+	st, err := sr.dr.cfg.Group.QueryStepUpstream(ctx, sr.st.Key())
 	if err == nil {
 		read(st)
 	}
@@ -226,7 +226,7 @@
 
 // minSequence returns the oldest weight version that may generate a sample now.
 func (sr *stepRun) minSequence() uint64 {
-	latest := sr.dr.cfg.Latest(sr.st.Model)
+	latest := sr.dr.cfg.LatestSequence(sr.st.Model)
 	low := uint64(1)
 	if latest > sr.st.Staleness {
 		low = latest - sr.st.Staleness
@@ -243,7 +243,7 @@
 	startedMs := time.Now().UnixMilli()
 	wr, err := sr.dr.complete(ctx, SampleRequest{
 		Workspace: sr.st.Workspace, Model: sr.st.Model, Prompt: gr.Prompt, MaxTokens: uint32(gr.MaxTokens),
-		Temperature: gr.Heat, Seed: xxhash.Sum64String(sa.ID), Retries: retriesPerAttempt,
+		Temperature: gr.Temperature, Seed: xxhash.Sum64String(sa.ID), Retries: retriesPerAttempt,
 		Timeout: time.Until(time.UnixMilli(sr.st.DeadlineMs)), MinSequence: sr.minSequence(), Exclude: exclude,
 		OnPlaced: func(server string) { sr.recordPlacement(i, server) },
 	})
@@ -291,7 +291,7 @@
 // error.
 func (sr *stepRun) oldestSequence(wr *SampleResult) (uint64, error) {
 	if len(wr.Versions) == 0 {
-		return sr.dr.cfg.Latest(sr.st.Model), nil
+		return sr.dr.cfg.LatestSequence(sr.st.Model), nil
 	}
 
 	set := sr.dr.cfg.Group.View().Set
@@ -455,7 +455,7 @@
 	for _, w := range batch {
 		rq.Payloads = append(rq.Payloads, w.payload)
 	}
-	for _, a := range dr.cfg.Group.Others(dr.cfg.FailureDomain) {
+	for _, a := range dr.cfg.Group.ConnectedPeers(dr.cfg.FailureDomain) {
 		cctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 		err := dr.cfg.Group.Call(cctx, a, methodHold, rq, &wire.Empty{})
 		cancel()
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -38,10 +38,10 @@
 	Retired             // the VM may be removed
 )
 
-// Retire requests that a VM is drained. Keep is the number of other members that must remain.
+// Retire requests that a VM is drained. MinRemaining is the number of other members that must remain.
 type Retire struct {
-	Name string `cbor:"1,keyasint"`
-	Keep int    `cbor:"2,keyasint"`
+	Name         string `cbor:"1,keyasint"`
+	MinRemaining int    `cbor:"2,keyasint"`
 }
 
 // Finish reports that a VM holds no data any more that the group needs.
@@ -105,8 +105,8 @@
 	if ro.snapshot.Retirements[re.Name] != 0 {
 		return nil
 	}
-	if n := len(ro.snapshot.Members) - len(ro.snapshot.Retirements) - 1; n < re.Keep {
-		return result.New(result.MembershipRefused, "roster: only %d VMs would be left to store batch jobs, at least %d must be", n, re.Keep)
+	if n := len(ro.snapshot.Members) - len(ro.snapshot.Retirements) - 1; n < re.MinRemaining {
+		return result.New(result.MembershipRefused, "roster: only %d VMs would be left to store batch jobs, at least %d must be", n, re.MinRemaining)
 	}
 	ro.snapshot.Retirements[re.Name] = Retiring
 
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -42,7 +42,7 @@
 			{"b", 0}, // requested again
 			{"c", result.MembershipRefused},
 		} {
-			err := ro.Retire(roster.Retire{Name: tc.name, Keep: 3})
+			err := ro.Retire(roster.Retire{Name: tc.name, MinRemaining: 3})
 			Expect(err == nil).To(Equal(tc.code == 0), tc.name)
 			Expect(tc.code == 0 || result.Is(err, tc.code)).To(BeTrue(), tc.name)
 		}
--- a/internal/statemachine/command.go
+++ b/internal/statemachine/command.go
@@ -24,17 +24,17 @@
 	KindWins
 	KindFormPage
 	KindAckPage
-	KindLost
-	KindDrive
+	KindResetLost
+	KindChangeDriver
 	KindBeginCall
 	KindEndCall
 	KindAbandonCall
-	KindFoldUsage
+	KindAddUsage
 	KindCloseWindow
-	KindReported
-	KindCrash
-	KindCleared
-	KindRelease
+	KindMarkReported
+	KindRecordCrash
+	KindClearSuspect
+	KindReleaseQuarantine
 	KindRegister
 	KindPutRouting
 	KindRecordVersion
@@ -45,7 +45,7 @@
 	KindSubmitJob
 	KindListResults
 	KindEndJob
-	KindNoteProgress
+	KindRecordProgress
 )
 
 // commandHeaderBytes is the size of a command's kind (1 byte) and time (8 bytes).
--- a/internal/statemachine/statemachine.go
+++ b/internal/statemachine/statemachine.go
@@ -24,8 +24,8 @@
 	"github.com/tamarackbay/tamarackbay/internal/weights"
 )
 
-// Register is the address of a replica, and the command that records it.
-type Register struct {
+// Registration is the address of a replica, and the command that records it.
+type Registration struct {
 	Replica       consensus.ReplicaID `cbor:"1,keyasint" json:"replica"`
 	Name          string              `cbor:"2,keyasint" json:"name"`
 	Address       string              `cbor:"3,keyasint" json:"address"`
@@ -56,7 +56,7 @@
 	calls         *idempotency.Ledger
 	usage         *usage.Ledger
 	quarantine    *quarantine.State
-	replicas      map[consensus.ReplicaID]Register
+	replicas      map[consensus.ReplicaID]Registration
 	routing       *routing.State
 	versions      *weights.VersionTable
 	roster        *roster.Roster
@@ -79,21 +79,21 @@
 
 // snapshot is the encoded form of a Machine.
 type snapshot struct {
-	Applied       uint64                           `cbor:"1,keyasint"`
-	AtMs          int64                            `cbor:"2,keyasint"`
-	Configuration declaration.Snapshot             `cbor:"3,keyasint"`
-	Leases        map[string]lease.Lease           `cbor:"4,keyasint"`
-	Orders        intent.Snapshot                  `cbor:"5,keyasint"`
-	Steps         map[string]*step.Step            `cbor:"6,keyasint"`
-	Calls         idempotency.Snapshot             `cbor:"7,keyasint"`
-	Usage         usage.Snapshot                   `cbor:"8,keyasint"`
-	Quarantine    map[string]quarantine.Entry      `cbor:"9,keyasint"`
-	Replicas      map[consensus.ReplicaID]Register `cbor:"10,keyasint"`
-	Revision      uint64                           `cbor:"11,keyasint"`
-	Routing       routing.Snapshot                 `cbor:"12,keyasint"`
-	Versions      map[string]uint64                `cbor:"13,keyasint"`
-	Roster        roster.Snapshot                  `cbor:"14,keyasint"`
-	Jobs          map[string]*job.Job              `cbor:"15,keyasint"`
+	Applied       uint64                               `cbor:"1,keyasint"`
+	AtMs          int64                                `cbor:"2,keyasint"`
+	Configuration declaration.Snapshot                 `cbor:"3,keyasint"`
+	Leases        map[string]lease.Lease               `cbor:"4,keyasint"`
+	Orders        intent.Snapshot                      `cbor:"5,keyasint"`
+	Steps         map[string]*step.Step                `cbor:"6,keyasint"`
+	Calls         idempotency.Snapshot                 `cbor:"7,keyasint"`
+	Usage         usage.Snapshot                       `cbor:"8,keyasint"`
+	Quarantine    map[string]quarantine.Entry          `cbor:"9,keyasint"`
+	Replicas      map[consensus.ReplicaID]Registration `cbor:"10,keyasint"`
+	Revision      uint64                               `cbor:"11,keyasint"`
+	Routing       routing.Snapshot                     `cbor:"12,keyasint"`
+	Versions      map[string]uint64                    `cbor:"13,keyasint"`
+	Roster        roster.Snapshot                      `cbor:"14,keyasint"`
+	Jobs          map[string]*job.Job                  `cbor:"15,keyasint"`
 }
 
 // Snapshot returns the encoded state.
@@ -157,7 +157,7 @@
 		return nil, err
 	}
 	if sn.Replicas == nil {
-		sn.Replicas = map[consensus.ReplicaID]Register{}
+		sn.Replicas = map[consensus.ReplicaID]Registration{}
 	}
 
 	return &Machine{
@@ -198,7 +198,7 @@
 func (ma *Machine) Quarantine() *quarantine.State { return ma.quarantine }
 
 // Replicas returns the registered addresses of replicas.
-func (ma *Machine) Replicas() map[consensus.ReplicaID]Register { return ma.replicas }
+func (ma *Machine) Replicas() map[consensus.ReplicaID]Registration { return ma.replicas }
 
 // Routing returns the routing configuration by host and path.
 func (ma *Machine) Routing() *routing.State { return ma.routing }
@@ -250,7 +250,7 @@
 	KindReleaseLease: handle(func(ma *Machine, c lease.Release) (any, error) { return ma.leases.Release(c) }),
 	KindOpenIntent:   handle((*Machine).openIntent),
 	KindSettleIntent: handle((*Machine).settleIntent),
-	KindOpenStep: handle(func(ma *Machine, c step.Open) (any, error) {
+	KindOpenStep: handle(func(ma *Machine, c step.OpenStep) (any, error) {
 		st, err := ma.steps.Open(c, ma.atMs)
 		if err != nil {
 			return nil, err
@@ -258,11 +258,11 @@
 
 		return *st, nil
 	}),
-	KindWins:     handle(func(ma *Machine, c step.Wins) (any, error) { return ma.steps.Wins(c) }),
-	KindFormPage: handle((*Machine).formPage),
-	KindAckPage:  handle(func(ma *Machine, c step.Ack) (any, error) { return ma.steps.Ack(c, ma.atMs) }),
-	KindLost:     handle(func(ma *Machine, c step.Lost) (any, error) { return nil, ma.steps.Lost(c) }),
-	KindDrive: handle(func(ma *Machine, c step.Drive) (any, error) {
+	KindWins:      handle(func(ma *Machine, c step.Wins) (any, error) { return ma.steps.Wins(c) }),
+	KindFormPage:  handle((*Machine).formPage),
+	KindAckPage:   handle(func(ma *Machine, c step.AckPage) (any, error) { return ma.steps.Ack(c, ma.atMs) }),
+	KindResetLost: handle(func(ma *Machine, c step.ResetLost) (any, error) { return nil, ma.steps.Lost(c) }),
+	KindChangeDriver: handle(func(ma *Machine, c step.ChangeDriver) (any, error) {
 		st, err := ma.steps.Drive(c)
 		if err != nil {
 			return nil, err
@@ -277,17 +277,17 @@
 
 		return nil, nil
 	}),
-	KindFoldUsage:   handle(func(ma *Machine, c usage.Fold) (any, error) { return ma.usage.Fold(c), nil }),
-	KindCloseWindow: handle((*Machine).closeWindow),
-	KindReported:    handle((*Machine).markReported),
-	KindCrash:       handle((*Machine).recordCrash),
-	KindCleared: handle(func(ma *Machine, c quarantine.Cleared) (any, error) {
+	KindAddUsage:     handle(func(ma *Machine, c usage.AddCounters) (any, error) { return ma.usage.AddCounters(c), nil }),
+	KindCloseWindow:  handle((*Machine).closeWindow),
+	KindMarkReported: handle((*Machine).markReported),
+	KindRecordCrash:  handle((*Machine).recordCrash),
+	KindClearSuspect: handle(func(ma *Machine, c quarantine.Cleared) (any, error) {
 		ma.quarantine.Cleared(c)
 		ma.appendQuarantineDelta([]string{c.Fingerprint})
 
 		return nil, nil
 	}),
-	KindRelease: handle(func(ma *Machine, c quarantine.Release) (any, error) {
+	KindReleaseQuarantine: handle(func(ma *Machine, c quarantine.Release) (any, error) {
 		if !ma.quarantine.Release(c) {
 			return nil, result.New(result.UnknownObject, "quarantine: unknown fingerprint %s", c.Fingerprint)
 		}
@@ -295,7 +295,7 @@
 
 		return nil, nil
 	}),
-	KindRegister: handle(func(ma *Machine, c Register) (any, error) {
+	KindRegister: handle(func(ma *Machine, c Registration) (any, error) {
 		ma.replicas[c.Replica] = c
 
 		return nil, nil
@@ -324,7 +324,7 @@
 	}),
 	KindSubmitJob:   handle(func(ma *Machine, c job.Submit) (any, error) { return nil, ma.jobs.Submit(c, ma.atMs) }),
 	KindListResults: handle(func(ma *Machine, c job.ListResults) (any, error) { return ma.jobs.ListResults(c), nil }),
-	KindNoteProgress: handle(func(ma *Machine, c job.Progress) (any, error) {
+	KindRecordProgress: handle(func(ma *Machine, c job.Progress) (any, error) {
 		ma.jobs.RecordProgress(c)
 
 		return nil, nil
@@ -382,12 +382,12 @@
 	return nil, nil
 }
 
-func (ma *Machine) markReported(re usage.Reported) (any, error) {
+func (ma *Machine) markReported(re usage.MarkReported) (any, error) {
 	if err := ma.leases.Check(UsageLease, re.Fencing); err != nil {
 		return nil, err
 	}
 
-	return nil, ma.usage.Reported(re)
+	return nil, ma.usage.MarkReported(re)
 }
 
 func (ma *Machine) recordCrash(cr quarantine.Crash) (any, error) {
@@ -418,9 +418,9 @@
 	}
 }
 
-// Since returns the changes after a position, and false if some of them are no
+// DeltasSince returns the changes after a position, and false if some of them are no
 // longer retained.
-func (ma *Machine) Since(revision uint64) ([]Delta, bool) {
+func (ma *Machine) DeltasSince(revision uint64) ([]Delta, bool) {
 	if revision < ma.deltasAfter && ma.revision > revision {
 		return nil, false
 	}
@@ -433,17 +433,17 @@
 	return ma.deltas[n:], true
 }
 
-// Full is the complete state that subscribers follow.
-type Full struct {
+// FullState is the complete state that subscribers follow.
+type FullState struct {
 	Revision   uint64                      `cbor:"1,keyasint"`
 	Version    uint64                      `cbor:"2,keyasint"`
 	Ops        []declaration.Op            `cbor:"3,keyasint"`
 	Quarantine map[string]quarantine.Entry `cbor:"4,keyasint"`
 }
 
-// Full returns the complete state that subscribers follow.
-func (ma *Machine) Full() (Full, error) {
+// FullState returns the complete state that subscribers follow.
+func (ma *Machine) FullState() (FullState, error) {
 	ops, err := ma.configuration.Set().Ops()
 
-	return Full{Revision: ma.revision, Version: ma.configuration.Version(), Ops: ops, Quarantine: ma.quarantine.Entries()}, err
+	return FullState{Revision: ma.revision, Version: ma.configuration.Version(), Ops: ops, Quarantine: ma.quarantine.Entries()}, err
 }
--- a/internal/statemachine/statemachine_test.go
+++ b/internal/statemachine/statemachine_test.go
@@ -34,7 +34,7 @@
 		{statemachine.KindAnnounceMember, roster.Announce{Member: roster.Member{Name: "a", Replica: "a-1", Address: "x"}}},
 		{statemachine.KindFormStores, roster.Form{Replicas: []consensus.ReplicaID{"a-1"}}},
 		{statemachine.KindSubmitJob, job.Submit{Spec: job.Spec{ID: "j", Workspace: "w", Items: []job.Item{{ID: "i", Body: []byte("B")}, {ID: "k"}}}}},
-		{statemachine.KindNoteProgress, job.Progress{Parts: []job.Part{{Job: "j", Item: 0, IsFirst: true, Text: job.Partial{Events: []string{"e"}, LastEvent: 1, Term: 2}}}}},
+		{statemachine.KindRecordProgress, job.Progress{Parts: []job.Part{{Job: "j", Item: 0, IsFirst: true, Text: job.Partial{Events: []string{"e"}, LastEvent: 1, Term: 2}}}}},
 		{statemachine.KindListResults, job.ListResults{Job: "j", Results: []job.Result{{Item: 1, State: job.Completed, Text: "t", Versions: []uint64{3}}}}},
 	}
 
@@ -73,7 +73,7 @@
 			body any
 		}{
 			{statemachine.KindEndJob, job.End{Job: "none", Workspace: "w"}},
-			{statemachine.KindRetireMember, roster.Retire{Name: "none", Keep: 3}},
+			{statemachine.KindRetireMember, roster.Retire{Name: "none", MinRemaining: 3}},
 		} {
 			Expect(apply(ma, 1, c.kind, c.body)).NotTo(Succeed())
 		}
--- a/internal/step/step.go
+++ b/internal/step/step.go
@@ -23,11 +23,11 @@
 
 // Group is a prompt and the number of samples to generate from it.
 type Group struct {
-	ID        string  `cbor:"1,keyasint" json:"id"`
-	Prompt    string  `cbor:"2,keyasint" json:"prompt"`
-	Samples   int     `cbor:"3,keyasint" json:"samples"`
-	MaxTokens int     `cbor:"4,keyasint" json:"maxTokens"`
-	Heat      float64 `cbor:"5,keyasint" json:"temperature"` // sampling temperature
+	ID          string  `cbor:"1,keyasint" json:"id"`
+	Prompt      string  `cbor:"2,keyasint" json:"prompt"`
+	Samples     int     `cbor:"3,keyasint" json:"samples"`
+	MaxTokens   int     `cbor:"4,keyasint" json:"maxTokens"`
+	Temperature float64 `cbor:"5,keyasint" json:"temperature"` // sampling temperature
 }
 
 // Sample is one sample of a step.
@@ -73,8 +73,8 @@
 // Key returns the key of a workspace's step in the ledger.
 func Key(workspace, id string) string { return workspace + "/" + id }
 
-// Open is the command that opens a step.
-type Open struct {
+// OpenStep is the command that opens a step.
+type OpenStep struct {
 	Step Step `cbor:"1,keyasint"`
 }
 
@@ -100,27 +100,27 @@
 	Max    int    `cbor:"3,keyasint"`
 }
 
-// Ack is the command that acknowledges a page for the trainer.
-type Ack struct {
+// AckPage is the command that acknowledges a page for the trainer.
+type AckPage struct {
 	Key    string `cbor:"1,keyasint"`
 	Number uint64 `cbor:"2,keyasint"`
 }
 
-// Lost is the command that resets samples whose payload no holder has any more.
-type Lost struct {
+// ResetLost is the command that resets samples whose payload no holder has any more.
+type ResetLost struct {
 	Key     string   `cbor:"1,keyasint"`
 	Samples []int    `cbor:"2,keyasint"` // indexes into the samples of the step
 	Digests []string `cbor:"3,keyasint"` // of the lost payloads, in the order of Samples
 }
 
-// Drive is the command that changes the driver of a step from From to To.
-type Drive struct {
+// ChangeDriver is the command that changes the driver of a step from From to To.
+type ChangeDriver struct {
 	Key  string `cbor:"1,keyasint"`
 	From string `cbor:"2,keyasint"`
 	To   string `cbor:"3,keyasint"`
 }
 
-// PageReply is the reply to FormPage and Ack.
+// PageReply is the reply to FormPage and AckPage.
 type PageReply struct {
 	Number    uint64   `cbor:"1,keyasint"`
 	Samples   []Sample `cbor:"2,keyasint"`
@@ -162,7 +162,7 @@
 
 // Open adds a step. A step that was opened before with the same digest is returned
 // as it is; one with another digest is an error.
-func (le *Ledger) Open(op Open, atMs int64) (*Step, error) {
+func (le *Ledger) Open(op OpenStep, atMs int64) (*Step, error) {
 	le.removeExpired(atMs)
 	if st, ok := le.steps[op.Step.Key()]; ok {
 		if st.Digest != op.Step.Digest {
@@ -302,7 +302,7 @@
 }
 
 // Ack marks a page as delivered.
-func (le *Ledger) Ack(ac Ack, atMs int64) (PageReply, error) {
+func (le *Ledger) Ack(ac AckPage, atMs int64) (PageReply, error) {
 	st, err := le.Get(ac.Key)
 	if err != nil {
 		return PageReply{}, err
@@ -332,7 +332,7 @@
 // unacknowledged page with one of them, which is formed again when it is next
 // requested. That is safe, as a trainer requests a page again only if it did not
 // receive it completely.
-func (le *Ledger) Lost(lo Lost) error {
+func (le *Ledger) Lost(lo ResetLost) error {
 	st, err := le.Get(lo.Key)
 	if err != nil {
 		return err
@@ -363,7 +363,7 @@
 }
 
 // Drive changes the driver of a step if it is still dr.From, and returns the step.
-func (le *Ledger) Drive(dr Drive) (*Step, error) {
+func (le *Ledger) Drive(dr ChangeDriver) (*Step, error) {
 	st, err := le.Get(dr.Key)
 	if err != nil {
 		return nil, err
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -52,7 +52,7 @@
 	for k, n := range ta.counts {
 		if n > ta.confirmed[k] {
 			out = append(out, Counter{
-				Agent: ta.agent, Incarnation: ta.incarnation, Workspace: k.workspace, Window: k.window, Figures: Figures{Requests: n},
+				Agent: ta.agent, Incarnation: ta.incarnation, Workspace: k.workspace, Window: k.window, Amounts: Amounts{Requests: n},
 			})
 		}
 	}
@@ -68,7 +68,7 @@
 	newest := uint64(0)
 	for _, co := range counters {
 		k := tallyKey{co.Window, co.Workspace}
-		ta.confirmed[k] = max(ta.confirmed[k], co.Figures.Requests)
+		ta.confirmed[k] = max(ta.confirmed[k], co.Amounts.Requests)
 		newest = max(newest, co.Window)
 	}
 	for k := range ta.counts {
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -10,15 +10,15 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// Figures are amounts of usage.
-type Figures struct {
+// Amounts counts requests and tokens.
+type Amounts struct {
 	Requests uint64 `cbor:"1,keyasint" json:"requests"`
 	Tokens   uint64 `cbor:"2,keyasint" json:"tokens"`
 }
 
-func (fi *Figures) add(o Figures) {
-	fi.Requests += o.Requests
-	fi.Tokens += o.Tokens
+func (am *Amounts) add(o Amounts) {
+	am.Requests += o.Requests
+	am.Tokens += o.Tokens
 }
 
 // Counter is the cumulative count of one incarnation of an agent in one window.
@@ -27,11 +27,11 @@
 	Incarnation uint64  `cbor:"2,keyasint"`
 	Workspace   string  `cbor:"3,keyasint"`
 	Window      uint64  `cbor:"4,keyasint"`
-	Figures     Figures `cbor:"5,keyasint"`
+	Amounts     Amounts `cbor:"5,keyasint"`
 }
 
-// Fold is the command that adds counters to the ledger.
-type Fold struct {
+// AddCounters is the command that adds counters to the ledger.
+type AddCounters struct {
 	Counters []Counter `cbor:"1,keyasint"`
 }
 
@@ -42,8 +42,8 @@
 	Fencing uint64 `cbor:"2,keyasint"`
 }
 
-// Reported is the command that marks a window as reported to the platform.
-type Reported struct {
+// MarkReported is the command that marks a window as reported to the platform.
+type MarkReported struct {
 	Window  uint64 `cbor:"1,keyasint"`
 	Fencing uint64 `cbor:"2,keyasint"`
 }
@@ -51,17 +51,17 @@
 // Line is the usage of one workspace in one window.
 type Line struct {
 	Workspace  string  `cbor:"1,keyasint" json:"workspace"`
-	Figures    Figures `cbor:"2,keyasint" json:"figures"`
-	Adjustment Figures `cbor:"3,keyasint" json:"adjustment"` // late usage of earlier windows
+	Amounts    Amounts `cbor:"2,keyasint" json:"figures"`
+	Adjustment Amounts `cbor:"3,keyasint" json:"adjustment"` // late usage of earlier windows
 }
 
 // Window is the usage in one window of time.
 type Window struct {
-	Number   uint64             `cbor:"1,keyasint"`
-	Folded   map[string]Figures `cbor:"2,keyasint"` // last counters, by counterKey
-	Lines    map[string]*Line   `cbor:"3,keyasint"` // by workspace
-	IsClosed bool               `cbor:"4,keyasint"`
-	IsSent   bool               `cbor:"5,keyasint"` // the report was delivered to the platform
+	Number       uint64             `cbor:"1,keyasint"`
+	LastCounters map[string]Amounts `cbor:"2,keyasint"` // last counters, by counterKey
+	Lines        map[string]*Line   `cbor:"3,keyasint"` // by workspace
+	IsClosed     bool               `cbor:"4,keyasint"`
+	IsReported   bool               `cbor:"5,keyasint"` // the report was delivered to the platform
 }
 
 // Report is the report of one window to the platform. It is encoded to the same
@@ -103,11 +103,11 @@
 func (le *Ledger) window(n uint64) *Window {
 	wi, ok := le.windows[n]
 	if !ok {
-		wi = &Window{Number: n, Folded: map[string]Figures{}, Lines: map[string]*Line{}}
+		wi = &Window{Number: n, LastCounters: map[string]Amounts{}, Lines: map[string]*Line{}}
 		le.windows[n] = wi
 	}
-	if wi.Folded == nil {
-		wi.Folded = map[string]Figures{}
+	if wi.LastCounters == nil {
+		wi.LastCounters = map[string]Amounts{}
 	}
 	if wi.Lines == nil {
 		wi.Lines = map[string]*Line{}
@@ -127,9 +127,9 @@
 	return li
 }
 
-// Fold adds the increase of each counter since it was last added. It returns the
+// AddCounters adds the increase of each counter since it was last added. It returns the
 // number of counters rejected because their window is no longer retained.
-func (le *Ledger) Fold(fo Fold) int {
+func (le *Ledger) AddCounters(fo AddCounters) int {
 	tooOld := 0
 	for _, co := range fo.Counters {
 		if le.lastClosed > retainedWindows && co.Window < le.lastClosed-retainedWindows {
@@ -140,15 +140,15 @@
 
 		wi := le.window(co.Window)
 		k := counterKey(co)
-		old := wi.Folded[k]
-		if co.Figures.Requests < old.Requests || co.Figures.Tokens < old.Tokens {
+		old := wi.LastCounters[k]
+		if co.Amounts.Requests < old.Requests || co.Amounts.Tokens < old.Tokens {
 			continue // an older counter arrived late
 		}
-		grown := Figures{Requests: co.Figures.Requests - old.Requests, Tokens: co.Figures.Tokens - old.Tokens}
-		if grown == (Figures{}) {
+		grown := Amounts{Requests: co.Amounts.Requests - old.Requests, Tokens: co.Amounts.Tokens - old.Tokens}
+		if grown == (Amounts{}) {
 			continue
 		}
-		wi.Folded[k] = co.Figures
+		wi.LastCounters[k] = co.Amounts
 		if wi.IsClosed || co.Window <= le.lastClosed {
 			// Late usage is adjusted in the first open window.
 			li := le.window(le.lastClosed + 1).line(co.Workspace)
@@ -157,7 +157,7 @@
 			continue
 		}
 		li := wi.line(co.Workspace)
-		li.Figures.add(grown)
+		li.Amounts.add(grown)
 	}
 
 	return tooOld
@@ -197,7 +197,7 @@
 	}
 	le.lastClosed = cl.Window
 	for n, wi := range le.windows {
-		if wi.IsSent && le.lastClosed > retainedWindows && n < le.lastClosed-retainedWindows {
+		if wi.IsReported && le.lastClosed > retainedWindows && n < le.lastClosed-retainedWindows {
 			delete(le.windows, n)
 		}
 	}
@@ -211,7 +211,7 @@
 func (le *Ledger) Unreported() []uint64 {
 	var out []uint64
 	for n, wi := range le.windows {
-		if wi.IsClosed && !wi.IsSent {
+		if wi.IsClosed && !wi.IsReported {
 			out = append(out, n)
 		}
 	}
@@ -236,13 +236,13 @@
 	return re, nil
 }
 
-// Reported marks a window as reported.
-func (le *Ledger) Reported(re Reported) error {
+// MarkReported marks a window as reported.
+func (le *Ledger) MarkReported(re MarkReported) error {
 	wi, ok := le.windows[re.Window]
 	if !ok || !wi.IsClosed {
 		return result.New(result.UnknownObject, "usage: window %d is not closed", re.Window)
 	}
-	wi.IsSent = true
+	wi.IsReported = true
 
 	return nil
 }
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -11,16 +11,18 @@
 )
 
 func counter(agent string, window, tokens uint64) usage.Counter {
-	return usage.Counter{Agent: agent, Incarnation: 7, Workspace: "w", Window: window, Figures: usage.Figures{Requests: tokens / 10, Tokens: tokens}}
+	return usage.Counter{Agent: agent, Incarnation: 7, Workspace: "w", Window: window, Amounts: usage.Amounts{Requests: tokens / 10, Tokens: tokens}}
 }
 
-func fold(le *usage.Ledger, cs ...usage.Counter) { le.Fold(usage.Fold{Counters: cs}) }
+func addCounters(le *usage.Ledger, cs ...usage.Counter) {
+	le.AddCounters(usage.AddCounters{Counters: cs})
+}
 
 func tokens(le *usage.Ledger, window uint64) (figures, adjustment uint64) {
 	re, err := le.Report(window)
 	Expect(err).NotTo(HaveOccurred())
 	for _, li := range re.Lines {
-		figures += li.Figures.Tokens
+		figures += li.Amounts.Tokens
 		adjustment += li.Adjustment.Tokens
 	}
 
@@ -30,7 +32,7 @@
 var _ = Describe("the usage ledger", func() {
 	It("adds a counter only once if it is sent repeatedly or out of order", func() {
 		le := usage.NewLedger(usage.Snapshot{})
-		fold(le, counter("a", 5, 100), counter("a", 5, 100), counter("a", 5, 40), counter("b", 5, 10), counter("a", 5, 130))
+		addCounters(le, counter("a", 5, 100), counter("a", 5, 100), counter("a", 5, 40), counter("b", 5, 10), counter("a", 5, 130))
 		le.Close(usage.Close{Window: 5})
 		f, _ := tokens(le, 5)
 		Expect(f).To(Equal(uint64(140)))
@@ -38,13 +40,13 @@
 
 	It("adds late usage to the next window and leaves the closed window unchanged", func() {
 		le := usage.NewLedger(usage.Snapshot{})
-		fold(le, counter("a", 5, 100))
+		addCounters(le, counter("a", 5, 100))
 		le.Close(usage.Close{Window: 5})
 		before, err := le.Report(5)
 		Expect(err).NotTo(HaveOccurred())
 		first, err := json.Marshal(before)
 		Expect(err).NotTo(HaveOccurred())
-		fold(le, counter("a", 5, 160), counter("a", 6, 7))
+		addCounters(le, counter("a", 5, 160), counter("a", 6, 7))
 		after, err := le.Report(5)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(json.Marshal(after)).To(Equal(first))
@@ -55,12 +57,12 @@
 
 	It("lists closed windows until they are reported, also after a snapshot", func() {
 		le := usage.NewLedger(usage.Snapshot{})
-		fold(le, counter("a", 5, 1), counter("a", 6, 1), counter("a", 7, 1))
+		addCounters(le, counter("a", 5, 1), counter("a", 6, 1), counter("a", 7, 1))
 		le.Close(usage.Close{Window: 6})
 		Expect(le.Unreported()).To(Equal([]uint64{5, 6}))
-		Expect(le.Reported(usage.Reported{Window: 5})).To(Succeed())
+		Expect(le.MarkReported(usage.MarkReported{Window: 5})).To(Succeed())
 		Expect(usage.NewLedger(le.Snapshot()).Unreported()).To(Equal([]uint64{6}))
-		Expect(le.Reported(usage.Reported{Window: 7})).NotTo(Succeed())
+		Expect(le.MarkReported(usage.MarkReported{Window: 7})).NotTo(Succeed())
 		_, err := le.Report(7)
 		Expect(err).To(HaveOccurred())
 	})
@@ -74,9 +76,9 @@
 			for range 400 {
 				k := [2]uint64{rnd.Uint64N(4), window - rnd.Uint64N(3)}
 				counted[k] += rnd.Uint64N(50)
-				fold(le, counter(string(rune('a'+k[0])), k[1], counted[k]))
+				addCounters(le, counter(string(rune('a'+k[0])), k[1], counted[k]))
 				if rnd.IntN(3) == 0 {
-					fold(le, counter(string(rune('a'+k[0])), k[1], rnd.Uint64N(counted[k]+1))) // a repeated older counter
+					addCounters(le, counter(string(rune('a'+k[0])), k[1], rnd.Uint64N(counted[k]+1))) // a repeated older counter
 				}
 				if rnd.IntN(20) == 0 {
 					window++
