--- a/cmd/tamarackbay/explain.go
+++ b/cmd/tamarackbay/explain.go
@@ -36,7 +36,7 @@
 			}
 			all = append(all, lines...)
 		}
-		timeline := explain.Course(all, *id)
+		timeline := explain.Timeline(all, *id)
 		if len(timeline) == 0 {
 			return result.New(result.UnknownObject, "explain: none of %d log lines names the ID %q", len(all), *id)
 		}
--- a/cmd/tamarackbay/node.go
+++ b/cmd/tamarackbay/node.go
@@ -34,9 +34,9 @@
 	level := c.Flag("log-level", "Lowest level that is logged: debug, info, warn or error.").Default("info").String()
 
 	return []command{{c, func() error {
-		ring := logging.NewRing(os.Stdout)
+		ring := logging.NewAsyncHandler(os.Stdout)
 		defer ring.Close()
-		err := runNode(*role, *peerListen, logging.NewWith(ring, *level, "tamarackbay", *role), ring.Dropped)
+		err := runNode(*role, *peerListen, logging.NewWithHandler(ring, *level, "tamarackbay", *role), ring.Dropped)
 		if result.Is(err, result.DataFolderWrite) {
 			time.Sleep(diskErrorExitDelay)
 		}
@@ -55,7 +55,7 @@
 	sig := make(chan os.Signal, 4)
 	signal.Notify(sig, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	nd, err := program.StartNode(role, func() (*settings.Node, error) {
-		no, err := platform.LoadBoot()
+		no, err := platform.LoadSettings()
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/tamarackbay/nodes_test.go
+++ b/cmd/tamarackbay/nodes_test.go
@@ -22,7 +22,7 @@
 		me := meter.New()
 		me.Gauge("configuration.version", 7)
 		me.Gauge("group.leads", 1)
-		me.Time("request", 0)
+		me.RecordDuration("request", 0)
 		sv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _ = me.WriteText(w) }))
 		defer sv.Close()
 		there := strings.TrimPrefix(sv.URL, "http://")
--- a/cmd/tamarackbay/settings.go
+++ b/cmd/tamarackbay/settings.go
@@ -31,9 +31,9 @@
 	return []command{
 		{explain, func() error {
 			if *explainOf == "agent" {
-				settings.Explain(os.Stdout, &settings.Agent{})
+				settings.WriteReference(os.Stdout, &settings.Agent{})
 			} else {
-				settings.Explain(os.Stdout, &settings.Gateway{})
+				settings.WriteReference(os.Stdout, &settings.Gateway{})
 			}
 
 			return nil
@@ -58,11 +58,11 @@
 
 // checkNode checks a platform's settings file and prints a summary of the node's settings.
 func checkNode(path string) error {
-	no, err := platform.ReadBoot(path)
+	no, err := platform.ReadSettings(path)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("valid: node %s in %s, %d controllers, tolerates the loss of %d VMs", no.Name, no.FailureDomain, len(no.Controllers), no.Losses)
+	fmt.Printf("valid: node %s in %s, %d controllers, tolerates the loss of %d VMs", no.Name, no.FailureDomain, len(no.Controllers), no.ToleratedFailures)
 	if no.DataFolder == "" {
 		fmt.Print(", no data folder: can only run as a gateway")
 	}
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -36,7 +36,7 @@
 		li.buckets[name] = b
 	}
 	if wo.MaxInFlight > 0 && b.inFlight >= (wo.MaxInFlight+gateways-1)/gateways {
-		return result.New(result.WorkspaceInFlight, "workspace %s: limit of concurrent requests reached: %d in flight on this gateway", name, b.inFlight).After(time.Second)
+		return result.New(result.WorkspaceInFlight, "workspace %s: limit of concurrent requests reached: %d in flight on this gateway", name, b.inFlight).WithRetryAfter(time.Second)
 	}
 	if wo.RatePerSecond > 0 {
 		share := wo.RatePerSecond / float64(gateways)
@@ -46,7 +46,7 @@
 		if b.tokens < 1 {
 			wait := time.Duration((1 - b.tokens) / share * float64(time.Second))
 
-			return result.New(result.WorkspaceRate, "workspace %s: rate limit of %g requests per second exceeded", name, wo.RatePerSecond).After(wait)
+			return result.New(result.WorkspaceRate, "workspace %s: rate limit of %g requests per second exceeded", name, wo.RatePerSecond).WithRetryAfter(wait)
 		}
 		b.tokens--
 	}
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -108,9 +108,9 @@
 	wait := q.expectedWait(it)
 	switch {
 	case q.count >= q.cfg.MaxItems || (q.cfg.IsFair && len(fl.items) >= it.MaxQueued):
-		return result.New(result.QueueFull, "admission: queue is full: %d requests of workspace %s wait", len(fl.items), it.Workspace).After(max(wait, time.Second))
+		return result.New(result.QueueFull, "admission: queue is full: %d requests of workspace %s wait", len(fl.items), it.Workspace).WithRetryAfter(max(wait, time.Second))
 	case it.Deadline > 0 && now+wait > it.Deadline:
-		return result.New(result.DeadlineTooShort, "admission: expected wait of %v exceeds the deadline", wait.Round(time.Millisecond)).After(wait)
+		return result.New(result.DeadlineTooShort, "admission: expected wait of %v exceeds the deadline", wait.Round(time.Millisecond)).WithRetryAfter(wait)
 	}
 
 	if len(fl.items) == 0 {
--- a/internal/agent/order.go
+++ b/internal/agent/order.go
@@ -68,7 +68,7 @@
 
 	switch {
 	case !fe.isRead[lease]:
-		return result.New(result.FencingTooLow, "agent: the fencing number of lease %s has not been read from the replica group yet", lease).After(time.Second)
+		return result.New(result.FencingTooLow, "agent: the fencing number of lease %s has not been read from the replica group yet", lease).WithRetryAfter(time.Second)
 	case n < fe.highest[lease]:
 		return result.New(result.FencingTooLow, "agent: fencing number %d of lease %s is lower than the highest seen, %d", n, lease, fe.highest[lease])
 	}
@@ -131,7 +131,7 @@
 		return err
 	}
 	if err := ag.fencing.acceptOrder(leaseOf(or.GetKind()), or.GetFencing()); err != nil {
-		ag.cfg.Meter.Refused(err)
+		ag.cfg.Meter.CountRefusal(err)
 
 		return err
 	}
@@ -193,7 +193,7 @@
 		return err
 	}
 	if v, ok := ag.version(); !ok || v != or.GetVersion() {
-		return result.New(result.SwapFailed, "agent %s: the engine reports version %q, not %q", ag.cfg.Server, v, or.GetVersion()).With(result.Ran)
+		return result.New(result.SwapFailed, "agent %s: the engine reports version %q, not %q", ag.cfg.Server, v, or.GetVersion()).WithExecution(result.Ran)
 	}
 
 	return nil
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -49,7 +49,7 @@
 	if !ag.attempts.recordFirst(fmt.Sprintf("%s/%d", id, attempt)) {
 		release()
 
-		return nil, result.New(result.AttemptRepeated, "agent %s: attempt %d of request %s was already received", ag.cfg.Server, attempt, id).With(result.ExecutionUnknown)
+		return nil, result.New(result.AttemptRepeated, "agent %s: attempt %d of request %s was already received", ag.cfg.Server, attempt, id).WithExecution(result.ExecutionUnknown)
 	}
 
 	return release, nil
@@ -126,7 +126,7 @@
 		return err
 	}
 	if last == nil {
-		return result.New(result.BackendAnswerBroken, "agent %s: the engine's answer has no finish reason", ag.cfg.Server).With(result.ExecutionUnknown)
+		return result.New(result.BackendAnswerBroken, "agent %s: the engine's answer has no finish reason", ag.cfg.Server).WithExecution(result.ExecutionUnknown)
 	}
 	if isAssumed {
 		if err := ag.sendFurtherVersions(ctx, st, w, before); err != nil {
@@ -143,7 +143,7 @@
 func (ag *Agent) sendFurtherVersions(ctx context.Context, st *peer.Stream, w *inFlightRequest, before string) error {
 	after, err := ag.engine.Status(ctx)
 	if err != nil || after.Version == "" || after.State != engine.StateReady {
-		return result.New(result.VersionUnknown, "agent %s: the weight version of the engine after the run is not known", ag.cfg.Server).With(result.Ran)
+		return result.New(result.VersionUnknown, "agent %s: the weight version of the engine after the run is not known", ag.cfg.Server).WithExecution(result.Ran)
 	}
 
 	ag.mu.Lock()
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -21,7 +21,7 @@
 	Body          []byte
 	Instance      string        // the only incarnation that may run it, "" for any
 	Workspace     string        // "" for public routes
-	TimeLeft      time.Duration // the backend server stops work after it, 0 for never
+	Timeout       time.Duration // the backend server stops work after it, 0 for never
 	ExpectVersion uint64        // the only weight version that may run it, 0 for any
 	Priority      int           // 0 is the highest, -1 for the default
 	ResumeAfter   uint64        // number of the last event already received, 0 for none
@@ -52,8 +52,8 @@
 	Version uint64 // weight version from this event on, 0 if unchanged
 }
 
-// Weights is an order to load a weight version.
-type Weights struct {
+// WeightsOrder is an order to load a weight version.
+type WeightsOrder struct {
 	Model    string
 	Version  uint64
 	Mode     SwapMode
@@ -84,17 +84,17 @@
 type Client struct {
 	// Send sends a request. An error says whether the request may have run.
 	Send func(ctx context.Context, address string, ca *Call) (*Answer, error)
-	// Events returns a function that reads the next event of a stream. io.EOF is the
+	// NewEventReader returns a function that reads the next event of a stream. io.EOF is the
 	// regular end of the stream.
-	Events func(body io.Reader) func() (Event, error)
+	NewEventReader func(body io.Reader) func() (Event, error)
 	// Swap sends a weights order. It returns nil once the order is accepted, or if it is
 	// in effect already.
-	Swap func(ctx context.Context, address string, we *Weights) error
+	Swap func(ctx context.Context, address string, we *WeightsOrder) error
 	// Report requests the state of a backend server.
 	Report func(ctx context.Context, address string) (Report, error)
 	// IdleTimeout returns how long an idle connection is kept open.
 	IdleTimeout func() time.Duration
 }
 
-// HasRun reports whether a failed call may have run.
-func HasRun(err error) bool { return result.From(err).Execution != result.NotRun }
+// MayHaveRun reports whether a failed call may have run.
+func MayHaveRun(err error) bool { return result.From(err).Execution != result.NotRun }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -118,7 +118,7 @@
 	no := cfg.Settings
 	co := &Controller{
 		cfg: cfg, feed: feed.NewServer(), links: peer.NewLinks(context.Background(), cfg.Peer), stopped: make(chan struct{}),
-		registry: registry.New(maxMissedHeartbeats * no.BeatPeriod), stores: map[string]*store{}, publishWake: make(chan struct{}, 1),
+		registry: registry.New(maxMissedHeartbeats * no.HeartbeatPeriod), stores: map[string]*store{}, publishWake: make(chan struct{}, 1),
 		startedAt: cfg.Now(), swapPlanners: map[string]*weights.JointPlanner{}, swapWake: make(chan struct{}, 1),
 	}
 	var founders []group.Founder
@@ -131,7 +131,7 @@
 		ReplaceAfter: settings.NodeReplaceAfter, TargetVoters: no.Voters(), CandidateAddresses: co.addresses, WallMs: cfg.WallMs, Log: cfg.Log,
 		OnStatus: func(group.Status) { co.wakePublish() },
 	}
-	if !no.MayForm {
+	if !no.MayBootstrap {
 		// The system is already formed: a replica with an empty disk joins as a new one.
 		gc.Formation = func() []consensus.ReplicaID { return nil }
 	}
@@ -306,7 +306,7 @@
 		co.cfg.Log.WithField("server", id).Warn("backend server silent")
 	}
 	st.Servers = co.registry.All()
-	st.IsSettled = now-co.startedAt > (maxMissedHeartbeats+1)*co.cfg.Settings.BeatPeriod
+	st.IsSettled = now-co.startedAt > (maxMissedHeartbeats+1)*co.cfg.Settings.HeartbeatPeriod
 	for _, me := range members {
 		out := feed.Store{Name: me.Name, Replica: string(me.Replica), Address: me.Address, Retiring: retirement[me.Name] != 0}
 		if so := co.stores[me.Name]; so != nil && so.Member.Replica == me.Replica {
--- a/internal/controller/weights.go
+++ b/internal/controller/weights.go
@@ -66,7 +66,7 @@
 			re := records[sw.Server]
 			co.registry.SetLoading(re.ID, re.BornMs, true)
 			co.wakePublish()
-			go co.swap(ctx, held, jo, re, &backend.Weights{Model: sw.Model, Version: sw.Version, Mode: mode, Instance: re.ID})
+			go co.swap(ctx, held, jo, re, &backend.WeightsOrder{Model: sw.Model, Version: sw.Version, Mode: mode, Instance: re.ID})
 		}
 	}
 }
@@ -129,7 +129,7 @@
 
 // swap orders an engine to load a version, waits until it serves that version and
 // records the result.
-func (co *Controller) swap(ctx context.Context, held leasedtask.Held, jo *weights.JointPlanner, re registry.Record, we *backend.Weights) {
+func (co *Controller) swap(ctx context.Context, held leasedtask.Held, jo *weights.JointPlanner, re registry.Record, we *backend.WeightsOrder) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 
@@ -157,7 +157,7 @@
 	co.wakeSwaps()
 }
 
-func (co *Controller) performSwap(ctx context.Context, held leasedtask.Held, re registry.Record, we *backend.Weights) error {
+func (co *Controller) performSwap(ctx context.Context, held leasedtask.Held, re registry.Record, we *backend.WeightsOrder) error {
 	before, err := co.fetchReport(ctx, re)
 	for ; err == nil && before.IsBusy; before, err = co.fetchReport(ctx, re) {
 		// The engine carries out another order, possibly from a former lease holder.
@@ -183,7 +183,7 @@
 	cctx, cancel := context.WithTimeout(ctx, leaseTiming.MaxCall)
 	err = co.cfg.Client.Swap(cctx, re.Address, we)
 	cancel()
-	if err != nil && !backend.HasRun(err) {
+	if err != nil && !backend.MayHaveRun(err) {
 		return err
 	}
 
@@ -211,7 +211,7 @@
 
 // awaitVersion waits until the engine reports, in a heartbeat or when polled, that it
 // serves the version.
-func (co *Controller) awaitVersion(ctx context.Context, re registry.Record, we *backend.Weights) error {
+func (co *Controller) awaitVersion(ctx context.Context, re registry.Record, we *backend.WeightsOrder) error {
 	wait := firstLoadPoll
 	for {
 		select {
@@ -235,7 +235,7 @@
 	}
 }
 
-func (co *Controller) servesVersion(re registry.Record, we *backend.Weights) bool {
+func (co *Controller) servesVersion(re registry.Record, we *backend.WeightsOrder) bool {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 
--- a/internal/declaration/fleet.go
+++ b/internal/declaration/fleet.go
@@ -5,13 +5,13 @@
 // Class describes a type of backend server that can be ordered from the platform: what
 // it serves and what it costs.
 type Class struct {
-	Model         string  `json:"model,omitempty"`
-	Service       string  `json:"service,omitempty"`
-	PricePerHour  float64 `json:"pricePerHour"`
-	StartupMs     int     `json:"startupMs"`
-	Slots         int     `json:"slots"`           // maximum number of concurrent requests
-	TokensPerSec  float64 `json:"tokensPerSecond"` // of one backend server with all slots busy
-	ChecksFencing bool    `json:"checksFencing"`
+	Model           string  `json:"model,omitempty"`
+	Service         string  `json:"service,omitempty"`
+	PricePerHour    float64 `json:"pricePerHour"`
+	StartupMs       int     `json:"startupMs"`
+	Slots           int     `json:"slots"`           // maximum number of concurrent requests
+	TokensPerSecond float64 `json:"tokensPerSecond"` // of one backend server with all slots busy
+	ChecksFencing   bool    `json:"checksFencing"`
 }
 
 // Defaults sets fields that are zero to their defaults.
@@ -33,7 +33,7 @@
 	if _, ok := se.Models[cl.Model]; cl.Model != "" && !ok {
 		return invalid(path, "model %q does not exist", cl.Model)
 	}
-	if cl.Slots < 1 || cl.StartupMs < 1 || cl.PricePerHour < 0 || cl.TokensPerSec < 0 {
+	if cl.Slots < 1 || cl.StartupMs < 1 || cl.PricePerHour < 0 || cl.TokensPerSecond < 0 {
 		return invalid(path, "slots and startupMs must be at least 1, prices and rates not negative")
 	}
 
@@ -49,9 +49,9 @@
 	return cl.Service
 }
 
-// Fleet limits the number of backend servers of a class in each failure domain. It has
+// FleetBounds limits the number of backend servers of a class in each failure domain. It has
 // the same name as the class.
-type Fleet struct {
+type FleetBounds struct {
 	MinPerDomain   int      `json:"minPerDomain"`
 	MaxPerDomain   int      `json:"maxPerDomain"`
 	FailureDomains []string `json:"failureDomains"`
@@ -61,7 +61,7 @@
 }
 
 // Defaults sets fields that are zero to their defaults.
-func (fl *Fleet) Defaults() {
+func (fl *FleetBounds) Defaults() {
 	if fl.IdleMs == 0 {
 		fl.IdleMs = 60_000
 	}
@@ -74,7 +74,7 @@
 }
 
 // Validate checks the fleet of the class called name.
-func (fl Fleet) Validate(name string, se *Set) error {
+func (fl FleetBounds) Validate(name string, se *Set) error {
 	path := KindFleet + "/" + name
 	if _, ok := se.Classes[name]; !ok {
 		return invalid(path, "class %q does not exist", name)
@@ -94,4 +94,4 @@
 }
 
 // Idle returns how long a backend server stays unneeded before it is stopped.
-func (fl Fleet) Idle() time.Duration { return time.Duration(fl.IdleMs) * time.Millisecond }
+func (fl FleetBounds) Idle() time.Duration { return time.Duration(fl.IdleMs) * time.Millisecond }
--- a/internal/declaration/set.go
+++ b/internal/declaration/set.go
@@ -31,15 +31,15 @@
 
 // Set is a complete configuration. Its maps are keyed by the objects' names.
 type Set struct {
-	Workspaces map[string]Workspace `json:"workspaces,omitempty"`
-	Keys       map[string]Key       `json:"keys,omitempty"`
-	Routes     map[string]Route     `json:"routes,omitempty"`
-	Models     map[string]Model     `json:"models,omitempty"`
-	Versions   map[string]Version   `json:"versions,omitempty"`
-	Classes    map[string]Class     `json:"classes,omitempty"`
-	Fleet      map[string]Fleet     `json:"fleet,omitempty"`
-	Trainers   map[string]Trainer   `json:"trainers,omitempty"`
-	Windows    map[string]Window    `json:"windows,omitempty"`
+	Workspaces map[string]Workspace   `json:"workspaces,omitempty"`
+	Keys       map[string]Key         `json:"keys,omitempty"`
+	Routes     map[string]Route       `json:"routes,omitempty"`
+	Models     map[string]Model       `json:"models,omitempty"`
+	Versions   map[string]Version     `json:"versions,omitempty"`
+	Classes    map[string]Class       `json:"classes,omitempty"`
+	Fleet      map[string]FleetBounds `json:"fleet,omitempty"`
+	Trainers   map[string]Trainer     `json:"trainers,omitempty"`
+	Windows    map[string]Window      `json:"windows,omitempty"`
 }
 
 // NewSet returns an empty configuration.
@@ -47,7 +47,7 @@
 	return &Set{
 		Workspaces: map[string]Workspace{}, Keys: map[string]Key{}, Routes: map[string]Route{},
 		Models: map[string]Model{}, Versions: map[string]Version{}, Classes: map[string]Class{},
-		Fleet: map[string]Fleet{}, Trainers: map[string]Trainer{}, Windows: map[string]Window{},
+		Fleet: map[string]FleetBounds{}, Trainers: map[string]Trainer{}, Windows: map[string]Window{},
 	}
 }
 
@@ -115,7 +115,7 @@
 	KindModel:     newKind(func(se *Set) map[string]Model { return se.Models }),
 	KindVersion:   newKind(func(se *Set) map[string]Version { return se.Versions }),
 	KindClass:     newKind(func(se *Set) map[string]Class { return se.Classes }),
-	KindFleet:     newKind(func(se *Set) map[string]Fleet { return se.Fleet }),
+	KindFleet:     newKind(func(se *Set) map[string]FleetBounds { return se.Fleet }),
 	KindTrainer:   newKind(func(se *Set) map[string]Trainer { return se.Trainers }),
 	KindWindow:    newKind(func(se *Set) map[string]Window { return se.Windows }),
 }
@@ -269,7 +269,7 @@
 		return o.Validate(name, se)
 	case Class:
 		return o.Validate(name, se)
-	case Fleet:
+	case FleetBounds:
 		return o.Validate(name, se)
 	case Trainer:
 		return o.Validate(name, se)
--- a/internal/demo/nodes.go
+++ b/internal/demo/nodes.go
@@ -80,7 +80,7 @@
 	}
 	nr.caller = &standin.Caller{Ports: ports, Timeout: nodeTimeout, Control: []string{"127.0.9.11", "127.0.9.12", "127.0.9.13"}}
 	add := func(role, ip string) error {
-		bo := standin.Boot{
+		bo := standin.NodeSettings{
 			Name: role + "-" + ip, IP: ip, Ports: ports, Controllers: nr.caller.Control, IsFirst: true, Cloud: nr.cloud.Address(),
 			Grace: nodeTimeout, Window: nodeUsageWindow, Lease: nodeTimeout,
 		}
@@ -91,7 +91,7 @@
 		if err != nil {
 			return err
 		}
-		nd, err := program.StartNode(role, func() (*settings.Node, error) { return platform.DecodeBoot(b) }, logging.Discard(), nil)
+		nd, err := program.StartNode(role, func() (*settings.Node, error) { return platform.DecodeSettings(b) }, logging.Discard(), nil)
 		if err == nil {
 			nr.nodes = append(nr.nodes, nd)
 		}
@@ -112,7 +112,7 @@
 		nr.wg.Go(func() {
 			for i := 0; ctx.Err() == nil; i++ {
 				// An error is ignored: a controller that is not ready yet receives a later heartbeat.
-				_ = bs.Beat(fmt.Sprintf("%s:%d", nr.caller.Control[i%len(nr.caller.Control)], ports.Control))
+				_ = bs.SendHeartbeat(fmt.Sprintf("%s:%d", nr.caller.Control[i%len(nr.caller.Control)], ports.Control))
 				time.Sleep(nodeHeartbeatPeriod)
 			}
 		})
@@ -234,7 +234,7 @@
 		for id, n := range bs.Runs() {
 			runs[id] += n
 		}
-		keys += bs.Keys()
+		keys += bs.RequestsWithKey()
 		for _, or := range bs.AllOrders() {
 			if old := holders[or.Fencing]; old != "" && old != or.Holder {
 				broken = append(broken, fmt.Errorf("%s and %s both sent orders with fencing number %d", old, or.Holder, or.Fencing))
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -74,7 +74,7 @@
 		FailureDomain: cfg.Settings.FailureDomain, Scheduler: scheduler.Config{RandomChoices: schedulerCandidates}, Now: cfg.Now, Random: rand.IntN, IdleTimeout: cfg.Client.IdleTimeout,
 	})
 	ed.ingress = ingress.New(ingress.Config{
-		Table: ed.Table, Fresh: ed.fresh, Balancer: ed.balancer, Client: cfg.Client, Random: rand.Float64, Began: ed.tally.Count,
+		Table: ed.Table, Fresh: ed.fresh, Balancer: ed.balancer, Client: cfg.Client, Random: rand.Float64, OnStart: ed.tally.Count,
 		Meter: cfg.Meter, Log: cfg.Log,
 	})
 	ed.jobProxy = jobproxy.New(jobproxy.Config{
--- a/internal/endtoend/drain_test.go
+++ b/internal/endtoend/drain_test.go
@@ -143,7 +143,7 @@
 		cfg.NoOrdering, cfg.NoUsage = false, false
 		cfg.Startup = 50 * time.Millisecond
 		cfg.Declarations.Classes["service"] = declaration.Class{Service: "s", Slots: 4, StartupMs: 300}
-		cfg.Declarations.Fleet["service"] = declaration.Fleet{
+		cfg.Declarations.Fleet["service"] = declaration.FleetBounds{
 			MinPerDomain: 1, MaxPerDomain: 2, FailureDomains: []string{"a", "b", "c"}, IdleMs: 1500, TargetLoad: 0.7,
 		}
 		cfg.Declarations.Windows["usage"] = declaration.Window{LengthSeconds: 1, GraceSeconds: 1}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -129,7 +129,7 @@
 		return httpcall.Failure("engine: stream", err)
 	}
 
-	return result.New(result.BackendCrashed, "engine: the stream ended before its end mark").With(result.ExecutionUnknown)
+	return result.New(result.BackendCrashed, "engine: the stream ended before its end mark").WithExecution(result.ExecutionUnknown)
 }
 
 func decodeChunk(data, id string) (Chunk, error) {
@@ -151,7 +151,7 @@
 }
 
 func brokenAnswer(what string) *result.Error {
-	return result.New(result.BackendAnswerBroken, "engine: %s", what).With(result.ExecutionUnknown)
+	return result.New(result.BackendAnswerBroken, "engine: %s", what).WithExecution(result.ExecutionUnknown)
 }
 
 // Status is the status that an engine reports.
@@ -207,7 +207,7 @@
 		return result.New(result.FencingTooLow, "engine: order %s: %v", or.ID, err)
 	}
 
-	return result.New(result.SwapFailed, "engine: order %s: %v", or.ID, err).With(result.ExecutionUnknown)
+	return result.New(result.SwapFailed, "engine: order %s: %v", or.ID, err).WithExecution(result.ExecutionUnknown)
 }
 
 // CacheEvent reports that a prefix was added to or evicted from the engine's prefix
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -29,12 +29,12 @@
 func Policies() []Policy {
 	return []Policy{
 		{"current", settings.Policy{}},
-		{"roundRobin", settings.Policy{Scheduler: "roundRobin", NoFairness: true, NoHedging: true, NoSpread: true, NoBudget: true}},
-		{"leastInFlight", settings.Policy{Scheduler: "leastInFlight", NoFairness: true, NoHedging: true, NoSpread: true, NoBudget: true}},
+		{"roundRobin", settings.Policy{Scheduler: "roundRobin", NoFairness: true, NoHedging: true, NoSpread: true, NoRetryBudget: true}},
+		{"leastInFlight", settings.Policy{Scheduler: "leastInFlight", NoFairness: true, NoHedging: true, NoSpread: true, NoRetryBudget: true}},
 		{"noFairness", settings.Policy{NoFairness: true}},
 		{"noSpread", settings.Policy{NoSpread: true}},
 		{"noHedging", settings.Policy{NoHedging: true}},
-		{"noRetryBudget", settings.Policy{NoBudget: true}},
+		{"noRetryBudget", settings.Policy{NoRetryBudget: true}},
 	}
 }
 
--- a/internal/experiment/spending.go
+++ b/internal/experiment/spending.go
@@ -20,7 +20,7 @@
 // FleetPolicy is a named set of fleet bounds that the same load runs under.
 type FleetPolicy struct {
 	Name   string
-	Bounds declaration.Fleet
+	Bounds declaration.FleetBounds
 }
 
 const (
@@ -39,9 +39,9 @@
 	domains := []string{"a", "b", "c"}
 
 	return []FleetPolicy{
-		{"current", declaration.Fleet{MinPerDomain: 0, MaxPerDomain: 3, FailureDomains: domains, IdleMs: 2000, TargetLoad: 0.7}},
-		{"alwaysOn", declaration.Fleet{MinPerDomain: 3, MaxPerDomain: 3, FailureDomains: domains, IdleMs: 2000, TargetLoad: 0.7}},
-		{"threshold", declaration.Fleet{MinPerDomain: 0, MaxPerDomain: 3, FailureDomains: domains, IdleMs: 1, TargetLoad: 1}},
+		{"current", declaration.FleetBounds{MinPerDomain: 0, MaxPerDomain: 3, FailureDomains: domains, IdleMs: 2000, TargetLoad: 0.7}},
+		{"alwaysOn", declaration.FleetBounds{MinPerDomain: 3, MaxPerDomain: 3, FailureDomains: domains, IdleMs: 2000, TargetLoad: 0.7}},
+		{"threshold", declaration.FleetBounds{MinPerDomain: 0, MaxPerDomain: 3, FailureDomains: domains, IdleMs: 1, TargetLoad: 1}},
 	}
 }
 
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -101,10 +101,10 @@
 	return out
 }
 
-// Course returns the timeline of an ID: all lines about it, ordered by time, and those
+// Timeline returns the timeline of an ID: all lines about it, ordered by time, and those
 // lines between the first and the last of them that report a change of state on a
 // node involved, or of a backend server involved.
-func Course(lines []Line, id string) []Line {
+func Timeline(lines []Line, id string) []Line {
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].At.Before(lines[j].At) })
 	nodes, servers := map[string]bool{}, map[string]bool{}
 	var first, last time.Time
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -36,7 +36,7 @@
 		}
 		Expect(skipped).To(Equal(1))
 
-		timeline := explain.Course(all, "r1")
+		timeline := explain.Timeline(all, "r1")
 		var b strings.Builder
 		Expect(explain.Write(&b, timeline)).To(Succeed())
 		Expect(b.String()).To(Equal(`    0.000 s  edge-1                   request ended error=x outcome=failed request=r1
@@ -48,6 +48,6 @@
 	ginkgo.It("is empty for an ID that occurs in no line", func() {
 		lines, _, err := explain.Read(strings.NewReader(gatewayLog))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(explain.Course(lines, "r9")).To(BeEmpty())
+		Expect(explain.Timeline(lines, "r9")).To(BeEmpty())
 	})
 })
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -26,7 +26,7 @@
 type Input struct {
 	Now     time.Duration
 	Class   declaration.Class
-	Bounds  declaration.Fleet
+	Bounds  declaration.FleetBounds
 	Servers []Server
 	Running int // requests in flight on all gateways
 	Waiting int // requests waiting on all gateways
@@ -89,7 +89,7 @@
 	return de
 }
 
-func (pl *Planner) belowMinimum(bo declaration.Fleet, counts map[string]int) bool {
+func (pl *Planner) belowMinimum(bo declaration.FleetBounds, counts map[string]int) bool {
 	for _, d := range bo.FailureDomains {
 		if counts[d] < bo.MinPerDomain {
 			return true
@@ -101,7 +101,7 @@
 
 // selectStarts returns the failure domains in which to start n backend servers: first
 // each domain up to its minimum, then those with the fewest.
-func selectStarts(bo declaration.Fleet, counts map[string]int, n int) []string {
+func selectStarts(bo declaration.FleetBounds, counts map[string]int, n int) []string {
 	var out []string
 	have := map[string]int{}
 	for _, d := range bo.FailureDomains {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -23,8 +23,8 @@
 	return out
 }
 
-func bounds(low, high, spare int) declaration.Fleet {
-	return declaration.Fleet{
+func bounds(low, high, spare int) declaration.FleetBounds {
+	return declaration.FleetBounds{
 		MinPerDomain: low, MaxPerDomain: high, FailureDomains: []string{"a", "b", "c"}, SpareDomains: spare, IdleMs: 10_000, TargetLoad: 0.5,
 	}
 }
@@ -33,7 +33,7 @@
 	class := declaration.Class{Slots: 8}
 	cases := []struct {
 		name             string
-		bounds           declaration.Fleet
+		bounds           declaration.FleetBounds
 		have             []fleet.Server
 		running, waiting int
 		start, stop      []string
--- a/internal/gateway/caller.go
+++ b/internal/gateway/caller.go
@@ -59,10 +59,10 @@
 	cancel context.CancelCauseFunc
 }
 
-// Watch returns a context that is canceled when the caller's key is withdrawn or
+// WithKeyCancellation returns a context that is canceled when the caller's key is withdrawn or
 // expires, or when this process's view is too stale to verify keys. The cause is
 // a numbered error.
-func (ga *Gateway) Watch(ctx context.Context, ca Caller) (context.Context, func()) {
+func (ga *Gateway) WithKeyCancellation(ctx context.Context, ca Caller) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	if ca.KeyID == "" {
 		return ctx, func() { cancel(nil) }
@@ -144,7 +144,7 @@
 	}, nil
 }
 
-// Route returns the route with the given name. MayUse checks who may use it.
+// Route returns the route with the given name. CheckRouteAccess checks who may use it.
 func (ga *Gateway) Route(name string) (declaration.Route, error) {
 	ro, ok := ga.group.View().Set.Routes[name]
 	if !ok {
@@ -154,8 +154,8 @@
 	return ro, nil
 }
 
-// MayUse returns an error if the workspace may not use the route.
-func MayUse(ro declaration.Route, name, workspace string) error {
+// CheckRouteAccess returns an error if the workspace may not use the route.
+func CheckRouteAccess(ro declaration.Route, name, workspace string) error {
 	if len(ro.Workspaces) == 0 {
 		return nil
 	}
@@ -178,7 +178,7 @@
 
 	best := ""
 	for name, ro := range set.Routes {
-		if ro.Model == model && MayUse(ro, name, workspace) == nil && (best == "" || name < best) {
+		if ro.Model == model && CheckRouteAccess(ro, name, workspace) == nil && (best == "" || name < best) {
 			best = name
 		}
 	}
--- a/internal/gateway/complete.go
+++ b/internal/gateway/complete.go
@@ -137,7 +137,7 @@
 // markRan sets the error's execution to Ran if any tokens were received.
 func (rn *completionRun) markRan(er *result.Error) *result.Error {
 	if rn.output.Tokens > 0 {
-		return er.With(result.Ran)
+		return er.WithExecution(result.Ran)
 	}
 
 	return er
@@ -146,13 +146,13 @@
 // awaitRetry checks a failed attempt against the retry budget and waits for the back-off delay.
 func (ga *Gateway) awaitRetry(ctx context.Context, at retry.Attempt) retry.Decision {
 	if er := cancelCause(ctx); er != nil {
-		return retry.Decision{Err: er.With(at.Err.Execution)}
+		return retry.Decision{Err: er.WithExecution(at.Err.Execution)}
 	}
 
 	ga.mu.Lock()
 	de := ga.budget.Decide(at)
 	ga.mu.Unlock()
-	ga.cfg.Meter.Retried(de.Reason, de.Retry)
+	ga.cfg.Meter.CountRetry(de.Reason, de.Retry)
 	if !de.Retry || de.Delay == 0 {
 		return de
 	}
@@ -257,7 +257,7 @@
 		err := st.Recv(&part)
 		if errors.Is(err, io.EOF) {
 			if rn.output.Finish == "" {
-				return result.New(result.BackendAnswerBroken, "the backend server's answer ended without a finish reason").With(result.Ran)
+				return result.New(result.BackendAnswerBroken, "the backend server's answer ended without a finish reason").WithExecution(result.Ran)
 			}
 			for _, v := range rn.mixedVersions {
 				rn.output.Versions = append(rn.output.Versions, rollout.VersionRange{Version: v, From: rn.beforeAttempt.Tokens, To: rn.output.Tokens})
@@ -293,7 +293,7 @@
 		return nil
 	}
 	if err := rn.onPart(rn.id, part); err != nil {
-		return result.New(result.DeadlinePassed, "the caller disconnected: %v", err).With(result.ExecutionUnknown)
+		return result.New(result.DeadlinePassed, "the caller disconnected: %v", err).WithExecution(result.ExecutionUnknown)
 	}
 
 	return nil
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -119,7 +119,7 @@
 	_ = ft.sendOrder(ctx, held, in) // on failure resendUnsettled sends it again
 }
 
-func (ft *fleetTask) resizeClass(ctx context.Context, held leaseCheck, class string, cl declaration.Class, bounds declaration.Fleet, listed []ordering.Server) {
+func (ft *fleetTask) resizeClass(ctx context.Context, held leaseCheck, class string, cl declaration.Class, bounds declaration.FleetBounds, listed []ordering.Server) {
 	infos := map[string]pool.Info{}
 	po := ft.ga.poolOf(cl.Serves())
 	for _, in := range po.Infos() {
@@ -234,9 +234,9 @@
 	ga.fleetReasons[class] = why
 }
 
-// ExplainFleet returns the reason of this gateway's last decision on each class. It
+// FleetReasons returns the reason of this gateway's last decision on each class. It
 // is empty on a gateway that never held the fleet lease.
-func (ga *Gateway) ExplainFleet() map[string]string {
+func (ga *Gateway) FleetReasons() map[string]string {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -20,8 +20,8 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// Forward is a request to a plain service.
-type Forward struct {
+// ForwardRequest is a request to a plain service.
+type ForwardRequest struct {
 	Caller         Caller
 	RouteName      string
 	Route          declaration.Route
@@ -34,8 +34,8 @@
 	Timeout        time.Duration
 }
 
-// Reply holds the callbacks that pass the answer of a plain service to the caller.
-type Reply struct {
+// ReplyWriter holds the callbacks that pass the answer of a plain service to the caller.
+type ReplyWriter struct {
 	Head func(requestID string, status int, h http.Header)
 	Body func(b []byte) error
 }
@@ -50,7 +50,7 @@
 const maxRecordedBody = 256 << 10
 
 // Forward runs a request to a plain service.
-func (ga *Gateway) Forward(ctx context.Context, fo Forward, rep Reply) error {
+func (ga *Gateway) Forward(ctx context.Context, fo ForwardRequest, rep ReplyWriter) error {
 	po := ga.poolOf(fo.Route.Service)
 	leave, err := ga.admit(fo.Caller.Workspace, po.Gateways())
 	if err != nil {
@@ -78,7 +78,7 @@
 // scrub removes hop-by-hop headers, privateHeaders and header values that contain
 // the caller's key. It refuses a request that carries the key in the path, the query
 // or the body, where it cannot be removed.
-func scrub(fo *Forward) error {
+func scrub(fo *ForwardRequest) error {
 	h := http.Header{}
 	for name, values := range fo.Header {
 		if plainservice.IsHopByHop(name) || isPrivate(name) || isListed(fo.Header.Values("Connection"), name) {
@@ -128,8 +128,8 @@
 // forward is the state of one request to a plain service across its attempts.
 type forward struct {
 	placement
-	fo       Forward
-	rep      Reply
+	fo       ForwardRequest
+	rep      ReplyWriter
 	headSent bool
 }
 
@@ -147,7 +147,7 @@
 		}
 		er := result.From(err)
 		if f.headSent {
-			return er.With(result.Ran) // part of the answer was sent: the caller's connection is cut
+			return er.WithExecution(result.Ran) // part of the answer was sent: the caller's connection is cut
 		}
 		de := f.ga.awaitRetry(ctx, retry.Attempt{
 			Key: key, Number: n, MaxRetries: f.fo.Route.Retries, IsRepeatable: f.fo.Route.Repeatable,
@@ -203,7 +203,7 @@
 		err := recv(&part)
 		if errors.Is(err, io.EOF) {
 			if head.GetStatus() == 0 {
-				return result.New(result.BackendAnswerBroken, "the backend server's answer ended without a status").With(result.ExecutionUnknown)
+				return result.New(result.BackendAnswerBroken, "the backend server's answer ended without a status").WithExecution(result.ExecutionUnknown)
 			}
 			f.forwardHead(&head)
 
@@ -219,7 +219,7 @@
 		}
 		f.forwardHead(&head)
 		if err := f.rep.Body(part.GetBody()); err != nil {
-			return result.New(result.DeadlinePassed, "the caller disconnected: %v", err).With(result.ExecutionUnknown)
+			return result.New(result.DeadlinePassed, "the caller disconnected: %v", err).WithExecution(result.ExecutionUnknown)
 		}
 	}
 }
@@ -247,7 +247,7 @@
 		Key: key, Digest: f.fingerprint, Owner: f.id, Gateway: f.ga.cfg.Settings.PeerAddress,
 	}, &re)
 	if err != nil {
-		return result.From(err).With(result.NotRun) // nothing was sent to a backend server
+		return result.From(err).WithExecution(result.NotRun) // nothing was sent to a backend server
 	}
 	if re.Owner != f.id {
 		return f.replay(ctx, &re)
@@ -296,16 +296,16 @@
 	}
 	if f.ga.isCallRunning(ctx, re) {
 		return result.New(result.CallInFlight, "the first request with this idempotency key is still running").
-			With(result.ExecutionUnknown).After(time.Second)
+			WithExecution(result.ExecutionUnknown).WithRetryAfter(time.Second)
 	}
 
-	return result.New(result.CallOutcomeUnknown, "the first request with this idempotency key may have run; its outcome is unknown").With(result.ExecutionUnknown)
+	return result.New(result.CallOutcomeUnknown, "the first request with this idempotency key may have run; its outcome is unknown").WithExecution(result.ExecutionUnknown)
 }
 
 // recorder buffers an answer until it is committed. An answer larger than
 // maxRecordedBody is not recorded and passes through unbuffered.
 type recorder struct {
-	rep      Reply
+	rep      ReplyWriter
 	status   int
 	headers  []idempotency.Header
 	header   http.Header
@@ -315,8 +315,8 @@
 	id       string
 }
 
-func (re *recorder) reply() Reply {
-	return Reply{
+func (re *recorder) reply() ReplyWriter {
+	return ReplyWriter{
 		Head: func(id string, status int, h http.Header) {
 			re.id, re.status, re.header = id, status, h
 			for name, values := range h {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -85,7 +85,7 @@
 		cfg: cfg, instance: rand.Uint64(), startedAt: time.Now(), pools: map[string]*pool.Pool{},
 		limiter: admission.NewLimiter(), activeRequests: map[*activeRequest]struct{}{}, fleetReasons: map[string]string{}, runningCalls: map[string]struct{}{},
 		suspects: map[string]chan struct{}{},
-		budget:   retry.NewBudget(retry.Config{NoBudget: se.Policy.NoBudget}, rand.Float64),
+		budget:   retry.NewBudget(retry.Config{NoBudget: se.Policy.NoRetryBudget}, rand.Float64),
 		stopped:  make(chan struct{}),
 	}
 	ga.reportPeriod.Store(int64(minReportPeriod))
@@ -100,8 +100,8 @@
 	ga.group, err = group.New(group.Config{
 		Name: se.Name, Address: se.PeerAddress, FailureDomain: se.FailureDomain, DataFolder: se.DataFolder,
 		Founders: founders(se.Founders), Upstreams: se.Upstreams, Peer: pc, Files: cfg.Files,
-		Election: settings.Duration(se.Times.ElectionMs), Heartbeat: settings.Duration(se.Times.HeartbeatMs),
-		FreshnessBound: settings.Duration(se.Times.FreshnessMs), ReplaceAfter: settings.Duration(se.Times.ReplaceAfterMs),
+		Election: settings.Milliseconds(se.Times.ElectionMs), Heartbeat: settings.Milliseconds(se.Times.HeartbeatMs),
+		FreshnessBound: settings.Milliseconds(se.Times.FreshnessMs), ReplaceAfter: settings.Milliseconds(se.Times.ReplaceAfterMs),
 		WallMs: cfg.WallMs, Log: cfg.Log, Count: cfg.Meter.Count,
 	})
 	if err != nil {
@@ -233,8 +233,8 @@
 
 func (ga *Gateway) leaseTiming() lease.Timing {
 	te := lease.DefaultTiming()
-	te.Duration = settings.Duration(ga.cfg.Settings.Times.LeaseMs)
-	te.MaxCall = settings.Duration(ga.cfg.Settings.Times.MaxCallMs)
+	te.Duration = settings.Milliseconds(ga.cfg.Settings.Times.LeaseMs)
+	te.MaxCall = settings.Milliseconds(ga.cfg.Settings.Times.MaxCallMs)
 
 	return te
 }
--- a/internal/gateway/servers.go
+++ b/internal/gateway/handlers.go
@@ -178,7 +178,7 @@
 		if err := ga.group.Barrier(ctx); err != nil {
 			unlock()
 
-			return nil, result.From(err).With(result.NotRun)
+			return nil, result.From(err).WithExecution(result.NotRun)
 		}
 	}
 	*suspect = false
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -49,7 +49,7 @@
 
 		return nil, nil, err
 	}
-	pl.ga.cfg.Meter.Time("queue.wait", gr.Waited())
+	pl.ga.cfg.Meter.RecordDuration("queue.wait", gr.Waited())
 
 	return gr, done, nil
 }
@@ -81,10 +81,10 @@
 // end if ctx has ended, otherwise err.
 func receiveError(ctx context.Context, err error) error {
 	if er := cancelCause(ctx); er != nil {
-		return er.With(result.ExecutionUnknown)
+		return er.WithExecution(result.ExecutionUnknown)
 	}
 	if ctx.Err() != nil {
-		return result.New(result.DeadlinePassed, "the deadline passed while the request ran").With(result.ExecutionUnknown)
+		return result.New(result.DeadlinePassed, "the deadline passed while the request ran").WithExecution(result.ExecutionUnknown)
 	}
 
 	return err
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -184,9 +184,9 @@
 	age, ok := gr.Age()
 	switch {
 	case !ok:
-		return result.New(result.StaleProcess, "group: nothing received from the group yet").After(time.Second)
+		return result.New(result.StaleProcess, "group: nothing received from the group yet").WithRetryAfter(time.Second)
 	case age > gr.cfg.FreshnessBound:
-		return result.New(result.StaleProcess, "group: nothing received from the group for %v, the limit is %v", age.Round(time.Millisecond), gr.cfg.FreshnessBound).After(time.Second)
+		return result.New(result.StaleProcess, "group: nothing received from the group for %v, the limit is %v", age.Round(time.Millisecond), gr.cfg.FreshnessBound).WithRetryAfter(time.Second)
 	}
 
 	return nil
--- a/internal/group/node.go
+++ b/internal/group/node.go
@@ -160,7 +160,7 @@
 func (n *node) run(ctx context.Context) error {
 	ticker := time.NewTicker(tickPeriod)
 	defer ticker.Stop()
-	defer n.failPending(result.New(result.ShuttingDown, "group: the replica stops").With(result.ExecutionUnknown))
+	defer n.failPending(result.New(result.ShuttingDown, "group: the replica stops").WithExecution(result.ExecutionUnknown))
 	defer n.store.Close()
 	defer n.background.Wait()
 
@@ -431,7 +431,7 @@
 	}
 
 	if re.Role() != consensus.RoleLeader && len(n.pendingProposals) > 0 {
-		n.failPending(result.New(result.NotLeader, "group: leadership was lost").With(result.ExecutionUnknown))
+		n.failPending(result.New(result.NotLeader, "group: leadership was lost").WithExecution(result.ExecutionUnknown))
 	}
 }
 
@@ -483,7 +483,7 @@
 	case an := <-p.answer:
 		return an.reply, an.err
 	case <-ctx.Done():
-		return nil, result.New(result.GroupTimeout, "group: the command was not committed in time").With(result.ExecutionUnknown)
+		return nil, result.New(result.GroupTimeout, "group: the command was not committed in time").WithExecution(result.ExecutionUnknown)
 	}
 }
 
--- a/internal/group/propose.go
+++ b/internal/group/propose.go
@@ -106,7 +106,7 @@
 		select {
 		case <-time.After(retryMin + rand.N(retryMax-retryMin)):
 		case <-ctx.Done():
-			return result.New(result.GroupTimeout, "group: the command was not confirmed in time: %v", err).With(result.ExecutionUnknown)
+			return result.New(result.GroupTimeout, "group: the command was not confirmed in time: %v", err).WithExecution(result.ExecutionUnknown)
 		}
 	}
 }
--- a/internal/handlers/caller.go
+++ b/internal/handlers/caller.go
@@ -44,7 +44,7 @@
 
 // refuse counts an error and answers with it.
 func (ca *Callers) refuse(w http.ResponseWriter, err error) {
-	ca.gateway.Meter().Refused(err)
+	ca.gateway.Meter().CountRefusal(err)
 	writeError(w, err)
 }
 
@@ -67,14 +67,14 @@
 
 			return
 		}
-		ctx, done := ca.gateway.Watch(r.Context(), cl)
+		ctx, done := ca.gateway.WithKeyCancellation(r.Context(), cl)
 		defer done()
 		next(w, r.WithContext(ctx), cl)
 	}
 }
 
 func (ca *Callers) bodyTimeout() time.Duration {
-	return settings.Duration(ca.gateway.Settings().Times.BodyMs)
+	return settings.Milliseconds(ca.gateway.Settings().Times.BodyMs)
 }
 
 // forward serves plain services under /r/{route}.
@@ -98,7 +98,7 @@
 		cl, err = ca.gateway.Authenticate(bearer(r))
 	}
 	if err == nil {
-		err = gateway.MayUse(ro, name, cl.Workspace)
+		err = gateway.CheckRouteAccess(ro, name, cl.Workspace)
 	}
 	if err == nil && ro.Service == "" {
 		err = result.New(result.UnknownRoute, "route %q serves a model: use /v1/completions", name)
@@ -121,17 +121,17 @@
 		return
 	}
 
-	ctx, done := ca.gateway.Watch(r.Context(), cl)
+	ctx, done := ca.gateway.WithKeyCancellation(r.Context(), cl)
 	defer done()
 	rw := &replyWriter{w: w}
-	err = ca.gateway.Forward(ctx, gateway.Forward{
+	err = ca.gateway.Forward(ctx, gateway.ForwardRequest{
 		Caller: cl, RouteName: name, Route: ro, Method: r.Method, Path: pathAfterRoute(r, name), Query: r.URL.RawQuery,
 		Header: r.Header, Body: body, IdempotencyKey: r.Header.Get("Idempotency-Key"), Timeout: timeout,
-	}, gateway.Reply{Head: rw.head, Body: rw.body})
+	}, gateway.ReplyWriter{Head: rw.head, Body: rw.body})
 	if err == nil {
 		return
 	}
-	ca.gateway.Meter().Refused(err)
+	ca.gateway.Meter().CountRefusal(err)
 	if rw.headSent {
 		// The caller has received a part. Only a broken connection shows that the
 		// answer is incomplete.
--- a/internal/handlers/completion.go
+++ b/internal/handlers/completion.go
@@ -209,7 +209,7 @@
 	case err != nil && !started:
 		ca.refuse(w, err)
 	case err != nil:
-		ca.gateway.Meter().Refused(err)
+		ca.gateway.Meter().CountRefusal(err)
 		_ = send(newErrorBody(result.From(err))) // fails if the connection is the cause
 	default:
 		last := completionReply{
--- a/internal/handlers/operator.go
+++ b/internal/handlers/operator.go
@@ -55,7 +55,7 @@
 }
 
 func (op *Operators) refuse(w http.ResponseWriter, err error) {
-	op.gateway.Meter().Refused(err)
+	op.gateway.Meter().CountRefusal(err)
 	writeError(w, err)
 }
 
@@ -240,7 +240,7 @@
 }
 
 func (op *Operators) explain(w http.ResponseWriter, _ *http.Request, _ string) {
-	writeJSON(w, http.StatusOK, map[string]any{"fleet": op.gateway.ExplainFleet()})
+	writeJSON(w, http.StatusOK, map[string]any{"fleet": op.gateway.FleetReasons()})
 }
 
 type memberReply struct {
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -164,12 +164,12 @@
 	case errors.As(err, &op) && op.Op == "dial":
 		return result.New(result.BackendUnreachable, "%s: %v", what, err)
 	case errors.Is(err, context.DeadlineExceeded):
-		return result.New(result.BackendTimeout, "%s: %v", what, err).With(result.ExecutionUnknown)
+		return result.New(result.BackendTimeout, "%s: %v", what, err).WithExecution(result.ExecutionUnknown)
 	case errors.Is(err, context.Canceled):
-		return result.New(result.DeadlinePassed, "%s: the caller canceled the request", what).With(result.ExecutionUnknown)
+		return result.New(result.DeadlinePassed, "%s: the caller canceled the request", what).WithExecution(result.ExecutionUnknown)
 	}
 
-	return result.New(result.BackendCrashed, "%s: %v", what, err).With(result.ExecutionUnknown)
+	return result.New(result.BackendCrashed, "%s: %v", what, err).WithExecution(result.ExecutionUnknown)
 }
 
 // Refusal returns the numbered error of an answer with an error status. It includes
@@ -213,7 +213,7 @@
 		return rs.StatusCode, nil
 	}
 	if err := json.NewDecoder(io.LimitReader(rs.Body, maxAnswerBytes)).Decode(out); err != nil {
-		return rs.StatusCode, result.New(result.BackendAnswerBroken, "%s: %v", what, err).With(result.ExecutionUnknown)
+		return rs.StatusCode, result.New(result.BackendAnswerBroken, "%s: %v", what, err).WithExecution(result.ExecutionUnknown)
 	}
 
 	return rs.StatusCode, nil
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -37,7 +37,7 @@
 	Balancer *balance.Balancer
 	Client   *backend.Client
 	Random   func() float64                       // in [0, 1)
-	Began    func(workspace string, at time.Time) // called once per request that may have run
+	OnStart  func(workspace string, at time.Time) // called once per request that may have run
 	Meter    *meter.Meter
 	Log      log.Interface
 }
@@ -53,7 +53,7 @@
 func (in *Ingress) Admit(host, path, key string) (*routing.Route, *routing.Workspace, error) {
 	ta := in.cfg.Table()
 	if ta == nil {
-		return nil, nil, result.New(result.StaleProcess, "ingress: no configuration has been received yet").After(configRetryAfter)
+		return nil, nil, result.New(result.StaleProcess, "ingress: no configuration has been received yet").WithRetryAfter(configRetryAfter)
 	}
 	if err := in.cfg.Fresh(); err != nil {
 		return nil, nil, err
@@ -73,7 +73,7 @@
 	ta := in.cfg.Table()
 	switch {
 	case ta == nil:
-		return nil, result.New(result.StaleProcess, "ingress: no configuration has been received yet").After(configRetryAfter)
+		return nil, result.New(result.StaleProcess, "ingress: no configuration has been received yet").WithRetryAfter(configRetryAfter)
 	case isPublic || !ta.NeedsKeys():
 		return nil, nil
 	case key == "":
@@ -124,8 +124,8 @@
 		rs.workspace = ws.Name
 	}
 	wait := ro.Timeout
-	if rq.Patient > 0 {
-		wait = min(wait, rq.Patient)
+	if rq.ClientTimeout > 0 {
+		wait = min(wait, rq.ClientTimeout)
 	}
 	rs.deadline = rq.Arrived.Add(wait)
 	ctx, cancel := context.WithDeadline(ctx, rs.deadline.Add(-answerMargin))
@@ -148,7 +148,7 @@
 // logOutcome logs and measures a finished request.
 func (in *Ingress) logOutcome(rs *requestState, outcome string, err error) {
 	took := time.Since(rs.rq.Arrived)
-	in.cfg.Meter.Time("request", took)
+	in.cfg.Meter.RecordDuration("request", took)
 	in.cfg.Meter.Count("request." + outcome)
 	fl := log.Fields{
 		"request": rs.rq.ID, "outcome": outcome, "ms": took.Milliseconds(), "servers": rs.tried,
@@ -162,7 +162,7 @@
 
 		return
 	}
-	in.cfg.Meter.Refused(err)
+	in.cfg.Meter.CountRefusal(err)
 	fl["error"] = err.Error()
 	in.cfg.Log.WithFields(fl).Warn("request ended")
 }
@@ -200,10 +200,10 @@
 		}
 	}
 	if ready, _ := rs.in.cfg.Balancer.Count(service, rs.rq.Model, 0); ready == 0 {
-		return nil, result.New(result.NoBackendServer, "ingress: no backend server of %s is ready", service).After(defaultRetryAfter)
+		return nil, result.New(result.NoBackendServer, "ingress: no backend server of %s is ready", service).WithRetryAfter(defaultRetryAfter)
 	}
 
-	return nil, result.New(result.QueueFull, "ingress: every backend server of %s is at its limit", service).After(defaultRetryAfter)
+	return nil, result.New(result.QueueFull, "ingress: every backend server of %s is at its limit", service).WithRetryAfter(defaultRetryAfter)
 }
 
 // newCall returns the call for the granted backend server and records the attempt.
@@ -214,7 +214,7 @@
 
 	return &backend.Call{
 		ID: rs.rq.ID, Method: rs.rq.Method, Host: rs.rq.Host, Target: rs.rq.Target, Header: rs.rq.Header, Body: rs.rq.Body,
-		Instance: re.ID, Workspace: rs.workspace, TimeLeft: time.Until(rs.deadline), Priority: -1, ResumeAfter: rs.rq.Resume,
+		Instance: re.ID, Workspace: rs.workspace, Timeout: time.Until(rs.deadline), Priority: -1, ResumeAfter: rs.rq.ResumeAfter,
 	}
 }
 
@@ -230,19 +230,19 @@
 		}
 		an, body, err := rs.sendComplete(ctx, gr)
 		if err == nil && !rs.isServerFailure(an) {
-			sink.Whole(an, body)
+			sink.Complete(an, body)
 
 			return nil
 		}
 		if err == nil {
 			rs.failedAnswer = &completeAnswer{an, body}
-			err = result.New(result.BackendRefused, "ingress: %s answered with status %d", gr.Record().ID, an.Status).With(result.Ran)
+			err = result.New(result.BackendRefused, "ingress: %s answered with status %d", gr.Record().ID, an.Status).WithExecution(result.Ran)
 		}
 		rs.lastErr = err
 		if ctx.Err() != nil || !rs.canRetry() {
 			return rs.replyFailure(sink)
 		}
-		rs.in.cfg.Meter.Retried(result.Lookup(result.From(err).Code).Name, true)
+		rs.in.cfg.Meter.CountRetry(result.Lookup(result.From(err).Code).Name, true)
 	}
 }
 
@@ -274,17 +274,17 @@
 	if an.IsNotRun {
 		outcome = balance.Busy
 
-		return nil, nil, result.New(result.ServerDraining, "ingress: %s refused with status %d", gr.Record().ID, an.Status).After(defaultRetryAfter)
+		return nil, nil, result.New(result.ServerDraining, "ingress: %s refused with status %d", gr.Record().ID, an.Status).WithRetryAfter(defaultRetryAfter)
 	}
 	rs.recordStart(sent)
 	body, err := io.ReadAll(io.LimitReader(an.Body, maxAnswerBytes+1))
 	switch {
 	case err != nil:
-		return nil, nil, result.New(result.BackendAnswerBroken, "ingress: %s: the answer broke off: %v", gr.Record().ID, err).With(result.Ran)
+		return nil, nil, result.New(result.BackendAnswerBroken, "ingress: %s: the answer broke off: %v", gr.Record().ID, err).WithExecution(result.Ran)
 	case len(body) > maxAnswerBytes:
-		return nil, nil, result.New(result.BackendAnswerBroken, "ingress: %s: the answer exceeds the limit of %d bytes", gr.Record().ID, maxAnswerBytes).With(result.Ran)
+		return nil, nil, result.New(result.BackendAnswerBroken, "ingress: %s: the answer exceeds the limit of %d bytes", gr.Record().ID, maxAnswerBytes).WithExecution(result.Ran)
 	case an.Status < 300 && an.Stamp == "":
-		return nil, nil, result.New(result.BackendAnswerBroken, "ingress: %s: the answer carries no signature", gr.Record().ID).With(result.Ran)
+		return nil, nil, result.New(result.BackendAnswerBroken, "ingress: %s: the answer carries no signature", gr.Record().ID).WithExecution(result.Ran)
 	}
 	outcome = balance.Succeeded
 	if an.Status >= 500 {
@@ -303,7 +303,7 @@
 // recordSendError updates the request's state and the outcome for the backend server
 // after a send that failed.
 func (rs *requestState) recordSendError(err error, outcome *balance.Outcome, sent time.Time) {
-	if backend.HasRun(err) {
+	if backend.MayHaveRun(err) {
 		rs.recordStart(sent)
 	} else {
 		rs.sentCount--
@@ -316,7 +316,7 @@
 // recordStart records that the request may have run, and counts it once for usage.
 func (rs *requestState) recordStart(sent time.Time) {
 	if !rs.mayHaveRun && rs.workspace != "" {
-		rs.in.cfg.Began(rs.workspace, sent)
+		rs.in.cfg.OnStart(rs.workspace, sent)
 	}
 	rs.mayHaveRun = true
 }
@@ -325,15 +325,15 @@
 // none, it returns an error that says whether the request may have run.
 func (rs *requestState) replyFailure(sink *Sink) error {
 	if rs.failedAnswer != nil {
-		sink.Whole(rs.failedAnswer.answer, rs.failedAnswer.body)
+		sink.Complete(rs.failedAnswer.answer, rs.failedAnswer.body)
 
 		return nil
 	}
 
 	er := result.From(rs.lastErr)
 	if rs.mayHaveRun {
-		return er.With(result.ExecutionUnknown)
+		return er.WithExecution(result.ExecutionUnknown)
 	}
 
-	return er.With(result.NotRun)
+	return er.WithExecution(result.NotRun)
 }
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -45,13 +45,13 @@
 }
 
 func cutConnection(context.Context, *backend.Call) (*backend.Answer, error) {
-	return nil, result.New(result.BackendCrashed, "cut").With(result.ExecutionUnknown)
+	return nil, result.New(result.BackendCrashed, "cut").WithExecution(result.ExecutionUnknown)
 }
 
 func noAnswer(ctx context.Context, _ *backend.Call) (*backend.Answer, error) {
 	<-ctx.Done()
 
-	return nil, result.New(result.BackendTimeout, "silent").With(result.ExecutionUnknown)
+	return nil, result.New(result.BackendTimeout, "silent").WithExecution(result.ExecutionUnknown)
 }
 
 type brokenBody struct{ io.Reader }
@@ -101,8 +101,8 @@
 	}
 	fi.in = ingress.New(ingress.Config{
 		Table: func() *routing.Table { return ta }, Fresh: func() error { return nil }, Balancer: ba, Random: func() float64 { return 0 },
-		Began: func(string, time.Time) { fi.began++ }, Meter: meter.New(), Log: logging.Discard(),
-		Client: &backend.Client{Events: readEvents, Send: func(ctx context.Context, address string, ca *backend.Call) (*backend.Answer, error) {
+		OnStart: func(string, time.Time) { fi.began++ }, Meter: meter.New(), Log: logging.Discard(),
+		Client: &backend.Client{NewEventReader: readEvents, Send: func(ctx context.Context, address string, ca *backend.Call) (*backend.Answer, error) {
 			fi.mu.Lock()
 			n := len(fi.sent)
 			fi.sent = append(fi.sent, address)
@@ -119,8 +119,8 @@
 
 func (fi *fixture) serve() error {
 	return fi.in.Serve(context.Background(), &ingress.Request{
-		ID: "1", Method: "POST", Host: "h", Path: "/p/x", Target: "/p/x", Key: "k", Arrived: time.Now(), Patient: 400 * time.Millisecond,
-	}, &ingress.Sink{Whole: func(an *backend.Answer, body []byte) { fi.status, fi.body = an.Status, string(body) }})
+		ID: "1", Method: "POST", Host: "h", Path: "/p/x", Target: "/p/x", Key: "k", Arrived: time.Now(), ClientTimeout: 400 * time.Millisecond,
+	}, &ingress.Sink{Complete: func(an *backend.Answer, body []byte) { fi.status, fi.body = an.Status, string(body) }})
 }
 
 var _ = ginkgo.Describe("a request with a complete answer", func() {
--- a/internal/ingress/request.go
+++ b/internal/ingress/request.go
@@ -12,25 +12,25 @@
 
 // Request is one attempt of a client.
 type Request struct {
-	ID      string
-	Method  string
-	Host    string
-	Path    string // without the query
-	Target  string // path and query, as the client sent them
-	Key     string // "" for none; never sent to a backend server
-	Header  http.Header
-	Body    []byte
-	Arrived time.Time
-	Patient time.Duration // how long the client waits, 0 if unknown
-	Resume  uint64        // number of the last event that the client received, 0 for none
-	Model   string        // "" for requests to plain services
+	ID            string
+	Method        string
+	Host          string
+	Path          string // without the query
+	Target        string // path and query, as the client sent them
+	Key           string // "" for none; never sent to a backend server
+	Header        http.Header
+	Body          []byte
+	Arrived       time.Time
+	ClientTimeout time.Duration // how long the client waits, 0 if unknown
+	ResumeAfter   uint64        // number of the last event that the client received, 0 for none
+	Model         string        // "" for requests to plain services
 }
 
-// Sink receives the answer of a request: either one call of Whole, or a Begin followed
+// Sink receives the answer of a request: either one call of Complete, or a Begin followed
 // by any number of Events and an End.
 type Sink struct {
-	// Whole sends a complete answer.
-	Whole func(an *backend.Answer, body []byte)
+	// Complete sends a complete answer.
+	Complete func(an *backend.Answer, body []byte)
 	// Begin sends the head of a stream.
 	Begin func(an *backend.Answer)
 	// Event sends one event of the stream.
--- a/internal/ingress/stream.go
+++ b/internal/ingress/stream.go
@@ -16,7 +16,7 @@
 // another backend server after the last forwarded event.
 func (rs *requestState) serveStream(ctx context.Context, sink *Sink) error {
 	begun := false
-	last := rs.rq.Resume
+	last := rs.rq.ResumeAfter
 	for {
 		gr, err := rs.acquireServer()
 		if err == nil {
@@ -31,10 +31,10 @@
 		if ctx.Err() != nil || !rs.canRetry() || (begun && !rs.ro.IsResumable) {
 			break
 		}
-		rs.in.cfg.Meter.Retried(result.Lookup(result.From(err).Code).Name, true)
+		rs.in.cfg.Meter.CountRetry(result.Lookup(result.From(err).Code).Name, true)
 	}
 	if begun {
-		return result.From(rs.lastErr).With(result.Ran)
+		return result.From(rs.lastErr).WithExecution(result.Ran)
 	}
 
 	return rs.replyFailure(sink)
@@ -61,7 +61,7 @@
 	if an.IsNotRun {
 		outcome = balance.Busy
 
-		return result.New(result.ServerDraining, "ingress: %s refused with status %d", gr.Record().ID, an.Status).After(defaultRetryAfter)
+		return result.New(result.ServerDraining, "ingress: %s refused with status %d", gr.Record().ID, an.Status).WithRetryAfter(defaultRetryAfter)
 	}
 	rs.recordStart(sent)
 	if an.Status >= 300 || an.Stamp == "" {
@@ -70,10 +70,10 @@
 			rs.failedAnswer = &completeAnswer{an, body}
 		}
 
-		return result.New(result.BackendRefused, "ingress: %s answered with status %d", gr.Record().ID, an.Status).With(result.Ran)
+		return result.New(result.BackendRefused, "ingress: %s answered with status %d", gr.Record().ID, an.Status).WithExecution(result.Ran)
 	}
 
-	next := rs.in.cfg.Client.Events(an.Body)
+	next := rs.in.cfg.Client.NewEventReader(an.Body)
 	for {
 		ev, err := next()
 		if errors.Is(err, io.EOF) {
@@ -86,10 +86,10 @@
 			return nil
 		}
 		if err != nil {
-			return result.New(result.StreamCut, "ingress: %s: the stream broke off: %v", gr.Record().ID, err).With(result.Ran)
+			return result.New(result.StreamCut, "ingress: %s: the stream broke off: %v", gr.Record().ID, err).WithExecution(result.Ran)
 		}
 		if *last > 0 && ev.Number != *last+1 {
-			return result.New(result.BackendAnswerBroken, "ingress: %s: event %d does not follow event %d directly", gr.Record().ID, ev.Number, *last).With(result.Ran)
+			return result.New(result.BackendAnswerBroken, "ingress: %s: event %d does not follow event %d directly", gr.Record().ID, ev.Number, *last).WithExecution(result.Ran)
 		}
 		if !*begun {
 			*begun = true
@@ -98,7 +98,7 @@
 		if err := sink.Event(ev); err != nil {
 			outcome = balance.Unused
 
-			return result.New(result.DeadlinePassed, "ingress: the client disconnected: %v", err).With(result.Ran)
+			return result.New(result.DeadlinePassed, "ingress: the client disconnected: %v", err).WithExecution(result.Ran)
 		}
 		*last = ev.Number
 	}
--- a/internal/jobdriver/run.go
+++ b/internal/jobdriver/run.go
@@ -87,7 +87,7 @@
 		fl["error"] = err.Error()
 	}
 	dr.cfg.Meter.Count("item.run." + oc.String())
-	dr.cfg.Meter.Time("item.run", time.Since(began))
+	dr.cfg.Meter.RecordDuration("item.run", time.Since(began))
 	dr.cfg.Log.WithFields(fl).Info("run of item ended")
 
 	return oc
@@ -109,7 +109,7 @@
 	rec := gr.Record()
 	an, err := dr.cfg.Client.Send(ctx, rec.Address, &backend.Call{
 		ID: t.item.ID, Method: http.MethodPost, Host: t.job.host, Target: t.item.Path, Header: headerOf(&t.item), Body: t.item.Body,
-		Instance: rec.ID, Workspace: t.job.workspace, TimeLeft: itemTimeLimit, Priority: -1, ResumeAfter: te.lastEvent,
+		Instance: rec.ID, Workspace: t.job.workspace, Timeout: itemTimeLimit, Priority: -1, ResumeAfter: te.lastEvent,
 	})
 	if err != nil {
 		return brokenOff, err
@@ -133,7 +133,7 @@
 		return brokenOff, result.New(result.NoEligibleVersion, "the text was begun with weight version %d, the backend server has %d", begun, version)
 	}
 
-	next := dr.cfg.Client.Events(an.Body)
+	next := dr.cfg.Client.NewEventReader(an.Body)
 	lastAt, progressAt := time.Time{}, time.Now()
 	for {
 		ev, err := next()
@@ -214,7 +214,7 @@
 	}
 	again := func(pause time.Duration) {
 		t.phase, t.notBefore, t.waitingSince = waiting, time.Now().Add(pause), time.Now()
-		dr.cfg.Meter.Retried(oc.String(), true)
+		dr.cfg.Meter.CountRetry(oc.String(), true)
 	}
 	switch oc {
 	case complete:
@@ -241,7 +241,7 @@
 
 			return
 		}
-		dr.cfg.Meter.Retried(oc.String(), true)
+		dr.cfg.Meter.CountRetry(oc.String(), true)
 		dr.start(t, ro, next)
 		next = nil
 	case refused:
@@ -335,7 +335,7 @@
 	defer cancel()
 	an, err := dr.cfg.Client.Send(ctx, rec.Address, &backend.Call{
 		ID: rw.ID, Method: http.MethodPost, Host: rw.Host, Target: rw.Path, Body: rw.Body, Instance: rec.ID,
-		TimeLeft: rewardTimeout, Priority: -1,
+		Timeout: rewardTimeout, Priority: -1,
 	})
 	oc = brokenOff
 	if err == nil {
--- a/internal/jobproxy/jobproxy.go
+++ b/internal/jobproxy/jobproxy.go
@@ -145,7 +145,7 @@
 
 		return
 	}
-	pr.cfg.Meter.Refused(err)
+	pr.cfg.Meter.CountRefusal(err)
 	fl["error"] = err.Error()
 	pr.cfg.Log.WithFields(fl).Warn(msg)
 }
@@ -162,7 +162,7 @@
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 
-	var last error = result.New(result.NoLeader, "jobgate: the store group has no known leader").After(retryAfter)
+	var last error = result.New(result.NoLeader, "jobgate: the store group has no known leader").WithRetryAfter(retryAfter)
 	mayHaveRun := false
 	for try := 0; ; try++ {
 		changed := pr.cfg.Changed()
@@ -180,10 +180,10 @@
 		case <-ctx.Done():
 			er := result.From(last)
 			if isWrite && mayHaveRun {
-				return er.With(result.ExecutionUnknown)
+				return er.WithExecution(result.ExecutionUnknown)
 			}
 
-			return er.With(result.NotRun).After(retryAfter)
+			return er.WithExecution(result.NotRun).WithRetryAfter(retryAfter)
 		}
 	}
 }
--- a/internal/logging/ring.go
+++ b/internal/logging/async.go
@@ -24,9 +24,9 @@
 	dropReportPeriod = time.Second
 )
 
-// Ring is a log handler that buffers lines and writes them in the background. It
+// AsyncHandler is a log handler that buffers lines and writes them in the background. It
 // never blocks its callers; lines that don't fit into the buffer are dropped.
-type Ring struct {
+type AsyncHandler struct {
 	w       io.Writer
 	entries chan *log.Entry
 	dropped atomic.Int64
@@ -35,9 +35,9 @@
 	loop    sync.WaitGroup
 }
 
-// NewRing returns a Ring that writes JSON lines to w until Close is called.
-func NewRing(w io.Writer) *Ring {
-	ri := &Ring{w: w, entries: make(chan *log.Entry, maxBufferedLines), done: make(chan struct{})}
+// NewAsyncHandler returns an AsyncHandler that writes JSON lines to w until Close is called.
+func NewAsyncHandler(w io.Writer) *AsyncHandler {
+	ri := &AsyncHandler{w: w, entries: make(chan *log.Entry, maxBufferedLines), done: make(chan struct{})}
 	ri.loop.Add(1)
 	go ri.writeLoop()
 
@@ -45,34 +45,34 @@
 }
 
 // HandleLog buffers a line or drops it.
-func (ri *Ring) HandleLog(en *log.Entry) error {
-	if en.Level <= log.InfoLevel && len(ri.entries) > maxInfoLines {
-		ri.dropped.Add(1)
+func (ah *AsyncHandler) HandleLog(en *log.Entry) error {
+	if en.Level <= log.InfoLevel && len(ah.entries) > maxInfoLines {
+		ah.dropped.Add(1)
 
 		return nil
 	}
 	select {
-	case ri.entries <- en:
+	case ah.entries <- en:
 	default:
-		ri.dropped.Add(1)
+		ah.dropped.Add(1)
 	}
 
 	return nil
 }
 
 // Dropped returns the number of lines dropped so far.
-func (ri *Ring) Dropped() int64 { return ri.dropped.Load() }
+func (ah *AsyncHandler) Dropped() int64 { return ah.dropped.Load() }
 
 // Close writes the buffered lines and stops the background writer.
-func (ri *Ring) Close() {
-	ri.stop.Do(func() { close(ri.done) })
-	ri.loop.Wait()
+func (ah *AsyncHandler) Close() {
+	ah.stop.Do(func() { close(ah.done) })
+	ah.loop.Wait()
 }
 
 // writeLoop writes the buffered lines in batches, and the number of dropped lines,
 // until the ring is closed.
-func (ri *Ring) writeLoop() {
-	defer ri.loop.Done()
+func (ah *AsyncHandler) writeLoop() {
+	defer ah.loop.Done()
 
 	var buf bytes.Buffer
 	enc := json.New(&buf)
@@ -80,25 +80,25 @@
 	for {
 		closing := false
 		select {
-		case en := <-ri.entries:
+		case en := <-ah.entries:
 			_ = enc.HandleLog(en) // an encoding error can't be logged anywhere
 			if en.Level <= log.InfoLevel {
 				select {
 				case <-time.After(batchPeriod):
-				case <-ri.done:
+				case <-ah.done:
 				}
 			}
-		case <-ri.done:
+		case <-ah.done:
 			closing = true
 		}
-		ri.encodeBuffered(enc)
-		if n := ri.dropped.Load(); n > reported && time.Since(reportedAt) > dropReportPeriod {
+		ah.encodeBuffered(enc)
+		if n := ah.dropped.Load(); n > reported && time.Since(reportedAt) > dropReportPeriod {
 			_ = enc.HandleLog(&log.Entry{
 				Level: log.WarnLevel, Message: "log lines dropped", Timestamp: time.Now(), Fields: log.Fields{"lines": n - reported},
 			})
 			reported, reportedAt = n, time.Now()
 		}
-		_, _ = ri.w.Write(buf.Bytes()) // a failed write can't be logged anywhere
+		_, _ = ah.w.Write(buf.Bytes()) // a failed write can't be logged anywhere
 		buf.Reset()
 		if closing {
 			return
@@ -107,10 +107,10 @@
 }
 
 // encodeBuffered encodes all lines that are buffered.
-func (ri *Ring) encodeBuffered(enc *json.Handler) {
+func (ah *AsyncHandler) encodeBuffered(enc *json.Handler) {
 	for {
 		select {
-		case en := <-ri.entries:
+		case en := <-ah.entries:
 			_ = enc.HandleLog(en)
 		default:
 			return
@@ -118,9 +118,9 @@
 	}
 }
 
-// NewWith returns a logger that passes lines of level and above to handler. An
+// NewWithHandler returns a logger that passes lines of level and above to handler. An
 // unknown level means info.
-func NewWith(handler log.Handler, level, program, name string) log.Interface {
+func NewWithHandler(handler log.Handler, level, program, name string) log.Interface {
 	lo := &log.Logger{Handler: handler, Level: log.InfoLevel}
 	if l, err := log.ParseLevel(level); err == nil {
 		lo.Level = l
--- a/internal/logging/ring_test.go
+++ b/internal/logging/ring_test.go
@@ -33,8 +33,8 @@
 var _ = ginkgo.Describe("a ring whose writer is blocked while many lines are logged", func() {
 	ginkgo.It("doesn't block its callers, drops info lines before errors and counts dropped lines", func() {
 		sw := &slowWriter{open: make(chan struct{})}
-		ring := logging.NewRing(sw)
-		lo := logging.NewWith(ring, "info", "p", "n")
+		ring := logging.NewAsyncHandler(sw)
+		lo := logging.NewWithHandler(ring, "info", "p", "n")
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
@@ -54,8 +54,8 @@
 
 	ginkgo.It("logs that lines were dropped once the writer is unblocked", func() {
 		sw := &slowWriter{open: make(chan struct{})}
-		ring := logging.NewRing(sw)
-		lo := logging.NewWith(ring, "info", "p", "n")
+		ring := logging.NewAsyncHandler(sw)
+		lo := logging.NewWithHandler(ring, "info", "p", "n")
 		for range 20_000 {
 			lo.Info("routine")
 		}
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -42,12 +42,14 @@
 // Value returns a counter's value.
 func (me *Meter) Value(name string) int64 { return me.counter(name).Count() }
 
-// Refused counts a refusal under the name of its result code.
-func (me *Meter) Refused(err error) { me.Count("refused." + result.Lookup(result.From(err).Code).Name) }
+// CountRefusal counts a refusal under the name of its result code.
+func (me *Meter) CountRefusal(err error) {
+	me.Count("refused." + result.Lookup(result.From(err).Code).Name)
+}
 
-// Retried counts a retry by its reason or, if isRetry is false, a failure that was
+// CountRetry counts a retry by its reason or, if isRetry is false, a failure that was
 // not retried by the reason for that.
-func (me *Meter) Retried(reason string, isRetry bool) {
+func (me *Meter) CountRetry(reason string, isRetry bool) {
 	if isRetry {
 		me.Count("retry." + reason)
 	} else {
@@ -58,8 +60,8 @@
 // Gauge sets the value of a gauge.
 func (me *Meter) Gauge(name string, v int64) { metrics.GetOrRegisterGauge(name, me.reg).Update(v) }
 
-// Time records a duration in a histogram.
-func (me *Meter) Time(name string, d time.Duration) {
+// RecordDuration records a duration in a histogram.
+func (me *Meter) RecordDuration(name string, d time.Duration) {
 	me.reg.GetOrRegister(name, newTimer).(metrics.Histogram).Update(d.Microseconds())
 }
 
--- a/internal/meter/meter_test.go
+++ b/internal/meter/meter_test.go
@@ -22,11 +22,11 @@
 	ginkgo.It("matches the table in docs/operators/counters.md", func() {
 		b, err := os.ReadFile("../../docs/operators/counters.md")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(string(b)).To(ContainSubstring(meter.Document()), "replace the table in docs/operators/counters.md with the output of meter.Document")
+		Expect(string(b)).To(ContainSubstring(meter.MarkdownTable()), "replace the table in docs/operators/counters.md with the output of meter.Document")
 	})
 
 	ginkgo.It("contains every metric that the source uses", func() {
-		used := regexp.MustCompile(`\.(?:Count|Add|Time|Gauge)\("([a-zA-Z.]+)"`)
+		used := regexp.MustCompile(`\.(?:Count|Add|RecordDuration|Gauge)\("([a-zA-Z.]+)"`)
 		known := func(name string) bool {
 			for _, na := range meter.Names() {
 				prefix, isFamily := strings.CutSuffix(na.Name, "*")
@@ -58,7 +58,7 @@
 	ginkgo.It("are written as counters, gauges and histograms with cumulative buckets", func() {
 		me := meter.New()
 		for _, d := range []time.Duration{500 * time.Microsecond, 20 * time.Millisecond, 20 * time.Millisecond, 3 * time.Second, time.Hour} {
-			me.Time("request", d)
+			me.RecordDuration("request", d)
 		}
 		me.Count("request.served")
 		me.Gauge("jobs.open", 3)
--- a/internal/meter/names.go
+++ b/internal/meter/names.go
@@ -8,30 +8,30 @@
 
 // Kinds of metrics.
 const (
-	KindCounter = "counter"
-	KindGauge   = "gauge"
-	KindTimer   = "histogram"
+	KindCounter   = "counter"
+	KindGauge     = "gauge"
+	KindHistogram = "histogram"
 )
 
-// Name describes a metric, or a family of them whose last part varies.
-type Name struct {
+// Description describes a metric, or a family of them whose last part varies.
+type Description struct {
 	Name string // ends in "*" if it names a family
 	Kind string
 	Help string
 }
 
 // Names returns the descriptions of all metrics, in the order of the documentation.
-func Names() []Name { return slices.Clone(names) }
+func Names() []Description { return slices.Clone(names) }
 
-var names = []Name{
+var names = []Description{
 	{"refused.*", KindCounter, "refusals by result code; every code of docs/codes.md has a counter, which starts at 0"},
 	{"request.*", KindCounter, "requests of clients by outcome: served, refused, failed, cut and the like"},
-	{"request", KindTimer, "time from the receipt of the complete request to the end of its answer"},
+	{"request", KindHistogram, "time from the receipt of the complete request to the end of its answer"},
 	{"retry.*", KindCounter, "retried attempts, by the reason of the failure"},
 	{"noRetry.*", KindCounter, "failures that were not retried, by the reason for that: final, notRepeatable, attemptsSpent, deadline, budgetSpent"},
-	{"queue.wait", KindTimer, "time that a request waited in the queue of a gateway"},
+	{"queue.wait", KindHistogram, "time that a request waited in the queue of a gateway"},
 	{"item.run.*", KindCounter, "runs of items of batch jobs, by outcome"},
-	{"item.run", KindTimer, "duration of one run of an item at a backend server"},
+	{"item.run", KindHistogram, "duration of one run of an item at a backend server"},
 	{"item.listed", KindCounter, "results of items that were committed"},
 	{"items.waiting", KindGauge, "items that wait for a backend server; only on the store that leads"},
 	{"items.running", KindGauge, "items that run at backend servers; only on the store that leads"},
@@ -77,7 +77,7 @@
 }
 
 // descriptionOf returns the description of a metric.
-func descriptionOf(name string) (Name, bool) {
+func descriptionOf(name string) (Description, bool) {
 	for _, na := range names {
 		prefix, isFamily := strings.CutSuffix(na.Name, "*")
 		if na.Name == name || (isFamily && strings.HasPrefix(name, prefix)) {
@@ -85,11 +85,11 @@
 		}
 	}
 
-	return Name{}, false
+	return Description{}, false
 }
 
-// Document returns the table of all metrics, in Markdown.
-func Document() string {
+// MarkdownTable returns the table of all metrics, in Markdown.
+func MarkdownTable() string {
 	var sb strings.Builder
 	sb.WriteString("| name | kind | meaning |\n|---|---|---|\n")
 	for _, na := range names {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -47,7 +47,7 @@
 				return st.Reply(&m)
 			},
 			"refuse": func(context.Context, *peer.Stream) error {
-				return result.New(result.ServerDraining, "no").With(result.Ran).After(time.Second)
+				return result.New(result.ServerDraining, "no").WithExecution(result.Ran).WithRetryAfter(time.Second)
 			},
 			"three": func(_ context.Context, st *peer.Stream) error {
 				for range 3 {
--- a/internal/peer/session.go
+++ b/internal/peer/session.go
@@ -310,7 +310,7 @@
 			return er
 		}
 
-		return result.New(result.StreamCut, "%v: %v", errStreamCut, err).With(result.ExecutionUnknown)
+		return result.New(result.StreamCut, "%v: %v", errStreamCut, err).WithExecution(result.ExecutionUnknown)
 	}
 	if !fr.GetEnd() {
 		return proto.Unmarshal(fr.GetPayload(), m)
@@ -412,7 +412,7 @@
 	if err := st.write(&wire.Call{Method: method, TimeoutMs: uint32(left.Milliseconds()) + 1, Payload: payload}); err != nil {
 		st.Close()
 
-		return nil, result.New(result.BackendUnreachable, "peer: %s: %v", method, err).With(result.ExecutionUnknown)
+		return nil, result.New(result.BackendUnreachable, "peer: %s: %v", method, err).WithExecution(result.ExecutionUnknown)
 	}
 
 	return st, nil
--- a/internal/plainservice/plainservice.go
+++ b/internal/plainservice/plainservice.go
@@ -91,7 +91,7 @@
 	}
 	defer rs.Body.Close()
 	if echo := rs.Header.Get(RequestIDHeader); echo != "" && echo != rq.ID {
-		return result.New(result.BackendAnswerBroken, "plain service: the answer belongs to request %q, not %q", echo, rq.ID).With(result.ExecutionUnknown)
+		return result.New(result.BackendAnswerBroken, "plain service: the answer belongs to request %q, not %q", echo, rq.ID).WithExecution(result.ExecutionUnknown)
 	}
 	if err := onHead(rs.StatusCode, rs.Header); err != nil {
 		return err
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -168,9 +168,9 @@
 	case ready == 0:
 		po.refused++
 
-		return result.New(result.NoBackendServer, "pool %s: none of %d backend servers is ready", po.cfg.Name, len(po.cands)).After(time.Second)
+		return result.New(result.NoBackendServer, "pool %s: none of %d backend servers is ready", po.cfg.Name, len(po.cands)).WithRetryAfter(time.Second)
 	case eligible == 0:
-		return result.New(result.NoEligibleVersion, "pool %s: no ready backend server runs the weight version with sequence %d or a later one", po.cfg.Name, rq.MinSequence).After(time.Second)
+		return result.New(result.NoEligibleVersion, "pool %s: no ready backend server runs the weight version with sequence %d or a later one", po.cfg.Name, rq.MinSequence).WithRetryAfter(time.Second)
 	}
 
 	return nil
--- a/internal/program/node.go
+++ b/internal/program/node.go
@@ -163,8 +163,8 @@
 	nd.run("reload", func() error { return nd.reloadPeriodically(ctx) })
 	nd.closeWhenDone()
 	nd.log.WithFields(log.Fields{
-		"failureDomain": no.FailureDomain, "peers": no.PeerAddress, "controllers": no.Controllers, "mayForm": no.MayForm,
-		"dataFolder": no.DataFolder, "losses": no.Losses,
+		"failureDomain": no.FailureDomain, "peers": no.PeerAddress, "controllers": no.Controllers, "mayForm": no.MayBootstrap,
+		"dataFolder": no.DataFolder, "losses": no.ToleratedFailures,
 	}).Info("started")
 
 	return nd, nil
@@ -242,11 +242,11 @@
 	})
 	nd.edge = ed
 	nd.updateGauges = func() { ed.Measure(nd.meter) }
-	front := &platform.Front{
-		Serve: ed.Ingress().Serve, IsBatch: ed.JobProxy().IsBatch, Submit: ed.JobProxy().Submit, Read: ed.JobProxy().Read, Body: ed.JobProxy().Body,
-		End: ed.JobProxy().End, MaxBodyBytes: ed.MaxBodyBytes, IsReady: ed.IsReady, IsClosing: ed.IsClosing,
+	front := &platform.ClientHandler{
+		Serve: ed.Ingress().Serve, IsBatch: ed.JobProxy().IsBatch, SubmitJob: ed.JobProxy().Submit, ReadResults: ed.JobProxy().Read, ItemBody: ed.JobProxy().Body,
+		EndJob: ed.JobProxy().End, MaxBodyBytes: ed.MaxBodyBytes, IsReady: ed.IsReady, ShouldCloseConnections: ed.IsClosing,
 	}
-	if err := nd.serve("readiness", nd.settings.ReadinessAddress, http.HandlerFunc(front.Ready)); err != nil {
+	if err := nd.serve("readiness", nd.settings.ReadinessAddress, http.HandlerFunc(front.ServeReadiness)); err != nil {
 		return err
 	}
 	if err := nd.serve("clients", nd.settings.ClientAddress, front); err != nil {
@@ -280,8 +280,8 @@
 	if err := nd.servePeers(nd.replicaPeerConfig(string(co.Group().Replica())), co.Handlers()); err != nil {
 		return err
 	}
-	ctl := &platform.Control{
-		Beat: co.Beat, Leave: co.Leave, PutRouting: co.PutRouting, Routing: co.Routing, NameVersion: co.NameVersion,
+	ctl := &platform.ControlPlane{
+		RecordHeartbeat: co.Beat, RecordLeave: co.Leave, PutRouting: co.PutRouting, RoutingDocument: co.Routing, NameVersion: co.NameVersion,
 		Retire: co.Retire, Retirement: co.Retirement,
 	}
 	if err := nd.serve("control", nd.settings.ControlAddress, withControlTimeout(ctl.Handler())); err != nil {
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -142,13 +142,13 @@
 func (pg *Gateway) Shutdown() {
 	pg.log.Info("shutdown begins")
 	pg.gateway.BeginShutdown()
-	time.Sleep(settings.Duration(pg.settings.Times.BalancerLagMs))
+	time.Sleep(settings.Milliseconds(pg.settings.Times.BalancerLagMs))
 
 	hctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 	pg.gateway.HandOver(hctx)
 	cancel()
 
-	dctx, cancel := context.WithTimeout(context.Background(), settings.Duration(pg.settings.Times.DrainMs))
+	dctx, cancel := context.WithTimeout(context.Background(), settings.Milliseconds(pg.settings.Times.DrainMs))
 	defer cancel()
 	if err := pg.callerServer.Shutdown(dctx); err != nil {
 		pg.log.WithError(err).Warn("drain time expired while requests were still running")
@@ -202,7 +202,7 @@
 // Shutdown drains the backend server, then terminates the agent.
 func (pa *Agent) Shutdown() {
 	pa.log.Info("draining the backend server")
-	ctx, cancel := context.WithTimeout(context.Background(), settings.Duration(pa.settings.DrainMs))
+	ctx, cancel := context.WithTimeout(context.Background(), settings.Milliseconds(pa.settings.DrainMs))
 	defer cancel()
 	pa.agent.Drain(ctx)
 	pa.Kill()
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -216,16 +216,16 @@
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
-// With returns a copy with the execution ex.
-func (er *Error) With(ex Execution) *Error {
+// WithExecution returns a copy with the execution ex.
+func (er *Error) WithExecution(ex Execution) *Error {
 	c := *er
 	c.Execution = ex
 
 	return &c
 }
 
-// After returns a copy that tells the client to retry after d.
-func (er *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns a copy that tells the client to retry after d.
+func (er *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *er
 	c.RetryAfter = d
 
@@ -245,7 +245,7 @@
 		return er
 	}
 
-	return New(Internal, "%v", err).With(ExecutionUnknown)
+	return New(Internal, "%v", err).WithExecution(ExecutionUnknown)
 }
 
 // Is reports whether err carries code.
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -111,7 +111,7 @@
 	if bu.retriesLeft[at.Key] < 1 {
 		er := result.New(result.RetryBudgetSpent, "retry: the retry budget of %s is spent; last error: %s", at.Key, at.Err.Message)
 
-		return Decision{Reason: "budgetSpent", Err: er.With(at.Err.Execution).After(time.Second)}
+		return Decision{Reason: "budgetSpent", Err: er.WithExecution(at.Err.Execution).WithRetryAfter(time.Second)}
 	}
 	bu.retriesLeft[at.Key]--
 
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -13,7 +13,7 @@
 func half() float64 { return 0.5 }
 
 var _ = Describe("a budget", func() {
-	crashed := result.New(result.BackendCrashed, "x").With(result.ExecutionUnknown)
+	crashed := result.New(result.BackendCrashed, "x").WithExecution(result.ExecutionUnknown)
 	cases := []struct {
 		name   string
 		at     retry.Attempt
--- a/internal/rollout/page.go
+++ b/internal/rollout/page.go
@@ -51,7 +51,7 @@
 		case <-ctx.Done():
 			return nil, result.New(result.DeadlinePassed, "step %s: the request ended while waiting for a page", id)
 		case <-timer.C:
-			return nil, result.New(result.PageNotReady, "step %s: page %d is not ready", id, number).After(pagePollPeriod)
+			return nil, result.New(result.PageNotReady, "step %s: page %d is not ready", id, number).WithRetryAfter(pagePollPeriod)
 		}
 	}
 }
@@ -225,7 +225,7 @@
 		}
 	}
 
-	return result.New(result.PayloadLost, "step %s: the payloads of %d samples of the page are unavailable; lost samples are generated again", lost.Key, len(lost.Samples)).After(time.Second)
+	return result.New(result.PayloadLost, "step %s: the payloads of %d samples of the page are unavailable; lost samples are generated again", lost.Key, len(lost.Samples)).WithRetryAfter(time.Second)
 }
 
 // isPayloadLost reports whether no other holder returns the payload: each has none
--- a/internal/rollout/spread.go
+++ b/internal/rollout/spread.go
@@ -47,7 +47,7 @@
 		var rep wire.SampleReply
 		err := st.Recv(&rep)
 		if errors.Is(err, io.EOF) {
-			return nil, result.New(result.StreamCut, "gateway %s: stream closed without a result", address).With(result.ExecutionUnknown)
+			return nil, result.New(result.StreamCut, "gateway %s: stream closed without a result", address).WithExecution(result.ExecutionUnknown)
 		}
 		if err != nil {
 			return nil, err
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -23,31 +23,31 @@
 // process's own name, location and addresses and the addresses of some controllers,
 // from which it receives everything else.
 type Node struct {
-	Name             string
-	FailureDomain    string
-	BindIP           string   // IP number to listen on and to dial from
-	ClientAddress    string   // listens for clients; "" if the process serves none
-	ReadinessAddress string   // listens for the balancer's readiness checks
-	ControlAddress   string   // listens for operators and backend servers
-	PeerAddress      string   // announced to the other processes of the deployment
-	PeerListen       string   // listens for the other processes; "" for PeerAddress
-	Controllers      []string // peer addresses of some controllers; for a controller, including its own
-	MayForm          bool     // set if the deployment starts for the first time, with empty disks
-	DataFolder       string   // "" if the node has no disk
-	Losses           int      // number of VMs that may be lost at the same time, with their disks
-	MemoryBytes      int64    // the process is terminated above this limit
-	UsageAddress     string   // of the platform's interface for usage reports; "" for none
+	Name              string
+	FailureDomain     string
+	BindIP            string   // IP number to listen on and to dial from
+	ClientAddress     string   // listens for clients; "" if the process serves none
+	ReadinessAddress  string   // listens for the balancer's readiness checks
+	ControlAddress    string   // listens for operators and backend servers
+	PeerAddress       string   // announced to the other processes of the deployment
+	PeerListen        string   // listens for the other processes; "" for PeerAddress
+	Controllers       []string // peer addresses of some controllers; for a controller, including its own
+	MayBootstrap      bool     // set if the deployment starts for the first time, with empty disks
+	DataFolder        string   // "" if the node has no disk
+	ToleratedFailures int      // number of VMs that may be lost at the same time, with their disks
+	MemoryBytes       int64    // the process is terminated above this limit
+	UsageAddress      string   // of the platform's interface for usage reports; "" for none
 
-	BeatPeriod     time.Duration // period of the heartbeats of backend servers
-	FreshnessBound time.Duration // maximum age of the replicated state at which requests are accepted; 0 for no limit
-	StopGrace      time.Duration // from the stop signal until the process is killed
-	UsageWindow    time.Duration // length of a usage window
-	ReacquireDelay time.Duration // how long a former lease holder must wait before it takes the lease over from its successor
+	HeartbeatPeriod time.Duration // period of the heartbeats of backend servers
+	FreshnessBound  time.Duration // maximum age of the replicated state at which requests are accepted; 0 for no limit
+	StopGrace       time.Duration // from the stop signal until the process is killed
+	UsageWindow     time.Duration // length of a usage window
+	ReacquireDelay  time.Duration // how long a former lease holder must wait before it takes the lease over from its successor
 }
 
 // Voters returns the number of voters that a replica group needs to survive the loss
-// of Losses VMs.
-func (no *Node) Voters() int { return 2*no.Losses + 1 }
+// of ToleratedFailures VMs.
+func (no *Node) Voters() int { return 2*no.ToleratedFailures + 1 }
 
 // Validate checks the settings of a node.
 func (no *Node) Validate() error {
@@ -58,8 +58,8 @@
 		return result.New(result.InvalidSettings, "settings: node %s: the IP number to bind to is not set", no.Name)
 	case len(no.Controllers) == 0:
 		return result.New(result.InvalidSettings, "settings: node %s: at least one controller address must be set", no.Name)
-	case no.Losses < 0:
-		return result.New(result.InvalidSettings, "settings: node %s: the number of losses is %d, must not be negative", no.Name, no.Losses)
+	case no.ToleratedFailures < 0:
+		return result.New(result.InvalidSettings, "settings: node %s: the number of losses is %d, must not be negative", no.Name, no.ToleratedFailures)
 	}
 
 	return nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -53,11 +53,11 @@
 
 // Policy replaces the default policies by simple baselines, for comparison.
 type Policy struct {
-	Scheduler  string `json:"scheduler" help:"score, roundRobin or leastInFlight"`
-	NoFairness bool   `json:"noFairness" help:"first come, first served, whatever the workspace"`
-	NoSpread   bool   `json:"noSpread" help:"the gateway of a step places all its samples"`
-	NoHedging  bool   `json:"noHedging" help:"stragglers are never raced"`
-	NoBudget   bool   `json:"noRetryBudget" help:"every failed attempt is tried again"`
+	Scheduler     string `json:"scheduler" help:"score, roundRobin or leastInFlight"`
+	NoFairness    bool   `json:"noFairness" help:"first come, first served, whatever the workspace"`
+	NoSpread      bool   `json:"noSpread" help:"the gateway of a step places all its samples"`
+	NoHedging     bool   `json:"noHedging" help:"stragglers are never raced"`
+	NoRetryBudget bool   `json:"noRetryBudget" help:"every failed attempt is tried again"`
 }
 
 // Times holds the periods and limits of a gateway, in milliseconds.
@@ -110,8 +110,8 @@
 	LogLevel      string   `json:"logLevel" default:"info" help:"debug, info, warn or error"`
 }
 
-// Duration converts milliseconds to a duration.
-func Duration(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
+// Milliseconds converts milliseconds to a duration.
+func Milliseconds(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
 
 // Load reads the file at path into v, a pointer to Gateway or Agent, and validates it.
 func Load(path string, v interface{ Validate() error }) error {
@@ -229,8 +229,8 @@
 	}
 }
 
-// Explain writes every key of a settings struct with its type, meaning and default.
-func Explain(w io.Writer, v any) {
+// WriteReference writes every key of a settings struct with its type, meaning and default.
+func WriteReference(w io.Writer, v any) {
 	walkFields(reflect.ValueOf(v).Elem(), "", func(path string, _ reflect.Value, sf reflect.StructField) {
 		d := sf.Tag.Get("default")
 		if d != "" {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -55,7 +55,7 @@
 
 	It("can be listed with every key and default", func() {
 		var b bytes.Buffer
-		settings.Explain(&b, &settings.Gateway{})
+		settings.WriteReference(&b, &settings.Gateway{})
 		Expect(b.String()).To(ContainSubstring("times.freshnessMs"))
 		Expect(b.String()).To(ContainSubstring("(default 5000)"))
 	})
--- a/internal/usagesink/usagesink.go
+++ b/internal/usagesink/usagesink.go
@@ -47,7 +47,7 @@
 	}
 	defer rs.Body.Close()
 	if rs.StatusCode >= http.StatusMultipleChoices {
-		return result.From(httpcall.Refusal("usage interface", rs)).With(result.Ran)
+		return result.From(httpcall.Refusal("usage interface", rs)).WithExecution(result.Ran)
 	}
 
 	return nil
--- a/soak/deployment_test.go
+++ b/soak/deployment_test.go
@@ -83,7 +83,7 @@
 			ip := host(cfg.Subnet, kind, i)
 			pr := &process{
 				role: role, ip: ip, binary: cfg.Binary, folder: cfg.Folder, peerListen: fmt.Sprintf("%s:%d", ip, hidden.Peers),
-				boot: standin.Boot{
+				boot: standin.NodeSettings{
 					Name: fmt.Sprintf("%s-%d", role, i+1), IP: ip, Ports: ports, Controllers: de.caller.Control, Cloud: de.cloud.Address(),
 					Grace: gracePeriod, Window: 5 * time.Second, Lease: 3 * time.Second,
 				},
@@ -136,7 +136,7 @@
 		go func() {
 			for ctx.Err() == nil {
 				ip := de.caller.Control[rand.IntN(len(de.caller.Control))]
-				_ = bs.Beat(fmt.Sprintf("%s:%d", ip, de.caller.Ports.Control)) // the next one goes to any controller again
+				_ = bs.SendHeartbeat(fmt.Sprintf("%s:%d", ip, de.caller.Ports.Control)) // the next one goes to any controller again
 				time.Sleep(beatPeriod)
 			}
 		}()
--- a/soak/process_test.go
+++ b/soak/process_test.go
@@ -20,7 +20,7 @@
 	binary     string
 	folder     string // of settings and logs
 	peerListen string // where it listens for own processes, behind the network
-	boot       standin.Boot
+	boot       standin.NodeSettings
 
 	mu      sync.Mutex
 	starts  int
@@ -57,7 +57,7 @@
 	}
 	pr.logSize = st.Size()
 	cmd := exec.Command(pr.binary, "node", pr.role, "--peer-listen", pr.peerListen)
-	cmd.Env = append(os.Environ(), platform.BootVariable+"="+file)
+	cmd.Env = append(os.Environ(), platform.SettingsVariable+"="+file)
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
 		return err
--- a/soak/promises_test.go
+++ b/soak/promises_test.go
@@ -163,7 +163,7 @@
 				pr.fail("request %s ran for the workspace %q", id, te)
 			}
 		}
-		if n := bs.Keys(); n > 0 {
+		if n := bs.RequestsWithKey(); n > 0 {
 			pr.fail("%s was passed the keys of %d requests", bs.ID, n)
 		}
 		for _, or := range bs.AllOrders() {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -140,7 +140,7 @@
 	ginkgo.It("lives on when it is told to reload while it starts (seed 104)", func() {
 		ports, err := standin.FreePorts()
 		Expect(err).NotTo(HaveOccurred())
-		pr := &process{role: program.RoleStore, ip: "127.61.2.1", binary: binary, folder: folder, peerListen: "127.61.2.1:0", boot: standin.Boot{
+		pr := &process{role: program.RoleStore, ip: "127.61.2.1", binary: binary, folder: folder, peerListen: "127.61.2.1:0", boot: standin.NodeSettings{
 			Name: "reloaded", IP: "127.61.2.1", Ports: ports, Controllers: []string{"127.61.1.1"}, DataFolder: filepath.Join(folder, "reloaded"),
 			Grace: gracePeriod,
 		}}
