--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -365,7 +365,7 @@
 	co.cfg.Log.WithFields(log.Fields{
 		"server": re.ID, "service": re.Service, "address": re.Address, "state": re.State.String(), "leaves": no.Leaves,
 		"born": re.BornMs, "sequence": re.Sequence, "models": re.Models,
-	}).Info("backend server told")
+	}).Info("backend server state changed")
 }
 
 // PutRouting commits a validated configuration.
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -66,8 +66,8 @@
 // its last known state of others. They match the log messages of other packages
 // literally.
 var stateMessages = []string{
-	"configuration in force", "weight version named", "store leader known", "leadership changed", "items are driven here",
-	"items are not driven here any more", "controller lost", "slow backend servers", "started", "shutdown begins", "weights loaded",
+	"configuration applied", "weight version changed", "store leader changed", "leadership changed", "items are executed by this store",
+	"items are no longer executed by this store", "controller unreachable", "slow backend servers changed", "started", "shutdown begins", "weights loaded",
 }
 
 // idFields are the fields whose values are IDs.
@@ -147,7 +147,7 @@
 // logged by any controller or by a node involved.
 func (li *Line) isAboutServer(nodes map[string]bool) bool {
 	switch {
-	case li.Message == "backend server told", li.Message == "backend server silent", strings.HasPrefix(li.Message, "weights "):
+	case li.Message == "backend server state changed", li.Message == "backend server silent", strings.HasPrefix(li.Message, "weights "):
 		return true
 	}
 
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -13,7 +13,7 @@
 
 func TestSuite(t *testing.T) { suite.Run(t, "explain") }
 
-const gatewayLog = `  4.1 edge-1 {"fields":{"node":"edge-1","version":7},"level":"info","timestamp":"2026-01-01T00:00:01Z","message":"configuration in force"}
+const gatewayLog = `  4.1 edge-1 {"fields":{"node":"edge-1","version":7},"level":"info","timestamp":"2026-01-01T00:00:01Z","message":"configuration applied"}
 {"fields":{"node":"edge-1","request":"r1","servers":["s1","s2"],"outcome":"served"},"level":"info","timestamp":"2026-01-01T00:00:03Z","message":"request ended"}
 {"fields":{"node":"edge-1","request":"r1","outcome":"failed","error":"x"},"level":"warn","timestamp":"2026-01-01T00:00:01.5Z","message":"request ended"}
 {"fields":{"node":"edge-1","request":"r2"},"level":"info","timestamp":"2026-01-01T00:00:02Z","message":"request ended"}
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -135,7 +135,7 @@
 		received, err := fo.followOnce(ctx, address)
 		fo.dropController(address)
 		if received && ctx.Err() == nil {
-			fo.cfg.Log.WithFields(log.Fields{"controller": address, "error": err.Error()}).Warn("controller lost")
+			fo.cfg.Log.WithFields(log.Fields{"controller": address, "error": err.Error()}).Warn("controller unreachable")
 		}
 		select {
 		case <-time.After(retryPeriod):
@@ -217,16 +217,16 @@
 	if next.Table != old.Table {
 		fo.cfg.Log.WithFields(log.Fields{
 			"version": next.Table.Version(), "routes": len(next.Table.Config().Routes), "source": source,
-		}).Info("configuration in force")
+		}).Info("configuration applied")
 	}
 	for mo, v := range next.Versions {
 		if old.Versions[mo] != v {
-			fo.cfg.Log.WithFields(log.Fields{"model": mo, "version": v, "source": source}).Info("weight version named")
+			fo.cfg.Log.WithFields(log.Fields{"model": mo, "version": v, "source": source}).Info("weight version changed")
 		}
 	}
 	a, _ := old.Leader()
 	if b, ok := next.Leader(); ok && a.Name != b.Name {
-		fo.cfg.Log.WithFields(log.Fields{"store": b.Name, "term": b.Term, "source": source}).Info("store leader known")
+		fo.cfg.Log.WithFields(log.Fields{"store": b.Name, "term": b.Term, "source": source}).Info("store leader changed")
 	}
 	registry.LogChanges(fo.cfg.Log, old.Servers, next.Servers)
 }
--- a/internal/jobdriver/driver.go
+++ b/internal/jobdriver/driver.go
@@ -134,7 +134,7 @@
 	if dr.term != st.Term {
 		dr.stopLocked()
 		dr.term, dr.revision = st.Term, 0
-		dr.cfg.Log.WithField("term", st.Term).Info("items are driven here")
+		dr.cfg.Log.WithField("term", st.Term).Info("items are executed by this store")
 	}
 	dr.syncLedger()
 	dr.classifyServers()
@@ -148,7 +148,7 @@
 	defer dr.mu.Unlock()
 
 	if dr.term != 0 {
-		dr.cfg.Log.WithField("term", dr.term).Info("items are not driven here any more")
+		dr.cfg.Log.WithField("term", dr.term).Info("items are no longer executed by this store")
 	}
 	dr.stopLocked()
 	dr.term = 0
@@ -358,7 +358,7 @@
 func (dr *Driver) classifyServers() {
 	slow, lagging := dr.paces.classify(time.Now())
 	if !slices.Equal(slow, dr.slow) {
-		dr.cfg.Log.WithFields(log.Fields{"slow": slow, "before": dr.slow, "lagging": lagging}).Info("slow backend servers")
+		dr.cfg.Log.WithFields(log.Fields{"slow": slow, "before": dr.slow, "lagging": lagging}).Info("slow backend servers changed")
 	}
 	dr.slow, dr.lagging = slow, lagging
 }
