--- a/cmd/tamarackbay/node.go
+++ b/cmd/tamarackbay/node.go
@@ -34,9 +34,9 @@
 	level := c.Flag("log-level", "Lowest level that is logged: debug, info, warn or error.").Default("info").String()
 
 	return []command{{c, func() error {
-		ring := logging.NewAsyncHandler(os.Stdout)
-		defer ring.Close()
-		err := runNode(*role, *peerListen, logging.NewWithHandler(ring, *level, "tamarackbay", *role), ring.Dropped)
+		ah := logging.NewAsyncHandler(os.Stdout)
+		defer ah.Close()
+		err := runNode(*role, *peerListen, logging.NewWithHandler(ah, *level, "tamarackbay", *role), ah.Dropped)
 		if result.Is(err, result.DataFolderWrite) {
 			time.Sleep(diskErrorExitDelay)
 		}
--- a/internal/demo/nodes.go
+++ b/internal/demo/nodes.go
@@ -80,14 +80,14 @@
 	}
 	nr.caller = &standin.Caller{Ports: ports, Timeout: nodeTimeout, Control: []string{"127.0.9.11", "127.0.9.12", "127.0.9.13"}}
 	add := func(role, ip string) error {
-		bo := standin.NodeSettings{
+		ns := standin.NodeSettings{
 			Name: role + "-" + ip, IP: ip, Ports: ports, Controllers: nr.caller.Control, IsFirst: true, Cloud: nr.cloud.Address(),
 			Grace: nodeTimeout, Window: nodeUsageWindow, Lease: nodeTimeout,
 		}
 		if role != program.RoleGateway {
-			bo.DataFolder = filepath.Join(folder, ip)
+			ns.DataFolder = filepath.Join(folder, ip)
 		}
-		b, err := bo.Encode()
+		b, err := ns.Encode()
 		if err != nil {
 			return err
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -232,11 +232,11 @@
 }
 
 func (ga *Gateway) leaseTiming() lease.Timing {
-	te := lease.DefaultTiming()
-	te.Duration = settings.Milliseconds(ga.cfg.Settings.Times.LeaseMs)
-	te.MaxCall = settings.Milliseconds(ga.cfg.Settings.Times.MaxCallMs)
+	ti := lease.DefaultTiming()
+	ti.Duration = settings.Milliseconds(ga.cfg.Settings.Times.LeaseMs)
+	ti.MaxCall = settings.Milliseconds(ga.cfg.Settings.Times.MaxCallMs)
 
-	return te
+	return ti
 }
 
 // poolOf returns the pool of a model or plain service.
--- a/internal/logging/async.go
+++ b/internal/logging/async.go
@@ -37,11 +37,11 @@
 
 // NewAsyncHandler returns an AsyncHandler that writes JSON lines to w until Close is called.
 func NewAsyncHandler(w io.Writer) *AsyncHandler {
-	ri := &AsyncHandler{w: w, entries: make(chan *log.Entry, maxBufferedLines), done: make(chan struct{})}
-	ri.loop.Add(1)
-	go ri.writeLoop()
+	ah := &AsyncHandler{w: w, entries: make(chan *log.Entry, maxBufferedLines), done: make(chan struct{})}
+	ah.loop.Add(1)
+	go ah.writeLoop()
 
-	return ri
+	return ah
 }
 
 // HandleLog buffers a line or drops it.
@@ -70,7 +70,7 @@
 }
 
 // writeLoop writes the buffered lines in batches, and the number of dropped lines,
-// until the ring is closed.
+// until the handler is closed.
 func (ah *AsyncHandler) writeLoop() {
 	defer ah.loop.Done()
 
--- a/internal/logging/ring_test.go
+++ b/internal/logging/async_test.go
@@ -30,11 +30,11 @@
 	return sw.b.Write(b)
 }
 
-var _ = ginkgo.Describe("a ring whose writer is blocked while many lines are logged", func() {
+var _ = ginkgo.Describe("a handler whose writer is blocked while many lines are logged", func() {
 	ginkgo.It("doesn't block its callers, drops info lines before errors and counts dropped lines", func() {
 		sw := &slowWriter{open: make(chan struct{})}
-		ring := logging.NewAsyncHandler(sw)
-		lo := logging.NewWithHandler(ring, "info", "p", "n")
+		ah := logging.NewAsyncHandler(sw)
+		lo := logging.NewWithHandler(ah, "info", "p", "n")
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
@@ -46,16 +46,16 @@
 			}
 		}()
 		Eventually(done, "5s").Should(BeClosed())
-		Expect(ring.Dropped()).To(BeNumerically(">", 10_000))
+		Expect(ah.Dropped()).To(BeNumerically(">", 10_000))
 		close(sw.open)
-		ring.Close()
+		ah.Close()
 		Expect(bytes.Count(sw.b.Bytes(), []byte(`"failure"`))).To(Equal(100))
 	})
 
 	ginkgo.It("logs that lines were dropped once the writer is unblocked", func() {
 		sw := &slowWriter{open: make(chan struct{})}
-		ring := logging.NewAsyncHandler(sw)
-		lo := logging.NewWithHandler(ring, "info", "p", "n")
+		ah := logging.NewAsyncHandler(sw)
+		lo := logging.NewWithHandler(ah, "info", "p", "n")
 		for range 20_000 {
 			lo.Info("routine")
 		}
@@ -67,6 +67,6 @@
 
 			return sw.b.String()
 		}, 3*time.Second, 50*time.Millisecond).Should(ContainSubstring("log lines dropped"))
-		ring.Close()
+		ah.Close()
 	})
 })
--- a/internal/program/node.go
+++ b/internal/program/node.go
@@ -242,14 +242,14 @@
 	})
 	nd.edge = ed
 	nd.updateGauges = func() { ed.Measure(nd.meter) }
-	front := &platform.ClientHandler{
+	ch := &platform.ClientHandler{
 		Serve: ed.Ingress().Serve, IsBatch: ed.JobProxy().IsBatch, SubmitJob: ed.JobProxy().Submit, ReadResults: ed.JobProxy().Read, ItemBody: ed.JobProxy().Body,
 		EndJob: ed.JobProxy().End, MaxBodyBytes: ed.MaxBodyBytes, IsReady: ed.IsReady, ShouldCloseConnections: ed.IsClosing,
 	}
-	if err := nd.serve("readiness", nd.settings.ReadinessAddress, http.HandlerFunc(front.ServeReadiness)); err != nil {
+	if err := nd.serve("readiness", nd.settings.ReadinessAddress, http.HandlerFunc(ch.ServeReadiness)); err != nil {
 		return err
 	}
-	if err := nd.serve("clients", nd.settings.ClientAddress, front); err != nil {
+	if err := nd.serve("clients", nd.settings.ClientAddress, ch); err != nil {
 		return err
 	}
 	nd.run("edge", func() error {
--- a/soak/deployment_test.go
+++ b/soak/deployment_test.go
@@ -83,13 +83,13 @@
 			ip := host(cfg.Subnet, kind, i)
 			pr := &process{
 				role: role, ip: ip, binary: cfg.Binary, folder: cfg.Folder, peerListen: fmt.Sprintf("%s:%d", ip, hidden.Peers),
-				boot: standin.NodeSettings{
+				settings: standin.NodeSettings{
 					Name: fmt.Sprintf("%s-%d", role, i+1), IP: ip, Ports: ports, Controllers: de.caller.Control, Cloud: de.cloud.Address(),
 					Grace: gracePeriod, Window: 5 * time.Second, Lease: 3 * time.Second,
 				},
 			}
 			if role != program.RoleGateway {
-				pr.boot.DataFolder = filepath.Join(cfg.Folder, "data", pr.boot.Name)
+				pr.settings.DataFolder = filepath.Join(cfg.Folder, "data", pr.settings.Name)
 				if err := de.network.forward(fmt.Sprintf("%s:%d", ip, ports.Peers), pr.peerListen, true); err != nil {
 					return err
 				}
--- a/soak/process_test.go
+++ b/soak/process_test.go
@@ -20,7 +20,7 @@
 	binary     string
 	folder     string // of settings and logs
 	peerListen string // where it listens for own processes, behind the network
-	boot       standin.NodeSettings
+	settings   standin.NodeSettings
 
 	mu      sync.Mutex
 	starts  int
@@ -36,13 +36,13 @@
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
 
-	bo := pr.boot
-	bo.IsFirst = pr.starts == 0
-	b, err := bo.Encode()
+	ns := pr.settings
+	ns.IsFirst = pr.starts == 0
+	b, err := ns.Encode()
 	if err != nil {
 		return err
 	}
-	file := filepath.Join(pr.folder, bo.Name+".json")
+	file := filepath.Join(pr.folder, ns.Name+".json")
 	if err := os.WriteFile(file, b, 0o600); err != nil {
 		return err
 	}
@@ -69,7 +69,7 @@
 		err := cmd.Wait()
 		pr.mu.Lock()
 		if !pr.isDown {
-			pr.ends = append(pr.ends, fmt.Sprintf("%s ended by itself at %s: %v", bo.Name, time.Now().Format(time.TimeOnly), err))
+			pr.ends = append(pr.ends, fmt.Sprintf("%s ended by itself at %s: %v", ns.Name, time.Now().Format(time.TimeOnly), err))
 		}
 		pr.mu.Unlock()
 		close(ended)
@@ -89,10 +89,10 @@
 		}
 	}
 
-	return fmt.Errorf("%s has logged nothing within %v", pr.boot.Name, readyWithin)
+	return fmt.Errorf("%s has logged nothing within %v", pr.settings.Name, readyWithin)
 }
 
-func (pr *process) logFile() string { return filepath.Join(pr.folder, pr.boot.Name+".log") }
+func (pr *process) logFile() string { return filepath.Join(pr.folder, pr.settings.Name+".log") }
 
 // signal sends a signal to the running program.
 func (pr *process) signal(sig syscall.Signal) error {
@@ -119,18 +119,18 @@
 	select {
 	case <-ended:
 		return nil
-	case <-time.After(pr.boot.Grace + time.Second):
-		return errors.Join(fmt.Errorf("%s outlived its grace period after %v", pr.boot.Name, sig), pr.signal(syscall.SIGKILL))
+	case <-time.After(pr.settings.Grace + time.Second):
+		return errors.Join(fmt.Errorf("%s outlived its grace period after %v", pr.settings.Name, sig), pr.signal(syscall.SIGKILL))
 	}
 }
 
 // wipe empties the disk of a stopped program.
-func (pr *process) wipe() error { return os.RemoveAll(pr.boot.DataFolder) }
+func (pr *process) wipe() error { return os.RemoveAll(pr.settings.DataFolder) }
 
 // tear appends what a write cut short may leave behind: bytes that are no record.
 func (pr *process) tear(b []byte) error {
 	newest := ""
-	err := filepath.WalkDir(pr.boot.DataFolder, func(path string, de os.DirEntry, err error) error {
+	err := filepath.WalkDir(pr.settings.DataFolder, func(path string, de os.DirEntry, err error) error {
 		if err == nil && !de.IsDir() && filepath.Base(path) > filepath.Base(newest) && filepath.Base(path)[:3] == "log" {
 			newest = path
 		}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -140,12 +140,12 @@
 	ginkgo.It("lives on when it is told to reload while it starts (seed 104)", func() {
 		ports, err := standin.FreePorts()
 		Expect(err).NotTo(HaveOccurred())
-		pr := &process{role: program.RoleStore, ip: "127.61.2.1", binary: binary, folder: folder, peerListen: "127.61.2.1:0", boot: standin.NodeSettings{
+		pr := &process{role: program.RoleStore, ip: "127.61.2.1", binary: binary, folder: folder, peerListen: "127.61.2.1:0", settings: standin.NodeSettings{
 			Name: "reloaded", IP: "127.61.2.1", Ports: ports, Controllers: []string{"127.61.1.1"}, DataFolder: filepath.Join(folder, "reloaded"),
 			Grace: gracePeriod,
 		}}
 		Expect(pr.start()).To(Succeed())
-		Eventually(pr.boot.DataFolder, "5s", "50us").Should(BeADirectory())
+		Eventually(pr.settings.DataFolder, "5s", "50us").Should(BeADirectory())
 		Expect(pr.signal(syscall.SIGHUP)).To(Succeed())
 		Consistently(pr.surprises, "500ms").Should(BeEmpty())
 		Expect(pr.end(syscall.SIGKILL)).To(Succeed())
