--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -188,7 +188,7 @@
 		return cpuOf(rounds, func() {
 			page++
 			_, _ = le.FormPage(step.FormPage{Key: "w/s", Number: page, Max: 256}, 1, 1)
-			_, _ = le.Ack(step.AckPage{Key: "w/s", Number: page}, 1)
+			_, _ = le.AckPage(step.AckPage{Key: "w/s", Number: page}, 1)
 		}), nil
 	})
 	if err != nil {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -317,11 +317,13 @@
 	co.feed.Publish(st)
 }
 
-// Beat records a heartbeat of a backend server and forwards it to the other controllers.
-func (co *Controller) Beat(re registry.Record) { co.observeAndForward(heartbeatNotice{Record: re}) }
+// RecordHeartbeat records a heartbeat of a backend server and forwards it to the other controllers.
+func (co *Controller) RecordHeartbeat(re registry.Record) {
+	co.observeAndForward(heartbeatNotice{Record: re})
+}
 
-// Leave records that a backend server leaves and forwards this to the other controllers.
-func (co *Controller) Leave(id string, bornMs int64) {
+// RecordLeave records that a backend server leaves and forwards this to the other controllers.
+func (co *Controller) RecordLeave(id string, bornMs int64) {
 	co.observeAndForward(heartbeatNotice{Record: registry.Record{ID: id, BornMs: bornMs}, Leaves: true})
 }
 
--- a/internal/program/node.go
+++ b/internal/program/node.go
@@ -124,13 +124,13 @@
 	return fi
 }
 
-// StartNode starts the process of a role. Boot reads its settings; it is called again to
+// StartNode starts the process of a role. readSettings reads its settings; it is called again to
 // reload them. Dropped returns the number of dropped log lines; nil means none.
-func StartNode(role string, boot func() (*settings.Node, error), lo log.Interface, dropped func() int64) (*Node, error) {
+func StartNode(role string, readSettings func() (*settings.Node, error), lo log.Interface, dropped func() int64) (*Node, error) {
 	if dropped == nil {
 		dropped = func() int64 { return 0 }
 	}
-	no, err := boot()
+	no, err := readSettings()
 	if err != nil {
 		return nil, err
 	}
@@ -139,7 +139,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	nd := &Node{
-		runGroup: newRunGroup("process", lo.WithFields(log.Fields{"role": role, "node": no.Name})), role: role, loadSettings: boot, meter: meter.New(),
+		runGroup: newRunGroup("process", lo.WithFields(log.Fields{"role": role, "node": no.Name})), role: role, loadSettings: readSettings, meter: meter.New(),
 		settings: no, cancel: cancel, handOver: func(context.Context) {}, isLeader: func() bool { return false }, updateGauges: func() {},
 		droppedLines: dropped,
 	}
@@ -281,7 +281,7 @@
 		return err
 	}
 	ctl := &platform.ControlPlane{
-		RecordHeartbeat: co.Beat, RecordLeave: co.Leave, PutRouting: co.PutRouting, RoutingDocument: co.Routing, NameVersion: co.NameVersion,
+		RecordHeartbeat: co.RecordHeartbeat, RecordLeave: co.RecordLeave, PutRouting: co.PutRouting, RoutingDocument: co.Routing, NameVersion: co.NameVersion,
 		Retire: co.Retire, Retirement: co.Retirement,
 	}
 	if err := nd.serve("control", nd.settings.ControlAddress, withControlTimeout(ctl.Handler())); err != nil {
--- a/internal/statemachine/statemachine.go
+++ b/internal/statemachine/statemachine.go
@@ -260,10 +260,10 @@
 	}),
 	KindWins:      handle(func(ma *Machine, c step.Wins) (any, error) { return ma.steps.Wins(c) }),
 	KindFormPage:  handle((*Machine).formPage),
-	KindAckPage:   handle(func(ma *Machine, c step.AckPage) (any, error) { return ma.steps.Ack(c, ma.atMs) }),
-	KindResetLost: handle(func(ma *Machine, c step.ResetLost) (any, error) { return nil, ma.steps.Lost(c) }),
+	KindAckPage:   handle(func(ma *Machine, c step.AckPage) (any, error) { return ma.steps.AckPage(c, ma.atMs) }),
+	KindResetLost: handle(func(ma *Machine, c step.ResetLost) (any, error) { return nil, ma.steps.ResetLost(c) }),
 	KindChangeDriver: handle(func(ma *Machine, c step.ChangeDriver) (any, error) {
-		st, err := ma.steps.Drive(c)
+		st, err := ma.steps.ChangeDriver(c)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/step/step.go
+++ b/internal/step/step.go
@@ -301,8 +301,8 @@
 	return rep
 }
 
-// Ack marks a page as delivered.
-func (le *Ledger) Ack(ac AckPage, atMs int64) (PageReply, error) {
+// AckPage marks a page as delivered.
+func (le *Ledger) AckPage(ac AckPage, atMs int64) (PageReply, error) {
 	st, err := le.Get(ac.Key)
 	if err != nil {
 		return PageReply{}, err
@@ -328,11 +328,11 @@
 	return rep, nil
 }
 
-// Lost resets samples whose payload no holder has any more. It removes an
+// ResetLost resets samples whose payload no holder has any more. It removes an
 // unacknowledged page with one of them, which is formed again when it is next
 // requested. That is safe, as a trainer requests a page again only if it did not
 // receive it completely.
-func (le *Ledger) Lost(lo ResetLost) error {
+func (le *Ledger) ResetLost(lo ResetLost) error {
 	st, err := le.Get(lo.Key)
 	if err != nil {
 		return err
@@ -362,8 +362,8 @@
 	return nil
 }
 
-// Drive changes the driver of a step if it is still dr.From, and returns the step.
-func (le *Ledger) Drive(dr ChangeDriver) (*Step, error) {
+// ChangeDriver changes the driver of a step if it is still dr.From, and returns the step.
+func (le *Ledger) ChangeDriver(dr ChangeDriver) (*Step, error) {
 	st, err := le.Get(dr.Key)
 	if err != nil {
 		return nil, err
