--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -19,9 +19,9 @@
 	Scheduler     scheduler.Config
 	Now           func() time.Duration
 	Random        func(n int) int
-	// KeepIdle returns how long an idle connection is kept open. Idle connections
+	// IdleTimeout returns how long an idle connection is kept open. Idle connections
 	// are not tracked if it is nil.
-	KeepIdle func() time.Duration
+	IdleTimeout func() time.Duration
 }
 
 // Balancer holds the backend servers by service. It is safe for concurrent use.
@@ -116,7 +116,7 @@
 	Prefix     string // of its prompt, "" for none
 	Exclude    []string
 	Tokens     int
-	Extra      int // requests that a backend server accepts beyond its slots
+	ExtraSlots int // requests that a backend server accepts beyond its slots
 }
 
 // Grant is the right to send one request to a backend server.
@@ -148,12 +148,12 @@
 		Tokens: rq.Tokens, Gateways: 1,
 	}
 	idleTimeout := time.Duration(0)
-	if ba.cfg.KeepIdle != nil {
-		idleTimeout = ba.cfg.KeepIdle()
+	if ba.cfg.IdleTimeout != nil {
+		idleTimeout = ba.cfg.IdleTimeout()
 	}
 	for i, sv := range se.servers {
 		if now-sv.loadReportedAt > maxLoadAge {
-			se.cands[i].Running, se.cands[i].MineReported = 0, 0
+			se.cands[i].Running, se.cands[i].InFlightReported = 0, 0
 		}
 		sv.dropClosedConns(now, idleTimeout)
 		se.cands[i].HasIdle = len(sv.idleSince) > 0
@@ -166,7 +166,7 @@
 		if rq.Prefix != "" && sv.lastPrefix == rq.Prefix {
 			sr.Affinity = i
 		}
-		se.cands[i].Slots = sv.record.Slots + rq.Extra
+		se.cands[i].Slots = sv.record.Slots + rq.ExtraSlots
 	}
 
 	i := se.sched.Pick(now, se.cands, &sr)
@@ -180,7 +180,7 @@
 	if n := len(sv.idleSince); n > 0 {
 		sv.idleSince = sv.idleSince[:n-1] // the connection used last is used again
 	}
-	se.cands[i].Mine++
+	se.cands[i].InFlight++
 	se.cands[i].Tokens += rq.Tokens
 
 	return &Grant{balancer: ba, set: se, server: sv, record: sv.record, tokens: rq.Tokens, grantedAt: now}
@@ -244,22 +244,22 @@
 	}
 	now := ba.cfg.Now()
 	ca := &gr.set.cands[i]
-	ca.Mine--
-	if (oc == Succeeded || oc == Busy) && ba.cfg.KeepIdle != nil {
+	ca.InFlight--
+	if (oc == Succeeded || oc == Busy) && ba.cfg.IdleTimeout != nil {
 		gr.server.idleSince = append(gr.server.idleSince, now)
 	}
 	ca.Tokens -= gr.tokens
 	if load != nil {
 		ca.Running = load.Running + load.Waiting
-		ca.MineReported = min(ca.Mine+1, ca.Running)
+		ca.InFlightReported = min(ca.InFlight+1, ca.Running)
 		gr.server.loadReportedAt = now
 	}
 	switch oc {
 	case Succeeded:
-		gr.set.sched.Succeeded(ca)
+		gr.set.sched.RecordSuccess(ca)
 		ca.Latency = 0.8*ca.Latency + 0.2*(now-gr.grantedAt).Seconds()
 	case Failed:
-		gr.set.sched.Failed(now, gr.set.cands, i)
+		gr.set.sched.RecordFailure(now, gr.set.cands, i)
 	case Busy:
 		gr.server.pausedUntil = now + busyPause
 	case Unused:
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -13,12 +13,12 @@
 	"github.com/fxamacker/cbor/v2"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/tamarackbay/tamarackbay/internal/call"
 	"github.com/tamarackbay/tamarackbay/internal/declaration"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
+	"github.com/tamarackbay/tamarackbay/internal/idempotency"
 	"github.com/tamarackbay/tamarackbay/internal/meter"
 	"github.com/tamarackbay/tamarackbay/internal/peer"
 	"github.com/tamarackbay/tamarackbay/internal/pool"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/step"
 	"github.com/tamarackbay/tamarackbay/internal/usage"
 	"github.com/tamarackbay/tamarackbay/internal/wire"
@@ -151,7 +151,7 @@
 	}
 	bytes, err := series("bytes of a change sent to one subscriber", "changed object", "byte", []int{1, 4, 16}, func(n int) (float64, error) {
 		ch := &declaration.Change{Version: 1 << 20, PatchID: "apply-0123456789abcdef01234567", Author: "operator", AtMs: 1 << 40, Ops: configurationOps(n)[1 : 1+n]}
-		d, err := cbor.Marshal(machine.Delta{Revision: 1 << 20, Change: ch})
+		d, err := cbor.Marshal(statemachine.Delta{Revision: 1 << 20, Change: ch})
 		if err != nil {
 			return 0, err
 		}
@@ -188,7 +188,7 @@
 		return cpuOf(rounds, func() {
 			page++
 			_, _ = le.FormPage(step.FormPage{Key: "w/s", Number: page, Max: 256}, 1, 1)
-			_, _ = le.Ack(step.Ack{Key: "w/s", Number: page}, 1)
+			_, _ = le.AckPage(step.AckPage{Key: "w/s", Number: page}, 1)
 		}), nil
 	})
 	if err != nil {
@@ -196,11 +196,11 @@
 	}
 	calls, err := series("call ledger held", "call with an answer of 200 bytes", "byte", sizes, func(n int) (float64, error) {
 		return heapOf(func() any {
-			le := call.NewLedger(call.Image{})
+			le := idempotency.NewLedger(idempotency.Snapshot{})
 			for i := range n {
 				k := fmt.Sprintf("workspace/route/key-%08d", i)
-				_, _ = le.Begin(call.Begin{Key: k, Digest: k, Owner: k, Gateway: "192.0.2.1:8082"}, 1)
-				_ = le.End(call.End{Key: k, Owner: k, Status: 200, Body: make([]byte, 200)})
+				_, _ = le.Begin(idempotency.Begin{Key: k, Digest: k, Owner: k, Gateway: "192.0.2.1:8082"}, 1)
+				_ = le.End(idempotency.End{Key: k, Owner: k, Status: 200, Body: make([]byte, 200)})
 			}
 
 			return le
@@ -232,7 +232,7 @@
 	for g := range n / 8 {
 		st.Groups = append(st.Groups, step.Group{ID: fmt.Sprintf("g%05d", g), Prompt: fmt.Sprintf("prompt %d", g), Samples: 8, MaxTokens: 100})
 	}
-	if _, err := le.Open(step.Open{Step: st}, 1); err != nil {
+	if _, err := le.Open(step.OpenStep{Step: st}, 1); err != nil {
 		panic(err)
 	}
 	for i := 0; i < n; i += 64 {
@@ -251,17 +251,17 @@
 	return le
 }
 
-// newFilledUsage returns a book with n counters, of 8 workspaces on each agent.
-func newFilledUsage(n int) *usage.Book {
-	bo := usage.NewBook(usage.Image{})
+// newFilledUsage returns a ledger with n counters, of 8 workspaces on each agent.
+func newFilledUsage(n int) *usage.Ledger {
+	le := usage.NewLedger(usage.Snapshot{})
 	for i := range n {
-		bo.Fold(usage.Fold{Counters: []usage.Counter{{
+		le.AddCounters(usage.AddCounters{Counters: []usage.Counter{{
 			Agent: fmt.Sprintf("server-%05d", i/8), Incarnation: uint64(i), Workspace: fmt.Sprintf("w%d", i%8), Window: 1,
-			Figures: usage.Figures{Requests: 1, Tokens: 100},
+			Amounts: usage.Amounts{Requests: 1, Tokens: 100},
 		}}})
 	}
 
-	return bo
+	return le
 }
 
 func measurePool() ([]Slope, error) {
@@ -272,8 +272,8 @@
 			SequenceOf: func(string) uint64 { return 1 }, ReportPeriod: func() time.Duration { return time.Second },
 		})
 		for i := range n {
-			po.Announce(&wire.Announce{Server: fmt.Sprintf("server-%05d", i), Incarnation: 1, Model: "m", FailureDomain: "a", Slots: 16}, nil)
-			po.Load(loadReport(i, 1), 8)
+			po.AddServer(&wire.Announce{Server: fmt.Sprintf("server-%05d", i), Incarnation: 1, Model: "m", FailureDomain: "a", Slots: 16}, nil)
+			po.ApplyLoad(loadReport(i, 1), 8)
 		}
 
 		return po
@@ -288,7 +288,7 @@
 		po := newPool(60)
 		before := cpuTime()
 		for i := range n {
-			po.Load(loadReport(i%60, uint64(2+i/60)), 8)
+			po.ApplyLoad(loadReport(i%60, uint64(2+i/60)), 8)
 		}
 
 		return (cpuTime() - before).Seconds(), nil
@@ -300,7 +300,7 @@
 		po := newPool(60)
 		before := cpuTime()
 		for range n {
-			gr, err := po.Acquire(context.Background(), pool.Ticket{Workspace: "w", Weight: 1, Cost: 100, MaxQueued: 10})
+			gr, err := po.Acquire(context.Background(), pool.Request{Workspace: "w", Weight: 1, Cost: 100, MaxQueued: 10})
 			if err != nil {
 				return 0, err
 			}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -16,11 +16,10 @@
 
 	"github.com/tamarackbay/tamarackbay/internal/backend"
 	"github.com/tamarackbay/tamarackbay/internal/consensus"
-	"github.com/tamarackbay/tamarackbay/internal/duty"
 	"github.com/tamarackbay/tamarackbay/internal/feed"
 	"github.com/tamarackbay/tamarackbay/internal/group"
 	"github.com/tamarackbay/tamarackbay/internal/lease"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
+	"github.com/tamarackbay/tamarackbay/internal/leasedtask"
 	"github.com/tamarackbay/tamarackbay/internal/meter"
 	"github.com/tamarackbay/tamarackbay/internal/peer"
 	"github.com/tamarackbay/tamarackbay/internal/registry"
@@ -28,6 +27,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/roster"
 	"github.com/tamarackbay/tamarackbay/internal/routing"
 	"github.com/tamarackbay/tamarackbay/internal/settings"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/storage"
 	"github.com/tamarackbay/tamarackbay/internal/usage"
 	"github.com/tamarackbay/tamarackbay/internal/weights"
@@ -84,8 +84,8 @@
 	stores             map[string]*store // by name
 	publishWake        chan struct{}
 	startedAt          time.Duration
-	formationWaitSince time.Duration             // when stores were first known without a formed group, 0 before
-	swapPlanners       map[string]*weights.Joint // by service
+	formationWaitSince time.Duration                    // when stores were first known without a formed group, 0 before
+	swapPlanners       map[string]*weights.JointPlanner // by service
 	swapWake           chan struct{}
 	usage              usageState
 }
@@ -118,8 +118,8 @@
 	no := cfg.Settings
 	co := &Controller{
 		cfg: cfg, feed: feed.NewServer(), links: peer.NewLinks(context.Background(), cfg.Peer), stopped: make(chan struct{}),
-		registry: registry.New(maxMissedHeartbeats * no.BeatPeriod), stores: map[string]*store{}, publishWake: make(chan struct{}, 1),
-		startedAt: cfg.Now(), swapPlanners: map[string]*weights.Joint{}, swapWake: make(chan struct{}, 1),
+		registry: registry.New(maxMissedHeartbeats * no.HeartbeatPeriod), stores: map[string]*store{}, publishWake: make(chan struct{}, 1),
+		startedAt: cfg.Now(), swapPlanners: map[string]*weights.JointPlanner{}, swapWake: make(chan struct{}, 1),
 	}
 	var founders []group.Founder
 	for _, a := range no.Controllers {
@@ -128,10 +128,10 @@
 	gc := group.Config{
 		Name: no.Name, Address: no.PeerAddress, FailureDomain: no.FailureDomain, DataFolder: no.DataFolder, Founders: founders,
 		Peer: cfg.Peer, Files: cfg.Files, Election: settings.NodeElection, Heartbeat: settings.NodeHeartbeat, FreshnessBound: freshnessBound,
-		ReplaceAfter: settings.NodeReplaceAfter, Voters: no.Voters(), Addresses: co.addresses, WallMs: cfg.WallMs, Log: cfg.Log,
+		ReplaceAfter: settings.NodeReplaceAfter, TargetVoters: no.Voters(), CandidateAddresses: co.addresses, WallMs: cfg.WallMs, Log: cfg.Log,
 		OnStatus: func(group.Status) { co.wakePublish() },
 	}
-	if !no.MayForm {
+	if !no.MayBootstrap {
 		// The system is already formed: a replica with an empty disk joins as a new one.
 		gc.Formation = func() []consensus.ReplicaID { return nil }
 	}
@@ -158,7 +158,7 @@
 func (co *Controller) members() []string {
 	all := co.group.Status().Membership.All()
 	var out []string
-	co.group.Read(func(ma *machine.Machine) {
+	co.group.Read(func(ma *statemachine.Machine) {
 		for _, id := range all {
 			if re, ok := ma.Replicas()[id]; ok {
 				out = append(out, re.Address)
@@ -185,11 +185,11 @@
 	}
 	mux[MethodAnnounce] = co.handleAnnounce
 	mux[MethodUsage] = func(ctx context.Context, st *peer.Stream) error {
-		var fo usage.Fold
+		var fo usage.AddCounters
 		if err := st.RequestRecord(&fo); err != nil {
 			return err
 		}
-		if err := co.group.Propose(ctx, machine.KindFoldUsage, fo, nil); err != nil {
+		if err := co.group.Propose(ctx, statemachine.KindAddUsage, fo, nil); err != nil {
 			return err
 		}
 
@@ -209,8 +209,8 @@
 	defer wg.Wait()
 	wg.Go(func() { co.publishLoop(ctx) })
 	wg.Go(func() { co.rosterLoop(ctx) })
-	for _, du := range co.duties() {
-		wg.Go(func() { du.Run(ctx) })
+	for _, ta := range co.leasedTasks() {
+		wg.Go(func() { ta.Run(ctx) })
 	}
 	err := co.group.Run(ctx)
 	cancel()
@@ -218,27 +218,27 @@
 	return err
 }
 
-func (co *Controller) duties() []*duty.Duty {
-	with := func(name string, wake <-chan struct{}, work func(ctx context.Context, held duty.Held)) *duty.Duty {
-		return duty.New(duty.Config{
-			Name: name, Holder: co.cfg.Settings.Name, Terms: leaseTerms, Group: co.group, Now: co.cfg.Now, Work: work, Wake: wake,
-			Stopped: co.stopped, TurnPause: co.cfg.Settings.TurnPause, Log: co.cfg.Log,
+func (co *Controller) leasedTasks() []*leasedtask.Task {
+	with := func(name string, wake <-chan struct{}, work func(ctx context.Context, held leasedtask.Held)) *leasedtask.Task {
+		return leasedtask.New(leasedtask.Config{
+			Name: name, Holder: co.cfg.Settings.Name, Timing: leaseTiming, Group: co.group, Now: co.cfg.Now, Work: work, Wake: wake,
+			Stopped: co.stopped, ReacquireDelay: co.cfg.Settings.ReacquireDelay, Log: co.cfg.Log,
 		})
 	}
-	out := []*duty.Duty{with(leaseWeights, co.swapWake, co.rollOut)}
+	out := []*leasedtask.Task{with(leaseWeights, co.swapWake, co.rollOut)}
 	if co.cfg.ReportUsage != nil {
-		out = append(out, with(machine.UsageLease, nil, co.reportUsage))
+		out = append(out, with(statemachine.UsageLease, nil, co.reportUsage))
 	}
 
 	return out
 }
 
-// leaseTerms are short because the platform and the backend servers check fencing
+// leaseTiming is short because the platform and the backend servers check fencing
 // numbers themselves: a successor may act as soon as it holds a higher one.
-var leaseTerms = lease.Terms{Duration: 1500 * time.Millisecond, MaxCall: 500 * time.Millisecond, Drift: 0.01}
+var leaseTiming = lease.Timing{Duration: 1500 * time.Millisecond, MaxCall: 500 * time.Millisecond, Drift: 0.01}
 
-// StopDuties releases the leases and transfers leadership before the process stops.
-func (co *Controller) StopDuties(ctx context.Context) {
+// HandOver releases the leases and transfers leadership before the process stops.
+func (co *Controller) HandOver(ctx context.Context) {
 	co.stop.Do(func() { close(co.stopped) })
 	select {
 	case <-time.After(handOverDelay):
@@ -281,7 +281,7 @@
 	st := &feed.State{Controllers: co.members()}
 	var members []roster.Member
 	retirement := map[string]roster.Retirement{}
-	co.group.Read(func(ma *machine.Machine) {
+	co.group.Read(func(ma *statemachine.Machine) {
 		if cfg := ma.Routing().Config(); cfg.Version > 0 {
 			c := *cfg
 			st.Config = &c
@@ -306,7 +306,7 @@
 		co.cfg.Log.WithField("server", id).Warn("backend server silent")
 	}
 	st.Servers = co.registry.All()
-	st.IsSettled = now-co.startedAt > (maxMissedHeartbeats+1)*co.cfg.Settings.BeatPeriod
+	st.IsSettled = now-co.startedAt > (maxMissedHeartbeats+1)*co.cfg.Settings.HeartbeatPeriod
 	for _, me := range members {
 		out := feed.Store{Name: me.Name, Replica: string(me.Replica), Address: me.Address, Retiring: retirement[me.Name] != 0}
 		if so := co.stores[me.Name]; so != nil && so.Member.Replica == me.Replica {
@@ -317,11 +317,13 @@
 	co.feed.Publish(st)
 }
 
-// Beat records a heartbeat of a backend server and forwards it to the other controllers.
-func (co *Controller) Beat(re registry.Record) { co.observeAndForward(heartbeatNotice{Record: re}) }
+// RecordHeartbeat records a heartbeat of a backend server and forwards it to the other controllers.
+func (co *Controller) RecordHeartbeat(re registry.Record) {
+	co.observeAndForward(heartbeatNotice{Record: re})
+}
 
-// Leave records that a backend server leaves and forwards this to the other controllers.
-func (co *Controller) Leave(id string, bornMs int64) {
+// RecordLeave records that a backend server leaves and forwards this to the other controllers.
+func (co *Controller) RecordLeave(id string, bornMs int64) {
 	co.observeAndForward(heartbeatNotice{Record: registry.Record{ID: id, BornMs: bornMs}, Leaves: true})
 }
 
@@ -365,13 +367,13 @@
 	co.cfg.Log.WithFields(log.Fields{
 		"server": re.ID, "service": re.Service, "address": re.Address, "state": re.State.String(), "leaves": no.Leaves,
 		"born": re.BornMs, "sequence": re.Sequence, "models": re.Models,
-	}).Info("backend server told")
+	}).Info("backend server state changed")
 }
 
 // PutRouting commits a validated configuration.
 func (co *Controller) PutRouting(ctx context.Context, cfg *routing.Config, document []byte) error {
 	var rep routing.PutReply
-	err := co.group.Propose(ctx, machine.KindPutRouting, routing.Put{Config: *cfg, Document: document}, &rep)
+	err := co.group.Propose(ctx, statemachine.KindPutRouting, routing.Put{Config: *cfg, Document: document}, &rep)
 	fl := log.Fields{"version": cfg.Version, "routes": len(cfg.Routes), "inForce": rep.Version, "replaced": rep.Replaced}
 	if err != nil {
 		fl["error"] = err.Error()
@@ -390,7 +392,7 @@
 		return nil, err
 	}
 	var b []byte
-	co.group.Read(func(ma *machine.Machine) { b = ma.Routing().Document() })
+	co.group.Read(func(ma *statemachine.Machine) { b = ma.Routing().Document() })
 	if len(b) == 0 {
 		return nil, result.New(result.NoLeader, "controller: no configuration was accepted yet")
 	}
@@ -400,7 +402,7 @@
 
 // NameVersion commits a weight version.
 func (co *Controller) NameVersion(ctx context.Context, model string, version uint64) error {
-	if err := co.group.Propose(ctx, machine.KindNameVersion, weights.Name{Model: model, Version: version}, nil); err != nil {
+	if err := co.group.Propose(ctx, statemachine.KindRecordVersion, weights.VersionRecord{Model: model, Version: version}, nil); err != nil {
 		return err
 	}
 	co.wakeSwaps()
@@ -417,7 +419,9 @@
 // Measure sets the gauges of this process.
 func (co *Controller) Measure(me *meter.Meter) {
 	co.group.Measure(me)
-	co.group.Read(func(ma *machine.Machine) { me.Gauge("configuration.version", int64(ma.Routing().Config().Version)) })
+	co.group.Read(func(ma *statemachine.Machine) {
+		me.Gauge("configuration.version", int64(ma.Routing().Config().Version))
+	})
 	co.mu.Lock()
 	defer co.mu.Unlock()
 	alive := 0
--- a/internal/controller/usage.go
+++ b/internal/controller/usage.go
@@ -6,9 +6,9 @@
 
 	"github.com/apex/log"
 
-	"github.com/tamarackbay/tamarackbay/internal/duty"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
+	"github.com/tamarackbay/tamarackbay/internal/leasedtask"
 	"github.com/tamarackbay/tamarackbay/internal/result"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/usage"
 )
 
@@ -28,7 +28,7 @@
 
 // reportUsage closes the usage windows that have ended and reports them. The figures
 // are committed first, and only committed figures are sent.
-func (co *Controller) reportUsage(ctx context.Context, held duty.Held) {
+func (co *Controller) reportUsage(ctx context.Context, held leasedtask.Held) {
 	now := co.cfg.Now()
 	if now < co.usage.pausedUntil {
 		return
@@ -38,13 +38,13 @@
 		return
 	}
 	var closed uint64
-	co.group.Read(func(ma *machine.Machine) { closed = ma.Usage().Closed() })
+	co.group.Read(func(ma *statemachine.Machine) { closed = ma.Usage().Closed() })
 	if closed < over-1 {
 		fencing, ok := held()
 		if !ok {
 			return
 		}
-		if err := co.group.Propose(ctx, machine.KindCloseWindow, usage.Close{Window: over - 1, Fencing: fencing}, nil); err != nil {
+		if err := co.group.Propose(ctx, statemachine.KindCloseWindow, usage.Close{Window: over - 1, Fencing: fencing}, nil); err != nil {
 			co.cfg.Log.WithError(err).WithField("window", over-1).Warn("usage window not closed")
 
 			return
@@ -52,7 +52,7 @@
 	}
 
 	var reports []usage.Report
-	co.group.Read(func(ma *machine.Machine) {
+	co.group.Read(func(ma *statemachine.Machine) {
 		for _, n := range ma.Usage().Unreported() {
 			if re, err := ma.Usage().Report(n); err == nil {
 				reports = append(reports, re)
@@ -68,12 +68,12 @@
 	}
 }
 
-func (co *Controller) reportWindow(ctx context.Context, held duty.Held, re usage.Report) bool {
+func (co *Controller) reportWindow(ctx context.Context, held leasedtask.Held, re usage.Report) bool {
 	fencing, ok := held()
 	if !ok {
 		return false
 	}
-	cctx, cancel := context.WithTimeout(ctx, leaseTerms.MaxCall)
+	cctx, cancel := context.WithTimeout(ctx, leaseTiming.MaxCall)
 	defer cancel()
 	fl := log.Fields{"window": re.Window, "fencing": fencing, "workspaces": len(re.Lines)}
 	err := co.cfg.ReportUsage(cctx, co.cfg.Settings.Name, fencing, re)
@@ -85,7 +85,7 @@
 		return false
 	}
 	co.cfg.Log.WithFields(fl).Info("usage window reported")
-	if err := co.group.Propose(ctx, machine.KindReported, usage.Reported{Window: re.Window, Fencing: fencing}, nil); err != nil {
+	if err := co.group.Propose(ctx, statemachine.KindMarkReported, usage.MarkReported{Window: re.Window, Fencing: fencing}, nil); err != nil {
 		if !result.Is(err, result.LeaseLost) {
 			co.cfg.Log.WithError(err).Warn("usage report sent but not recorded, the same figures are sent again")
 		}
--- a/internal/controller/weights.go
+++ b/internal/controller/weights.go
@@ -7,9 +7,9 @@
 	"github.com/apex/log"
 
 	"github.com/tamarackbay/tamarackbay/internal/backend"
-	"github.com/tamarackbay/tamarackbay/internal/duty"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
+	"github.com/tamarackbay/tamarackbay/internal/leasedtask"
 	"github.com/tamarackbay/tamarackbay/internal/registry"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/weights"
 )
 
@@ -30,10 +30,10 @@
 )
 
 // rollOut orders engines to load the newest recorded versions of their models.
-func (co *Controller) rollOut(ctx context.Context, held duty.Held) {
+func (co *Controller) rollOut(ctx context.Context, held leasedtask.Held) {
 	named := map[string]uint64{}
 	single := map[string]bool{} // services with routes that allow one version per text
-	co.group.Read(func(ma *machine.Machine) {
+	co.group.Read(func(ma *statemachine.Machine) {
 		for mo, v := range ma.Versions().All() {
 			named[mo] = v
 		}
@@ -54,7 +54,7 @@
 	for service, hs := range hosts {
 		jo := co.swapPlanners[service]
 		if jo == nil {
-			jo = weights.NewJoint()
+			jo = weights.NewJointPlanner()
 			co.swapPlanners[service] = jo
 		}
 		wave := max(minWave, int(waveShare*float64(len(hs))))
@@ -66,7 +66,7 @@
 			re := records[sw.Server]
 			co.registry.SetLoading(re.ID, re.BornMs, true)
 			co.wakePublish()
-			go co.swap(ctx, held, jo, re, &backend.Weights{Model: sw.Model, Version: sw.Version, Mode: mode, Instance: re.ID})
+			go co.swap(ctx, held, jo, re, &backend.WeightsOrder{Model: sw.Model, Version: sw.Version, Mode: mode, Instance: re.ID})
 		}
 	}
 }
@@ -129,7 +129,7 @@
 
 // swap orders an engine to load a version, waits until it serves that version and
 // records the result.
-func (co *Controller) swap(ctx context.Context, held duty.Held, jo *weights.Joint, re registry.Record, we *backend.Weights) {
+func (co *Controller) swap(ctx context.Context, held leasedtask.Held, jo *weights.JointPlanner, re registry.Record, we *backend.WeightsOrder) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 
@@ -157,7 +157,7 @@
 	co.wakeSwaps()
 }
 
-func (co *Controller) performSwap(ctx context.Context, held duty.Held, re registry.Record, we *backend.Weights) error {
+func (co *Controller) performSwap(ctx context.Context, held leasedtask.Held, re registry.Record, we *backend.WeightsOrder) error {
 	before, err := co.fetchReport(ctx, re)
 	for ; err == nil && before.IsBusy; before, err = co.fetchReport(ctx, re) {
 		// The engine carries out another order, possibly from a former lease holder.
@@ -180,17 +180,17 @@
 		return errLeaseLost
 	}
 	we.Fencing, we.Holder = fencing, co.cfg.Settings.Name
-	cctx, cancel := context.WithTimeout(ctx, leaseTerms.MaxCall)
+	cctx, cancel := context.WithTimeout(ctx, leaseTiming.MaxCall)
 	err = co.cfg.Client.Swap(cctx, re.Address, we)
 	cancel()
-	if err != nil && !backend.HasRun(err) {
+	if err != nil && !backend.MayHaveRun(err) {
 		return err
 	}
 
 	return co.awaitVersion(ctx, re, we)
 }
 
-// wakeSwaps makes the duty plan the next orders at once.
+// wakeSwaps makes the leased task plan the next orders at once.
 func (co *Controller) wakeSwaps() {
 	select {
 	case co.swapWake <- struct{}{}:
@@ -199,7 +199,7 @@
 }
 
 func (co *Controller) fetchReport(ctx context.Context, re registry.Record) (backend.Report, error) {
-	cctx, cancel := context.WithTimeout(ctx, leaseTerms.MaxCall)
+	cctx, cancel := context.WithTimeout(ctx, leaseTiming.MaxCall)
 	defer cancel()
 	rep, err := co.cfg.Client.Report(cctx, re.Address)
 	if err == nil && rep.BornMs != 0 && rep.BornMs != re.BornMs {
@@ -211,7 +211,7 @@
 
 // awaitVersion waits until the engine reports, in a heartbeat or when polled, that it
 // serves the version.
-func (co *Controller) awaitVersion(ctx context.Context, re registry.Record, we *backend.Weights) error {
+func (co *Controller) awaitVersion(ctx context.Context, re registry.Record, we *backend.WeightsOrder) error {
 	wait := firstLoadPoll
 	for {
 		select {
@@ -235,7 +235,7 @@
 	}
 }
 
-func (co *Controller) servesVersion(re registry.Record, we *backend.Weights) bool {
+func (co *Controller) servesVersion(re registry.Record, we *backend.WeightsOrder) bool {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 
--- a/internal/demo/check.go
+++ b/internal/demo/check.go
@@ -252,7 +252,7 @@
 	starts := map[string]bool{}
 	for _, r := range dr.de.Ordering.Records() {
 		if r.Fencing < top {
-			return fmt.Errorf("order %s from %s has fencing number %d after %d", r.ID, r.Giver, r.Fencing, top)
+			return fmt.Errorf("order %s from %s has fencing number %d after %d", r.ID, r.LeaseHolder, r.Fencing, top)
 		}
 		top = r.Fencing
 		starts[r.ID] = true
@@ -261,7 +261,7 @@
 		top = 0
 		for _, o := range en.Orders() {
 			if o.Accepted && o.Fencing < top {
-				return fmt.Errorf("engine order %s from %s was accepted with fencing number %d after %d", o.ID, o.Giver, o.Fencing, top)
+				return fmt.Errorf("engine order %s from %s was accepted with fencing number %d after %d", o.ID, o.LeaseHolder, o.Fencing, top)
 			}
 			top = max(top, o.Fencing)
 		}
@@ -308,16 +308,16 @@
 }
 
 // reportedUsage returns the sum of all reported usage.
-func (dr *demoRun) reportedUsage() usage.Figures {
-	var sum usage.Figures
+func (dr *demoRun) reportedUsage() usage.Amounts {
+	var sum usage.Amounts
 	for _, rs := range dr.reportsByWindow() {
 		var re usage.Report
 		if err := json.Unmarshal([]byte(rs[0].Body), &re); err != nil {
 			continue
 		}
 		for _, li := range re.Lines {
-			sum.Tokens += li.Figures.Tokens + li.Adjustment.Tokens
-			sum.Requests += li.Figures.Requests + li.Adjustment.Requests
+			sum.Tokens += li.Amounts.Tokens + li.Adjustment.Tokens
+			sum.Requests += li.Amounts.Requests + li.Adjustment.Requests
 		}
 	}
 
--- a/internal/demo/nodes.go
+++ b/internal/demo/nodes.go
@@ -35,7 +35,7 @@
 type nodeRun struct {
 	out     io.Writer
 	caller  *standin.Caller
-	cloud   *standin.Cloud
+	cloud   *standin.UsageInterface
 	nodes   []*program.Node
 	servers []*standin.BackendServer
 	gateway string
@@ -75,23 +75,23 @@
 	if err != nil {
 		return err
 	}
-	if nr.cloud, err = standin.StartCloud(); err != nil {
+	if nr.cloud, err = standin.StartUsageInterface(); err != nil {
 		return err
 	}
 	nr.caller = &standin.Caller{Ports: ports, Timeout: nodeTimeout, Control: []string{"127.0.9.11", "127.0.9.12", "127.0.9.13"}}
 	add := func(role, ip string) error {
-		bo := standin.Boot{
+		ns := standin.NodeSettings{
 			Name: role + "-" + ip, IP: ip, Ports: ports, Controllers: nr.caller.Control, IsFirst: true, Cloud: nr.cloud.Address(),
 			Grace: nodeTimeout, Window: nodeUsageWindow, Lease: nodeTimeout,
 		}
 		if role != program.RoleGateway {
-			bo.DataFolder = filepath.Join(folder, ip)
+			ns.DataFolder = filepath.Join(folder, ip)
 		}
-		b, err := bo.Encode()
+		b, err := ns.Encode()
 		if err != nil {
 			return err
 		}
-		nd, err := program.StartNode(role, func() (*settings.Node, error) { return platform.DecodeBoot(b) }, logging.Discard(), nil)
+		nd, err := program.StartNode(role, func() (*settings.Node, error) { return platform.DecodeSettings(b) }, logging.Discard(), nil)
 		if err == nil {
 			nr.nodes = append(nr.nodes, nd)
 		}
@@ -112,7 +112,7 @@
 		nr.wg.Go(func() {
 			for i := 0; ctx.Err() == nil; i++ {
 				// An error is ignored: a controller that is not ready yet receives a later heartbeat.
-				_ = bs.Beat(fmt.Sprintf("%s:%d", nr.caller.Control[i%len(nr.caller.Control)], ports.Control))
+				_ = bs.SendHeartbeat(fmt.Sprintf("%s:%d", nr.caller.Control[i%len(nr.caller.Control)], ports.Control))
 				time.Sleep(nodeHeartbeatPeriod)
 			}
 		})
@@ -225,7 +225,7 @@
 }
 
 // check compares what was requested with what the backend servers and the platform's
-// interface for duties received.
+// usage interface received.
 func (nr *nodeRun) check() error {
 	runs, keys := map[string]int{}, 0
 	holders := map[uint64]string{}
@@ -234,7 +234,7 @@
 		for id, n := range bs.Runs() {
 			runs[id] += n
 		}
-		keys += bs.Keys()
+		keys += bs.RequestsWithKey()
 		for _, or := range bs.AllOrders() {
 			if old := holders[or.Fencing]; old != "" && old != or.Holder {
 				broken = append(broken, fmt.Errorf("%s and %s both sent orders with fencing number %d", old, or.Holder, or.Fencing))
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -17,7 +17,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/controller"
 	"github.com/tamarackbay/tamarackbay/internal/feed"
 	"github.com/tamarackbay/tamarackbay/internal/ingress"
-	"github.com/tamarackbay/tamarackbay/internal/jobgate"
+	"github.com/tamarackbay/tamarackbay/internal/jobproxy"
 	"github.com/tamarackbay/tamarackbay/internal/meter"
 	"github.com/tamarackbay/tamarackbay/internal/peer"
 	"github.com/tamarackbay/tamarackbay/internal/result"
@@ -58,7 +58,7 @@
 	follower  *feed.Follower
 	balancer  *balance.Balancer
 	ingress   *ingress.Ingress
-	jobGate   *jobgate.Gate
+	jobProxy  *jobproxy.Proxy
 	tally     *usage.Tally
 	isClosing atomic.Bool
 }
@@ -71,13 +71,13 @@
 	}
 	ed.follower = feed.NewFollower(feed.Config{Links: ed.links, Seeds: cfg.Controllers, Log: cfg.Log})
 	ed.balancer = balance.New(balance.Config{
-		FailureDomain: cfg.Settings.FailureDomain, Scheduler: scheduler.Config{Choices: schedulerCandidates}, Now: cfg.Now, Random: rand.IntN, KeepIdle: cfg.Client.KeepIdle,
+		FailureDomain: cfg.Settings.FailureDomain, Scheduler: scheduler.Config{RandomChoices: schedulerCandidates}, Now: cfg.Now, Random: rand.IntN, IdleTimeout: cfg.Client.IdleTimeout,
 	})
 	ed.ingress = ingress.New(ingress.Config{
-		Table: ed.Table, Fresh: ed.fresh, Balancer: ed.balancer, Client: cfg.Client, Random: rand.Float64, Began: ed.tally.Count,
+		Table: ed.Table, Fresh: ed.fresh, Balancer: ed.balancer, Client: cfg.Client, Random: rand.Float64, OnStart: ed.tally.Count,
 		Meter: cfg.Meter, Log: cfg.Log,
 	})
-	ed.jobGate = jobgate.New(jobgate.Config{
+	ed.jobProxy = jobproxy.New(jobproxy.Config{
 		Ingress: ed.ingress, Table: ed.Table, View: ed.follower.View, Changed: ed.follower.Changed, Links: ed.links,
 		Meter: cfg.Meter, Log: cfg.Log,
 	})
@@ -88,8 +88,8 @@
 // Ingress serves plain and streamed requests.
 func (ed *Edge) Ingress() *ingress.Ingress { return ed.ingress }
 
-// Gate serves requests that concern batch jobs.
-func (ed *Edge) Gate() *jobgate.Gate { return ed.jobGate }
+// JobProxy serves requests that concern batch jobs.
+func (ed *Edge) JobProxy() *jobproxy.Proxy { return ed.jobProxy }
 
 // Table returns the routing table of the configuration in force, or nil before the
 // first configuration has arrived.
@@ -158,7 +158,7 @@
 	if len(counters) == 0 {
 		return
 	}
-	b, err := cbor.Marshal(usage.Fold{Counters: counters})
+	b, err := cbor.Marshal(usage.AddCounters{Counters: counters})
 	if err != nil {
 		ed.cfg.Log.WithError(err).Error("cannot encode usage counters")
 
--- a/internal/endtoend/drain_test.go
+++ b/internal/endtoend/drain_test.go
@@ -145,7 +145,7 @@
 		cfg.NoOrdering, cfg.NoUsage = false, false
 		cfg.ServerStartup = 50 * time.Millisecond
 		cfg.Declarations.Classes["service"] = declaration.Class{Service: "s", Slots: 4, StartupMs: 300}
-		cfg.Declarations.Fleet["service"] = declaration.Fleet{
+		cfg.Declarations.Fleet["service"] = declaration.FleetBounds{
 			MinPerDomain: 1, MaxPerDomain: 2, FailureDomains: []string{"a", "b", "c"}, IdleMs: 1500, TargetLoad: 0.7,
 		}
 		cfg.Declarations.Windows["usage"] = declaration.Window{LengthSeconds: 1, GraceSeconds: 1}
@@ -159,14 +159,14 @@
 // numbers never decrease, and all orders with the same number come from the same process.
 func (st *setup) checkFencing() {
 	var top uint64
-	giver := map[uint64]string{}
+	holder := map[uint64]string{}
 	for _, r := range st.Ordering.Records() {
 		Expect(r.Fencing).To(BeNumerically(">=", top), "an order from an earlier lease holder: %+v", r)
 		top = r.Fencing
-		if g, ok := giver[r.Fencing]; ok {
-			Expect(r.Giver).To(Equal(g))
+		if g, ok := holder[r.Fencing]; ok {
+			Expect(r.LeaseHolder).To(Equal(g))
 		}
-		giver[r.Fencing] = r.Giver
+		holder[r.Fencing] = r.LeaseHolder
 	}
 	top = 0
 	for _, r := range st.Usage.Records() {
@@ -339,7 +339,7 @@
 				Expect(json.Unmarshal([]byte(r.Body), &re)).To(Succeed())
 				for _, li := range re.Lines {
 					if li.Workspace == "alpha" {
-						sum += li.Figures.Tokens + li.Adjustment.Tokens
+						sum += li.Amounts.Tokens + li.Adjustment.Tokens
 					}
 				}
 			}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -29,12 +29,12 @@
 func Policies() []Policy {
 	return []Policy{
 		{"current", settings.Policy{}},
-		{"roundRobin", settings.Policy{Scheduler: "roundRobin", NoFairness: true, NoHedging: true, NoSpread: true, NoBudget: true}},
-		{"leastInFlight", settings.Policy{Scheduler: "leastInFlight", NoFairness: true, NoHedging: true, NoSpread: true, NoBudget: true}},
+		{"roundRobin", settings.Policy{Scheduler: "roundRobin", NoFairness: true, NoHedging: true, NoSpread: true, NoRetryBudget: true}},
+		{"leastInFlight", settings.Policy{Scheduler: "leastInFlight", NoFairness: true, NoHedging: true, NoSpread: true, NoRetryBudget: true}},
 		{"noFairness", settings.Policy{NoFairness: true}},
 		{"noSpread", settings.Policy{NoSpread: true}},
 		{"noHedging", settings.Policy{NoHedging: true}},
-		{"noRetryBudget", settings.Policy{NoBudget: true}},
+		{"noRetryBudget", settings.Policy{NoRetryBudget: true}},
 	}
 }
 
@@ -446,7 +446,7 @@
 	}
 	total += tr.completedBy["greedy"]
 	oc.WorstShare = float64(worst) / max(1, float64(total)/float64(tr.workload.fairWorkspaces+1))
-	oc.LookupP99 = quantile.Ms(tr.lookupTimes, 0.99)
+	oc.LookupP99 = quantile.Milliseconds(tr.lookupTimes, 0.99)
 	oc.Goodput = float64(tr.completed) / d.Seconds()
 	runs := 0
 	for _, en := range tr.deployment.AllEngines() {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -13,7 +13,7 @@
 
 func TestSuite(t *testing.T) { suite.Run(t, "explain") }
 
-const gatewayLog = `  4.1 edge-1 {"fields":{"node":"edge-1","version":7},"level":"info","timestamp":"2026-01-01T00:00:01Z","message":"configuration in force"}
+const gatewayLog = `  4.1 edge-1 {"fields":{"node":"edge-1","version":7},"level":"info","timestamp":"2026-01-01T00:00:01Z","message":"configuration applied"}
 {"fields":{"node":"edge-1","request":"r1","servers":["s1","s2"],"outcome":"served"},"level":"info","timestamp":"2026-01-01T00:00:03Z","message":"request ended"}
 {"fields":{"node":"edge-1","request":"r1","outcome":"failed","error":"x"},"level":"warn","timestamp":"2026-01-01T00:00:01.5Z","message":"request ended"}
 {"fields":{"node":"edge-1","request":"r2"},"level":"info","timestamp":"2026-01-01T00:00:02Z","message":"request ended"}
@@ -36,7 +36,7 @@
 		}
 		Expect(skipped).To(Equal(1))
 
-		timeline := explain.Course(all, "r1")
+		timeline := explain.Timeline(all, "r1")
 		var b strings.Builder
 		Expect(explain.Write(&b, timeline)).To(Succeed())
 		Expect(b.String()).To(Equal(`    0.000 s  edge-1                   request ended error=x outcome=failed request=r1
@@ -48,6 +48,6 @@
 	ginkgo.It("is empty for an ID that occurs in no line", func() {
 		lines, _, err := explain.Read(strings.NewReader(gatewayLog))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(explain.Course(lines, "r9")).To(BeEmpty())
+		Expect(explain.Timeline(lines, "r9")).To(BeEmpty())
 	})
 })
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -22,10 +22,10 @@
 
 // Config holds the settings of a Follower.
 type Config struct {
-	Links *peer.Links
-	Seeds func() []string // peer addresses of some controllers
-	Own   string          // own peer address, which is not followed
-	Log   log.Interface
+	Links      *peer.Links
+	Seeds      func() []string // peer addresses of some controllers
+	OwnAddress string          // own peer address, which is not followed
+	Log        log.Interface
 }
 
 // Follower merges the state of every controller that it knows of.
@@ -35,7 +35,7 @@
 
 	mu        sync.Mutex
 	changed   chan struct{} // closed and replaced with each new view
-	merged    *registry.Merged
+	merged    *registry.MergedView
 	following map[string]context.CancelFunc
 	confirmed time.Time // when the replicated part of the view was last confirmed
 	wg        sync.WaitGroup
@@ -44,7 +44,7 @@
 // NewFollower returns a follower with an empty view.
 func NewFollower(cfg Config) *Follower {
 	fo := &Follower{
-		cfg: cfg, changed: make(chan struct{}), merged: registry.NewMerged(), following: map[string]context.CancelFunc{},
+		cfg: cfg, changed: make(chan struct{}), merged: registry.NewMergedView(), following: map[string]context.CancelFunc{},
 	}
 	fo.view.Store(&View{})
 
@@ -115,7 +115,7 @@
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 	for _, a := range want {
-		if _, ok := fo.following[a]; ok || a == fo.cfg.Own {
+		if _, ok := fo.following[a]; ok || a == fo.cfg.OwnAddress {
 			continue
 		}
 		fctx, cancel := context.WithCancel(ctx)
@@ -135,7 +135,7 @@
 		received, err := fo.followOnce(ctx, address)
 		fo.dropController(address)
 		if received && ctx.Err() == nil {
-			fo.cfg.Log.WithFields(log.Fields{"controller": address, "error": err.Error()}).Warn("controller lost")
+			fo.cfg.Log.WithFields(log.Fields{"controller": address, "error": err.Error()}).Warn("controller unreachable")
 		}
 		select {
 		case <-time.After(retryPeriod):
@@ -193,7 +193,7 @@
 		fo.confirmed = t
 	}
 	old := fo.View()
-	fo.merged.Update(address, de.Changed, de.Forgotten, de.IsSettled)
+	fo.merged.Update(address, de.Changed, de.Removed, de.IsSettled)
 	servers := fo.merged.Live()
 	if de.isEmpty() && sameServers(old.Servers, servers) {
 		return
@@ -217,18 +217,18 @@
 	if next.Table != old.Table {
 		fo.cfg.Log.WithFields(log.Fields{
 			"version": next.Table.Version(), "routes": len(next.Table.Config().Routes), "source": source,
-		}).Info("configuration in force")
+		}).Info("configuration applied")
 	}
 	for mo, v := range next.Versions {
 		if old.Versions[mo] != v {
-			fo.cfg.Log.WithFields(log.Fields{"model": mo, "version": v, "source": source}).Info("weight version named")
+			fo.cfg.Log.WithFields(log.Fields{"model": mo, "version": v, "source": source}).Info("weight version changed")
 		}
 	}
 	a, _ := old.Leader()
 	if b, ok := next.Leader(); ok && a.Name != b.Name {
-		fo.cfg.Log.WithFields(log.Fields{"store": b.Name, "term": b.Term, "source": source}).Info("store leader known")
+		fo.cfg.Log.WithFields(log.Fields{"store": b.Name, "term": b.Term, "source": source}).Info("store leader changed")
 	}
-	registry.TellChanges(fo.cfg.Log, old.Servers, next.Servers)
+	registry.LogChanges(fo.cfg.Log, old.Servers, next.Servers)
 }
 
 // dropController discards the reports of an unreachable controller about backend servers,
@@ -237,7 +237,7 @@
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 
-	fo.merged.Lost(address)
+	fo.merged.MarkUnreachable(address)
 	fo.merged.Reset(address)
 	next := *fo.View()
 	next.Servers = fo.merged.Live()
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -10,18 +10,18 @@
 	"time"
 
 	"github.com/tamarackbay/tamarackbay/internal/agent"
-	"github.com/tamarackbay/tamarackbay/internal/call"
 	"github.com/tamarackbay/tamarackbay/internal/declaration"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
+	"github.com/tamarackbay/tamarackbay/internal/idempotency"
 	"github.com/tamarackbay/tamarackbay/internal/plainservice"
 	"github.com/tamarackbay/tamarackbay/internal/pool"
 	"github.com/tamarackbay/tamarackbay/internal/result"
 	"github.com/tamarackbay/tamarackbay/internal/retry"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// Forward is a request to a plain service.
-type Forward struct {
+// ForwardRequest is a request to a plain service.
+type ForwardRequest struct {
 	Caller         Caller
 	RouteName      string
 	Route          declaration.Route
@@ -34,8 +34,8 @@
 	Timeout        time.Duration
 }
 
-// Reply holds the callbacks that pass the answer of a plain service to the caller.
-type Reply struct {
+// ReplyWriter holds the callbacks that pass the answer of a plain service to the caller.
+type ReplyWriter struct {
 	Head func(requestID string, status int, h http.Header)
 	Body func(b []byte) error
 }
@@ -50,7 +50,7 @@
 const maxRecordedBody = 256 << 10
 
 // Forward runs a request to a plain service.
-func (ga *Gateway) Forward(ctx context.Context, fo Forward, rep Reply) error {
+func (ga *Gateway) Forward(ctx context.Context, fo ForwardRequest, rep ReplyWriter) error {
 	po := ga.poolOf(fo.Route.Service)
 	leave, err := ga.admit(fo.Caller.Workspace, po.Gateways())
 	if err != nil {
@@ -78,7 +78,7 @@
 // scrub removes hop-by-hop headers, privateHeaders and header values that contain
 // the caller's key. It refuses a request that carries the key in the path, the query
 // or the body, where it cannot be removed.
-func scrub(fo *Forward) error {
+func scrub(fo *ForwardRequest) error {
 	h := http.Header{}
 	for name, values := range fo.Header {
 		if plainservice.IsHopByHop(name) || isPrivate(name) || isListed(fo.Header.Values("Connection"), name) {
@@ -128,8 +128,8 @@
 // forward is the state of one request to a plain service across its attempts.
 type forward struct {
 	placement
-	fo       Forward
-	rep      Reply
+	fo       ForwardRequest
+	rep      ReplyWriter
 	headSent bool
 }
 
@@ -137,7 +137,7 @@
 func (f *forward) run(ctx context.Context) error {
 	key := f.fo.RouteName + "/" + f.fo.Caller.Workspace
 	f.ga.mu.Lock()
-	f.ga.budget.First(key)
+	f.ga.budget.RecordFirstAttempt(key)
 	f.ga.mu.Unlock()
 
 	for n := 1; ; n++ {
@@ -147,7 +147,7 @@
 		}
 		er := result.From(err)
 		if f.headSent {
-			return er.With(result.Ran) // part of the answer was sent: the caller's connection is cut
+			return er.WithExecution(result.Ran) // part of the answer was sent: the caller's connection is cut
 		}
 		de := f.ga.awaitRetry(ctx, retry.Attempt{
 			Key: key, Number: n, MaxRetries: f.fo.Route.Retries, IsRepeatable: f.fo.Route.Repeatable,
@@ -203,7 +203,7 @@
 		err := recv(&part)
 		if errors.Is(err, io.EOF) {
 			if head.GetStatus() == 0 {
-				return result.New(result.BackendAnswerBroken, "the backend server's answer ended without a status").With(result.Unknown)
+				return result.New(result.BackendAnswerBroken, "the backend server's answer ended without a status").WithExecution(result.ExecutionUnknown)
 			}
 			f.forwardHead(&head)
 
@@ -219,7 +219,7 @@
 		}
 		f.forwardHead(&head)
 		if err := f.rep.Body(part.GetBody()); err != nil {
-			return result.New(result.DeadlinePassed, "the caller disconnected: %v", err).With(result.Unknown)
+			return result.New(result.DeadlinePassed, "the caller disconnected: %v", err).WithExecution(result.ExecutionUnknown)
 		}
 	}
 }
@@ -242,12 +242,12 @@
 // the recorded answer, or an error saying that the first request may have run.
 func (f *forward) runOnce(ctx context.Context) error {
 	key := f.fo.Caller.Workspace + "/" + f.fo.RouteName + "/" + f.fo.IdempotencyKey
-	var re call.Record
-	err := f.ga.group.Propose(ctx, machine.KindBeginCall, call.Begin{
+	var re idempotency.Record
+	err := f.ga.group.Propose(ctx, statemachine.KindBeginCall, idempotency.Begin{
 		Key: key, Digest: f.fingerprint, Owner: f.id, Gateway: f.ga.cfg.Settings.PeerAddress,
 	}, &re)
 	if err != nil {
-		return result.From(err).With(result.NotRun) // nothing was sent to a backend server
+		return result.From(err).WithExecution(result.NotRun) // nothing was sent to a backend server
 	}
 	if re.Owner != f.id {
 		return f.replay(ctx, &re)
@@ -263,15 +263,15 @@
 	defer cancel()
 	switch {
 	case err == nil && !rec.tooLarge:
-		end := call.End{Key: key, Owner: f.id, Status: rec.status, Headers: rec.headers, Body: rec.body.Bytes()}
-		if perr := f.ga.group.Propose(cctx, machine.KindEndCall, end, nil); perr != nil {
+		end := idempotency.End{Key: key, Owner: f.id, Status: rec.status, Headers: rec.headers, Body: rec.body.Bytes()}
+		if perr := f.ga.group.Propose(cctx, statemachine.KindEndCall, end, nil); perr != nil {
 			f.ga.cfg.Meter.Count("calls.endLost")
 		}
 		rec.flush(f.id)
 	case err == nil:
 		rec.flush(f.id)
 	case result.From(err).Execution == result.NotRun && !f.headSent:
-		if perr := f.ga.group.Propose(cctx, machine.KindAbandonCall, call.Abandon{Key: key, Owner: f.id}, nil); perr != nil {
+		if perr := f.ga.group.Propose(cctx, statemachine.KindAbandonCall, idempotency.Abandon{Key: key, Owner: f.id}, nil); perr != nil {
 			f.ga.cfg.Meter.Count("calls.abandonLost")
 		}
 	}
@@ -282,8 +282,8 @@
 const endCallTimeout = 3 * time.Second
 
 // replay answers a resend from the record of the first request.
-func (f *forward) replay(ctx context.Context, re *call.Record) error {
-	if re.State == call.Done {
+func (f *forward) replay(ctx context.Context, re *idempotency.Record) error {
+	if re.State == idempotency.Done {
 		f.ga.cfg.Meter.Count("calls.replayed")
 		h := http.Header{}
 		for _, hd := range re.Headers {
@@ -296,18 +296,18 @@
 	}
 	if f.ga.isCallRunning(ctx, re) {
 		return result.New(result.CallInFlight, "the first request with this idempotency key is still running").
-			With(result.Unknown).After(time.Second)
+			WithExecution(result.ExecutionUnknown).WithRetryAfter(time.Second)
 	}
 
-	return result.New(result.CallOutcomeUnknown, "the first request with this idempotency key may have run; its outcome is unknown").With(result.Unknown)
+	return result.New(result.CallOutcomeUnknown, "the first request with this idempotency key may have run; its outcome is unknown").WithExecution(result.ExecutionUnknown)
 }
 
 // recorder buffers an answer until it is committed. An answer larger than
 // maxRecordedBody is not recorded and passes through unbuffered.
 type recorder struct {
-	rep      Reply
+	rep      ReplyWriter
 	status   int
-	headers  []call.Header
+	headers  []idempotency.Header
 	header   http.Header
 	body     bytes.Buffer
 	tooLarge bool
@@ -315,13 +315,13 @@
 	id       string
 }
 
-func (re *recorder) reply() Reply {
-	return Reply{
+func (re *recorder) reply() ReplyWriter {
+	return ReplyWriter{
 		Head: func(id string, status int, h http.Header) {
 			re.id, re.status, re.header = id, status, h
 			for name, values := range h {
 				for _, v := range values {
-					re.headers = append(re.headers, call.Header{Name: name, Value: v})
+					re.headers = append(re.headers, idempotency.Header{Name: name, Value: v})
 				}
 			}
 		},
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -17,7 +17,6 @@
 	"github.com/tamarackbay/tamarackbay/internal/agent"
 	"github.com/tamarackbay/tamarackbay/internal/group"
 	"github.com/tamarackbay/tamarackbay/internal/lease"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/meter"
 	"github.com/tamarackbay/tamarackbay/internal/ordering"
 	"github.com/tamarackbay/tamarackbay/internal/peer"
@@ -28,6 +27,7 @@
 	"github.com/tamarackbay/tamarackbay/internal/scheduler"
 	"github.com/tamarackbay/tamarackbay/internal/scorer"
 	"github.com/tamarackbay/tamarackbay/internal/settings"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/storage"
 	"github.com/tamarackbay/tamarackbay/internal/usagesink"
 	"github.com/tamarackbay/tamarackbay/internal/weightstore"
@@ -85,7 +85,7 @@
 		cfg: cfg, instance: rand.Uint64(), startedAt: time.Now(), pools: map[string]*pool.Pool{},
 		limiter: admission.NewLimiter(), activeRequests: map[*activeRequest]struct{}{}, fleetReasons: map[string]string{}, runningCalls: map[string]struct{}{},
 		suspects: map[string]chan struct{}{},
-		budget:   retry.NewBudget(retry.Config{NoBudget: se.Policy.NoBudget}, rand.Float64),
+		budget:   retry.NewBudget(retry.Config{NoBudget: se.Policy.NoRetryBudget}, rand.Float64),
 		stopped:  make(chan struct{}),
 	}
 	ga.reportPeriod.Store(int64(minReportPeriod))
@@ -100,8 +100,8 @@
 	ga.group, err = group.New(group.Config{
 		Name: se.Name, Address: se.PeerAddress, FailureDomain: se.FailureDomain, DataFolder: se.DataFolder,
 		Founders: founders(se.Founders), Upstreams: se.Upstreams, Peer: pc, Files: cfg.Files,
-		Election: settings.Duration(se.Times.ElectionMs), Heartbeat: settings.Duration(se.Times.HeartbeatMs),
-		FreshnessBound: settings.Duration(se.Times.FreshnessMs), ReplaceAfter: settings.Duration(se.Times.ReplaceAfterMs),
+		Election: settings.Milliseconds(se.Times.ElectionMs), Heartbeat: settings.Milliseconds(se.Times.HeartbeatMs),
+		FreshnessBound: settings.Milliseconds(se.Times.FreshnessMs), ReplaceAfter: settings.Milliseconds(se.Times.ReplaceAfterMs),
 		WallMs: cfg.WallMs, Log: cfg.Log, Count: cfg.Meter.Count,
 	})
 	if err != nil {
@@ -130,7 +130,7 @@
 }
 
 func (ga *Gateway) createPlatformClients() {
-	ou, bind := ga.cfg.Settings.Outside, ga.cfg.PeerConfig.Bind
+	ou, bind := ga.cfg.Settings.ExternalServices, ga.cfg.PeerConfig.Bind
 	if ou.WeightStore != "" {
 		ga.weightStore = weightstore.New(ou.WeightStore, bind)
 	}
@@ -146,11 +146,11 @@
 	se := ga.cfg.Settings
 	rc := rollout.Config{
 		Identity: fmt.Sprintf("%s|%016x", se.PeerAddress, ga.instance), Group: ga.group, Complete: ga.completeSample,
-		Latest: ga.latestSequence, Now: ga.now, NoHedging: se.Policy.NoHedging, NoSpread: se.Policy.NoSpread, Meter: ga.cfg.Meter, Log: ga.cfg.Log,
+		LatestSequence: ga.latestSequence, Now: ga.now, NoHedging: se.Policy.NoHedging, NoSpread: se.Policy.NoSpread, Meter: ga.cfg.Meter, Log: ga.cfg.Log,
 		FailureDomain: se.FailureDomain,
 	}
-	if se.Outside.Scorer != "" {
-		rc.Score = scorer.New(se.Outside.Scorer, ga.cfg.PeerConfig.Bind).Score
+	if se.ExternalServices.Scorer != "" {
+		rc.Score = scorer.New(se.ExternalServices.Scorer, ga.cfg.PeerConfig.Bind).Score
 	}
 
 	return rc
@@ -173,7 +173,7 @@
 // PeerAddress returns the address that peers connect to.
 func (ga *Gateway) PeerAddress() string { return ga.listener.Address() }
 
-// Run runs the gateway until ctx ends. For a graceful shutdown, call StopDuties first.
+// Run runs the gateway until ctx ends. For a graceful shutdown, call HandOver first.
 func (ga *Gateway) Run(ctx context.Context) error {
 	defer ga.listener.Close()
 
@@ -194,8 +194,8 @@
 		run(func() { pt.loop(ctx) })
 	}
 	if ga.group.HasDisk() {
-		for _, du := range ga.duties() {
-			run(func() { du.Run(ctx) })
+		for _, ta := range ga.leasedTasks() {
+			run(func() { ta.Run(ctx) })
 		}
 	}
 	err := ga.group.Run(ctx)
@@ -206,9 +206,9 @@
 	return err
 }
 
-// StopDuties releases the leases and transfers leadership of the group if this
+// HandOver releases the leases and transfers leadership of the group if this
 // gateway is the leader.
-func (ga *Gateway) StopDuties(ctx context.Context) {
+func (ga *Gateway) HandOver(ctx context.Context) {
 	ga.BeginShutdown()
 	for ctx.Err() == nil && ga.holdsLease() {
 		time.Sleep(leaseReleasePoll)
@@ -218,8 +218,8 @@
 
 func (ga *Gateway) holdsLease() bool {
 	holds := false
-	ga.group.Read(func(ma *machine.Machine) {
-		for _, n := range []string{agent.LeaseFleet, agent.LeaseWeights, machine.UsageLease} {
+	ga.group.Read(func(ma *statemachine.Machine) {
+		for _, n := range []string{agent.LeaseFleet, agent.LeaseWeights, statemachine.UsageLease} {
 			holds = holds || ma.Leases().Get(n).Holder == ga.leaseHolder()
 		}
 	})
@@ -231,12 +231,12 @@
 	return fmt.Sprintf("%s/%016x", ga.cfg.Settings.Name, ga.instance)
 }
 
-func (ga *Gateway) leaseTerms() lease.Terms {
-	te := lease.DefaultTerms()
-	te.Duration = settings.Duration(ga.cfg.Settings.Times.LeaseMs)
-	te.MaxCall = settings.Duration(ga.cfg.Settings.Times.MaxCallMs)
+func (ga *Gateway) leaseTiming() lease.Timing {
+	ti := lease.DefaultTiming()
+	ti.Duration = settings.Milliseconds(ga.cfg.Settings.Times.LeaseMs)
+	ti.MaxCall = settings.Milliseconds(ga.cfg.Settings.Times.MaxCallMs)
 
-	return te
+	return ti
 }
 
 // poolOf returns the pool of a model or plain service.
@@ -298,7 +298,7 @@
 		return result.New(result.ShuttingDown, "gateway %s is shutting down", ga.cfg.Settings.Name)
 	}
 
-	return ga.group.Fresh()
+	return ga.group.CheckFresh()
 }
 
 // BeginShutdown makes Ready fail and has the leases released. New work is still accepted.
--- a/internal/gateway/servers.go
+++ b/internal/gateway/handlers.go
@@ -8,13 +8,13 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/tamarackbay/tamarackbay/internal/agent"
-	"github.com/tamarackbay/tamarackbay/internal/call"
 	"github.com/tamarackbay/tamarackbay/internal/declaration"
 	"github.com/tamarackbay/tamarackbay/internal/group"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
+	"github.com/tamarackbay/tamarackbay/internal/idempotency"
 	"github.com/tamarackbay/tamarackbay/internal/peer"
 	"github.com/tamarackbay/tamarackbay/internal/quarantine"
 	"github.com/tamarackbay/tamarackbay/internal/result"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/usage"
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
@@ -67,10 +67,10 @@
 
 	se := st.Session()
 	po := ga.poolOf(an.GetModel() + an.GetService())
-	po.Announce(&an, se)
+	po.AddServer(&an, se)
 	go func() {
 		<-se.Done()
-		po.Gone(an.GetServer(), an.GetIncarnation(), se)
+		po.RemoveServer(an.GetServer(), an.GetIncarnation(), se)
 	}()
 
 	return st.Reply(&wire.AnnounceReply{WindowSeconds: windowSeconds(ga.group.View())})
@@ -85,7 +85,7 @@
 	resync := false
 	for _, po := range ga.Pools() {
 		if _, ok := po.Find(lo.GetServer()); ok {
-			resync = po.Load(&lo, int(lo.GetGateways()))
+			resync = po.ApplyLoad(&lo, int(lo.GetGateways()))
 		}
 	}
 
@@ -100,16 +100,16 @@
 		return err
 	}
 
-	var fo usage.Fold
+	var fo usage.AddCounters
 	for _, co := range rq.GetCounters() {
 		fo.Counters = append(fo.Counters, usage.Counter{
 			Agent: rq.GetAgent(), Incarnation: co.GetIncarnation(), Workspace: co.GetWorkspace(), Window: co.GetWindow(),
-			Figures: usage.Figures{Requests: co.GetRequests(), Tokens: co.GetTokens()},
+			Amounts: usage.Amounts{Requests: co.GetRequests(), Tokens: co.GetTokens()},
 		})
 	}
 
 	tooOld := 0
-	if err := ga.group.Propose(ctx, machine.KindFoldUsage, fo, &tooOld); err != nil {
+	if err := ga.group.Propose(ctx, statemachine.KindAddUsage, fo, &tooOld); err != nil {
 		return err
 	}
 	if tooOld > 0 {
@@ -126,8 +126,8 @@
 	}
 	ga.cfg.Meter.Count("servers.crashed")
 
-	return ga.group.Propose(ctx, machine.KindCrash, quarantine.Crash{
-		Server: rq.GetServer(), Fingerprints: rq.GetFingerprints(), Alone: rq.GetAlone(),
+	return ga.group.Propose(ctx, statemachine.KindRecordCrash, quarantine.Crash{
+		Server: rq.GetServer(), Fingerprints: rq.GetFingerprints(), WereSuspects: rq.GetAlone(),
 	}, nil)
 }
 
@@ -178,7 +178,7 @@
 		if err := ga.group.Barrier(ctx); err != nil {
 			unlock()
 
-			return nil, result.From(err).With(result.NotRun)
+			return nil, result.From(err).WithExecution(result.NotRun)
 		}
 	}
 	*suspect = false
@@ -204,7 +204,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), groupCallTimeout)
 	defer cancel()
-	if err := ga.group.Propose(ctx, machine.KindCleared, quarantine.Cleared{Fingerprint: fp}, nil); err == nil {
+	if err := ga.group.Propose(ctx, statemachine.KindClearSuspect, quarantine.Cleared{Fingerprint: fp}, nil); err == nil {
 		ga.cfg.Meter.Count("quarantine.cleared")
 	}
 }
@@ -222,7 +222,7 @@
 	}
 
 	var rep wire.FencingReply
-	ga.group.Read(func(ma *machine.Machine) { rep.Fencing = ma.Leases().Get(rq.GetLease()).Fencing })
+	ga.group.Read(func(ma *statemachine.Machine) { rep.Fencing = ma.Leases().Get(rq.GetLease()).Fencing })
 
 	return st.Reply(&rep)
 }
@@ -273,7 +273,7 @@
 
 // isCallRunning reports whether the gateway that began a call still runs it. An
 // unreachable gateway counts as not running it.
-func (ga *Gateway) isCallRunning(ctx context.Context, re *call.Record) bool {
+func (ga *Gateway) isCallRunning(ctx context.Context, re *idempotency.Record) bool {
 	if re.Gateway == ga.cfg.Settings.PeerAddress {
 		return ga.isCallRunningHere(re.Owner)
 	}
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -36,7 +36,7 @@
 	}
 
 	wo := pl.ga.group.View().Set.Workspaces[pl.workspace]
-	gr, err := pl.po.Acquire(ctx, pool.Ticket{
+	gr, err := pl.po.Acquire(ctx, pool.Request{
 		Workspace: pl.workspace, Weight: max(wo.Weight, 0.001), Class: declaration.ClassRank(pl.class), Cost: pl.cost,
 		Deadline: pl.deadline, MaxQueued: max(wo.MaxQueued, 1), MinSequence: pl.minSequence, NewestFirst: pl.newestFirst,
 		Prefix: pl.prefix, IsSuspect: pl.suspect, Exclude: pl.exclude, Fingerprint: pl.fingerprint,
@@ -49,7 +49,7 @@
 
 		return nil, nil, err
 	}
-	pl.ga.cfg.Meter.Time("queue.wait", gr.Waited())
+	pl.ga.cfg.Meter.RecordDuration("queue.wait", gr.Waited())
 
 	return gr, done, nil
 }
@@ -81,10 +81,10 @@
 // end if ctx has ended, otherwise err.
 func receiveError(ctx context.Context, err error) error {
 	if er := cancelCause(ctx); er != nil {
-		return er.With(result.Unknown)
+		return er.WithExecution(result.ExecutionUnknown)
 	}
 	if ctx.Err() != nil {
-		return result.New(result.DeadlinePassed, "the deadline passed while the request ran").With(result.Unknown)
+		return result.New(result.DeadlinePassed, "the deadline passed while the request ran").WithExecution(result.ExecutionUnknown)
 	}
 
 	return err
--- a/internal/group/membership.go
+++ b/internal/group/membership.go
@@ -11,9 +11,9 @@
 	"github.com/apex/log"
 
 	"github.com/tamarackbay/tamarackbay/internal/consensus"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/peer"
 	"github.com/tamarackbay/tamarackbay/internal/result"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
@@ -82,7 +82,7 @@
 	ctx, cancel := context.WithTimeout(ctx, discoveryTimeout)
 	defer cancel()
 
-	addresses := gr.cfg.Addresses()
+	addresses := gr.cfg.CandidateAddresses()
 	gr.mu.Lock()
 	addresses = slices.AppendSeq(slices.Clone(addresses), maps.Values(gr.storedPeers))
 	gr.mu.Unlock()
@@ -206,9 +206,9 @@
 	return gr.callAddress(ctx, address, methodJoin, req, &wire.Empty{})
 }
 
-// rejoinDuty asks to join again after a time without a leader: the group may have
+// rejoinLoop asks to join again after a time without a leader: the group may have
 // replaced this replica while it was unreachable.
-func (gr *Group) rejoinDuty(ctx context.Context) {
+func (gr *Group) rejoinLoop(ctx context.Context) {
 	leaderless := gr.now()
 	for ctx.Err() == nil {
 		select {
@@ -256,8 +256,8 @@
 	if gr.cfg.IsRetiring(req.GetName()) {
 		return result.New(result.MembershipRefused, "group: VM %s is retiring, its replica may not join", req.GetName())
 	}
-	reg := machine.Register{Replica: id, Name: req.GetName(), Address: req.GetAddress(), FailureDomain: req.GetFailureDomain()}
-	if err := gr.Propose(ctx, machine.KindRegister, reg, nil); err != nil {
+	reg := statemachine.Registration{Replica: id, Name: req.GetName(), Address: req.GetAddress(), FailureDomain: req.GetFailureDomain()}
+	if err := gr.Propose(ctx, statemachine.KindRegister, reg, nil); err != nil {
 		return err
 	}
 
@@ -274,16 +274,16 @@
 	})
 }
 
-// registerDuty keeps this replica's address registered in the group.
-func (gr *Group) registerDuty(ctx context.Context) {
+// registerLoop keeps this replica's address registered in the group.
+func (gr *Group) registerLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		want := machine.Register{
+		want := statemachine.Registration{
 			Replica: gr.identity.Replica, Name: gr.cfg.Name, Address: gr.cfg.Address, FailureDomain: gr.cfg.FailureDomain,
 		}
 		known := false
-		gr.Read(func(ma *machine.Machine) { known = ma.Replicas()[want.Replica] == want })
+		gr.Read(func(ma *statemachine.Machine) { known = ma.Replicas()[want.Replica] == want })
 		if !known {
-			_ = gr.Propose(ctx, machine.KindRegister, want, nil) // retried after registerPeriod
+			_ = gr.Propose(ctx, statemachine.KindRegister, want, nil) // retried after registerPeriod
 		}
 		gr.recordPeers()
 		select {
@@ -324,8 +324,8 @@
 	gr.storedPeers = peers
 }
 
-// membershipDuty repairs the membership while this replica is the leader.
-func (gr *Group) membershipDuty(ctx context.Context) {
+// membershipLoop repairs the membership while this replica is the leader.
+func (gr *Group) membershipLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-time.After(membershipPeriod):
@@ -338,7 +338,7 @@
 		}
 
 		names := map[consensus.ReplicaID]string{}
-		gr.Read(func(ma *machine.Machine) {
+		gr.Read(func(ma *statemachine.Machine) {
 			for id, re := range ma.Replicas() {
 				names[id] = re.Name
 			}
@@ -360,8 +360,8 @@
 
 // targetVoters returns how many voters the group should have.
 func (gr *Group) targetVoters() int {
-	if gr.cfg.Voters > 0 {
-		return gr.cfg.Voters
+	if gr.cfg.TargetVoters > 0 {
+		return gr.cfg.TargetVoters
 	}
 
 	return len(gr.identity.Bootstrap)
@@ -379,7 +379,7 @@
 		if isRetiring(nameOf(id, names)) {
 			return true
 		}
-		heard, ok := re.HeardFrom(id)
+		heard, ok := re.LastContact(id)
 
 		return id != re.ID() && ok && (now > heard+after || isSuperseded(now, id, re, names))
 	}
@@ -422,14 +422,14 @@
 // isSuperseded reports whether id is silent while another replica of the same name was
 // heard from later, which happens when a data folder was emptied.
 func isSuperseded(now time.Duration, id consensus.ReplicaID, re *consensus.Replica, names map[consensus.ReplicaID]string) bool {
-	heard, ok := re.HeardFrom(id)
+	heard, ok := re.LastContact(id)
 	if !ok || now < heard+supersededAfter {
 		return false
 	}
 
 	name := nameOf(id, names)
 	for _, other := range re.Membership().All() {
-		at, ok := re.HeardFrom(other)
+		at, ok := re.LastContact(other)
 		if other != id && nameOf(other, names) == name && (other == re.ID() || (ok && at > heard)) {
 			return true
 		}
--- a/internal/group/propose.go
+++ b/internal/group/propose.go
@@ -8,9 +8,9 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"github.com/tamarackbay/tamarackbay/internal/consensus"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/peer"
 	"github.com/tamarackbay/tamarackbay/internal/result"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/step"
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
@@ -83,8 +83,8 @@
 
 // Propose commits a command and decodes its reply into out. It retries while no leader
 // can be reached, which is safe as every command is idempotent.
-func (gr *Group) Propose(ctx context.Context, kind machine.Kind, body, out any) error {
-	command, err := machine.Encode(kind, body)
+func (gr *Group) Propose(ctx context.Context, kind statemachine.Kind, body, out any) error {
+	command, err := statemachine.Encode(kind, body)
 	if err != nil {
 		return err
 	}
@@ -97,7 +97,7 @@
 	for {
 		rep, err := gr.proposeOnce(ctx, command)
 		if err == nil {
-			return machine.DecodeReply(rep, out)
+			return statemachine.DecodeReply(rep, out)
 		}
 		if !isRetriable(err) {
 			return err
@@ -106,16 +106,16 @@
 		select {
 		case <-time.After(retryMin + rand.N(retryMax-retryMin)):
 		case <-ctx.Done():
-			return result.New(result.GroupTimeout, "group: the command was not confirmed in time: %v", err).With(result.Unknown)
+			return result.New(result.GroupTimeout, "group: the command was not confirmed in time: %v", err).WithExecution(result.ExecutionUnknown)
 		}
 	}
 }
 
 // ProposeLocal commits a command if this replica is the leader, and otherwise returns an
 // error at once. If the command may still be committed after a failure, the execution of
-// the error is Unknown.
-func (gr *Group) ProposeLocal(ctx context.Context, kind machine.Kind, body, out any) error {
-	command, err := machine.Encode(kind, body)
+// the error is ExecutionUnknown.
+func (gr *Group) ProposeLocal(ctx context.Context, kind statemachine.Kind, body, out any) error {
+	command, err := statemachine.Encode(kind, body)
 	if err != nil {
 		return err
 	}
@@ -128,7 +128,7 @@
 		return err
 	}
 
-	return machine.DecodeReply(rep, out)
+	return statemachine.DecodeReply(rep, out)
 }
 
 func isRetriable(err error) bool {
@@ -279,8 +279,8 @@
 	return nil
 }
 
-// confirmDuty renews the freshness time of a replica periodically.
-func (gr *Group) confirmDuty(ctx context.Context) {
+// confirmLoop renews the freshness time of a replica periodically.
+func (gr *Group) confirmLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		cctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 		err := gr.Barrier(cctx)
@@ -305,14 +305,14 @@
 	return gr.callAddress(ctx, address, method, req, rep)
 }
 
-// Others returns the peer addresses of other gateways that are connected, those of
+// ConnectedPeers returns the peer addresses of other gateways that are connected, those of
 // other failure domains first.
-func (gr *Group) Others(failureDomain string) []string {
+func (gr *Group) ConnectedPeers(failureDomain string) []string {
 	domains := map[string]string{}
 	for _, fo := range gr.cfg.Founders {
 		domains[fo.Address] = ""
 	}
-	gr.Read(func(ma *machine.Machine) {
+	gr.Read(func(ma *statemachine.Machine) {
 		for _, re := range ma.Replicas() {
 			domains[re.Address] = re.FailureDomain
 		}
@@ -332,8 +332,8 @@
 	return append(far, near...)
 }
 
-// QueryStep returns a step as recorded at the upstream, which may lag behind the leader.
-func (gr *Group) QueryStep(ctx context.Context, key string) (*step.Step, error) {
+// QueryStepUpstream returns a step as recorded at the upstream, which may lag behind the leader.
+func (gr *Group) QueryStepUpstream(ctx context.Context, key string) (*step.Step, error) {
 	var rep wire.ProposeReply
 	req := &wire.QueryRequest{Kind: "step", Payload: []byte(key)}
 	if err := gr.callUpstream(ctx, methodQuery, req, &rep); err != nil {
@@ -363,7 +363,7 @@
 
 	var b []byte
 	err := error(result.New(result.NotLeader, "group: the replica has not started"))
-	gr.Read(func(ma *machine.Machine) {
+	gr.Read(func(ma *statemachine.Machine) {
 		var s *step.Step
 		if s, err = ma.Steps().Get(string(req.GetPayload())); err == nil {
 			b, err = cbor.Marshal(s)
@@ -376,8 +376,8 @@
 	return st.Reply(&wire.ProposeReply{Result: b})
 }
 
-// Open starts a call with several answers at another process.
-func (gr *Group) Open(ctx context.Context, address, method string, req message) (*peer.Stream, error) {
+// OpenStream starts a call with several answers at another process.
+func (gr *Group) OpenStream(ctx context.Context, address, method string, req message) (*peer.Stream, error) {
 	wctx, cancel := context.WithTimeout(ctx, sessionTimeout)
 	defer cancel()
 	se, err := gr.transport.session(wctx, address)
--- a/internal/handlers/operator.go
+++ b/internal/handlers/operator.go
@@ -14,11 +14,11 @@
 	"github.com/tamarackbay/tamarackbay/internal/declaration"
 	"github.com/tamarackbay/tamarackbay/internal/gateway"
 	"github.com/tamarackbay/tamarackbay/internal/group"
+	"github.com/tamarackbay/tamarackbay/internal/intent"
 	"github.com/tamarackbay/tamarackbay/internal/lease"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
-	"github.com/tamarackbay/tamarackbay/internal/order"
 	"github.com/tamarackbay/tamarackbay/internal/pool"
 	"github.com/tamarackbay/tamarackbay/internal/result"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 )
 
 // readTimeout bounds how long a read waits for this gateway to be up to date.
@@ -55,7 +55,7 @@
 }
 
 func (op *Operators) refuse(w http.ResponseWriter, err error) {
-	op.gateway.Meter().Refused(err)
+	op.gateway.Meter().CountRefusal(err)
 	writeError(w, err)
 }
 
@@ -123,7 +123,7 @@
 // freshness bound.
 func (op *Operators) awaitCurrent(ctx context.Context) error {
 	if !op.gateway.Group().HasDisk() {
-		return op.gateway.Group().Fresh()
+		return op.gateway.Group().CheckFresh()
 	}
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -160,7 +160,7 @@
 		n = 20
 	}
 	var out []declaration.Change
-	if !op.gateway.Group().Read(func(ma *machine.Machine) { out = ma.Book().History(n) }) {
+	if !op.gateway.Group().Read(func(ma *statemachine.Machine) { out = ma.Configuration().History(n) }) {
 		op.refuse(w, result.New(result.NotLeader, "this gateway has no disk and no history: ask a gateway with a disk"))
 
 		return
@@ -215,7 +215,7 @@
 	Replica group.Status           `json:"replica"`
 	Servers []pool.Info            `json:"servers"`
 	Leases  map[string]lease.Lease `json:"leases"`
-	Open    []order.Intent         `json:"openOrders"`
+	Open    []intent.Intent        `json:"openOrders"`
 	Steps   int                    `json:"steps"`
 }
 
@@ -230,7 +230,7 @@
 	for _, po := range op.gateway.Pools() {
 		rep.Servers = append(rep.Servers, po.Infos()...)
 	}
-	gr.Read(func(ma *machine.Machine) {
+	gr.Read(func(ma *statemachine.Machine) {
 		for n, le := range ma.Leases().Leases() {
 			rep.Leases[n] = le
 		}
@@ -240,22 +240,22 @@
 }
 
 func (op *Operators) explain(w http.ResponseWriter, _ *http.Request, _ string) {
-	writeJSON(w, http.StatusOK, map[string]any{"fleet": op.gateway.ExplainFleet()})
+	writeJSON(w, http.StatusOK, map[string]any{"fleet": op.gateway.FleetReasons()})
 }
 
 type memberReply struct {
-	machine.Register
+	statemachine.Registration
 	Voter bool `json:"voter"`
 }
 
 func (op *Operators) members(w http.ResponseWriter, _ *http.Request, _ string) {
 	st := op.gateway.Group().Status()
 	out := []memberReply{}
-	op.gateway.Group().Read(func(ma *machine.Machine) {
+	op.gateway.Group().Read(func(ma *statemachine.Machine) {
 		for _, id := range st.Membership.All() {
 			re := ma.Replicas()[id]
 			re.Replica = id
-			out = append(out, memberReply{Register: re, Voter: st.Membership.IsVoter(id)})
+			out = append(out, memberReply{Registration: re, Voter: st.Membership.IsVoter(id)})
 		}
 	})
 	writeJSON(w, http.StatusOK, map[string]any{"leader": st.Leader, "members": out})
--- a/internal/call/call.go
+++ b/internal/idempotency/idempotency.go
@@ -1,7 +1,7 @@
-// Package call holds the ledger of non-repeatable requests. An intent with the
+// Package idempotency holds the ledger of non-repeatable requests. An intent with the
 // caller's idempotency key is committed before the request is sent to a backend
 // server, so that a resend through any gateway never causes a second run.
-package call
+package idempotency
 
 import (
 	"github.com/tamarackbay/tamarackbay/internal/result"
@@ -28,7 +28,7 @@
 	Owner   string   `cbor:"2,keyasint"` // ID of the request that runs the call
 	Gateway string   `cbor:"3,keyasint"` // peer address of the gateway that runs the call
 	State   State    `cbor:"4,keyasint"`
-	AtMs    int64    `cbor:"5,keyasint"` // when the call began
+	BegunMs int64    `cbor:"5,keyasint"` // when the call began
 	Status  int      `cbor:"6,keyasint"`
 	Headers []Header `cbor:"7,keyasint"`
 	Body    []byte   `cbor:"8,keyasint"`
@@ -69,23 +69,23 @@
 	keysByAge []string // keys, oldest first
 }
 
-// Image is the content of a Ledger in a snapshot.
-type Image struct {
+// Snapshot is the encoded form of a Ledger.
+type Snapshot struct {
 	Records map[string]*Record `cbor:"1,keyasint"`
 	Order   []string           `cbor:"2,keyasint"`
 }
 
-// NewLedger returns a ledger with the content of an image.
-func NewLedger(im Image) *Ledger {
-	if im.Records == nil {
-		im.Records = map[string]*Record{}
+// NewLedger returns a ledger with the content of a snapshot.
+func NewLedger(sn Snapshot) *Ledger {
+	if sn.Records == nil {
+		sn.Records = map[string]*Record{}
 	}
 
-	return &Ledger{records: im.Records, keysByAge: im.Order}
+	return &Ledger{records: sn.Records, keysByAge: sn.Order}
 }
 
-// Image returns the ledger's content for a snapshot.
-func (le *Ledger) Image() Image { return Image{Records: le.records, Order: le.keysByAge} }
+// Snapshot returns the ledger's encoded form.
+func (le *Ledger) Snapshot() Snapshot { return Snapshot{Records: le.records, Order: le.keysByAge} }
 
 // Begin returns the record of the call, and adds one if there is none. The sender of
 // the command may run the call only if it is the record's owner and the state is Begun.
@@ -102,7 +102,7 @@
 		return Record{}, result.New(result.QueueFull, "call %s: the ledger is full, its limit is %d calls", be.Key, maxRecords)
 	}
 
-	re := &Record{Digest: be.Digest, Owner: be.Owner, Gateway: be.Gateway, State: Begun, AtMs: atMs}
+	re := &Record{Digest: be.Digest, Owner: be.Owner, Gateway: be.Gateway, State: Begun, BegunMs: atMs}
 	le.records[be.Key] = re
 	le.keysByAge = append(le.keysByAge, be.Key)
 
@@ -113,7 +113,7 @@
 func (le *Ledger) dropExpired(atMs int64) {
 	for len(le.keysByAge) > 0 {
 		re, ok := le.records[le.keysByAge[0]]
-		if ok && atMs <= re.AtMs+retentionMs {
+		if ok && atMs <= re.BegunMs+retentionMs {
 			return
 		}
 		delete(le.records, le.keysByAge[0])
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -45,13 +45,13 @@
 }
 
 func cutConnection(context.Context, *backend.Call) (*backend.Answer, error) {
-	return nil, result.New(result.BackendCrashed, "cut").With(result.Unknown)
+	return nil, result.New(result.BackendCrashed, "cut").WithExecution(result.ExecutionUnknown)
 }
 
 func noAnswer(ctx context.Context, _ *backend.Call) (*backend.Answer, error) {
 	<-ctx.Done()
 
-	return nil, result.New(result.BackendTimeout, "silent").With(result.Unknown)
+	return nil, result.New(result.BackendTimeout, "silent").WithExecution(result.ExecutionUnknown)
 }
 
 type brokenBody struct{ io.Reader }
@@ -79,7 +79,7 @@
 // no replies. It fills in the route's name, host, prefix, times and targets.
 func newFixture(ro routing.Route, replies ...reply) *fixture {
 	fi := &fixture{}
-	ro.Name, ro.Host, ro.Prefix, ro.Timeout, ro.Aim = "r", "h", "/p/", time.Second, 50*time.Millisecond
+	ro.Name, ro.Host, ro.Prefix, ro.Timeout, ro.LatencyObjective = "r", "h", "/p/", time.Second, 50*time.Millisecond
 	ro.Targets = []routing.Target{{Service: "s", Weight: 1}}
 	cfg := &routing.Config{
 		Version:    1,
@@ -101,8 +101,8 @@
 	}
 	fi.in = ingress.New(ingress.Config{
 		Table: func() *routing.Table { return ta }, Fresh: func() error { return nil }, Balancer: ba, Random: func() float64 { return 0 },
-		Began: func(string, time.Time) { fi.began++ }, Meter: meter.New(), Log: logging.Discard(),
-		Client: &backend.Client{Events: readEvents, Send: func(ctx context.Context, address string, ca *backend.Call) (*backend.Answer, error) {
+		OnStart: func(string, time.Time) { fi.began++ }, Meter: meter.New(), Log: logging.Discard(),
+		Client: &backend.Client{NewEventReader: readEvents, Send: func(ctx context.Context, address string, ca *backend.Call) (*backend.Answer, error) {
 			fi.mu.Lock()
 			n := len(fi.sent)
 			fi.sent = append(fi.sent, address)
@@ -119,8 +119,8 @@
 
 func (fi *fixture) serve() error {
 	return fi.in.Serve(context.Background(), &ingress.Request{
-		ID: "1", Method: "POST", Host: "h", Path: "/p/x", Target: "/p/x", Key: "k", Arrived: time.Now(), Patient: 400 * time.Millisecond,
-	}, &ingress.Sink{Whole: func(an *backend.Answer, body []byte) { fi.status, fi.body = an.Status, string(body) }})
+		ID: "1", Method: "POST", Host: "h", Path: "/p/x", Target: "/p/x", Key: "k", Arrived: time.Now(), ClientTimeout: 400 * time.Millisecond,
+	}, &ingress.Sink{Complete: func(an *backend.Answer, body []byte) { fi.status, fi.body = an.Status, string(body) }})
 }
 
 var _ = ginkgo.Describe("a request with a complete answer", func() {
@@ -139,11 +139,11 @@
 		{"does not count an unreachable backend server as an attempt", routing.Repeatable, 1, []reply{refusedConnection, refusedConnection, ok}, 200, 0, 3},
 		{"is sent to another backend server when the first reports that it has not run", routing.AtMostOnce, 3, []reply{notRun, ok}, 200, 0, 2},
 		{"is repeated after a cut connection if it is repeatable", routing.Repeatable, 3, []reply{cutConnection, ok}, 200, 0, 2},
-		{"is never repeated after a cut connection if it is not repeatable", routing.AtMostOnce, 3, []reply{cutConnection, ok}, 0, result.Unknown, 1},
+		{"is never repeated after a cut connection if it is not repeatable", routing.AtMostOnce, 3, []reply{cutConnection, ok}, 0, result.ExecutionUnknown, 1},
 		{"is repeated after a truncated answer if it is repeatable", routing.Repeatable, 3, []reply{truncated, ok}, 200, 0, 2},
-		{"is not repeated after a truncated answer if it is not repeatable", routing.AtMostOnce, 3, []reply{truncated, ok}, 0, result.Unknown, 1},
+		{"is not repeated after a truncated answer if it is not repeatable", routing.AtMostOnce, 3, []reply{truncated, ok}, 0, result.ExecutionUnknown, 1},
 		{"is sent to another backend server when the first does not answer in time", routing.Repeatable, 3, []reply{noAnswer, ok}, 200, 0, 2},
-		{"is sent to no more backend servers than the route's MaxAttempts", routing.Repeatable, 2, []reply{cutConnection}, 0, result.Unknown, 2},
+		{"is sent to no more backend servers than the route's MaxAttempts", routing.Repeatable, 2, []reply{cutConnection}, 0, result.ExecutionUnknown, 2},
 		{"is refused as not run when no backend server ran it", routing.Repeatable, 3, []reply{notRun}, 0, result.NotRun, 3},
 		{"is answered with a backend server's failure when all attempts fail", routing.Repeatable, 2, []reply{complete(500, "no")}, 500, 0, 2},
 		{"is answered with the first failure if it is not repeatable", routing.AtMostOnce, 3, []reply{complete(500, "no"), ok}, 500, 0, 1},
--- a/internal/dispatch/driver.go
+++ b/internal/jobdriver/driver.go
@@ -1,8 +1,8 @@
-// Package dispatch executes the items of batch jobs while its store is the leader of
+// Package jobdriver executes the items of batch jobs while its store is the leader of
 // the store group. It places each item at a backend server, resumes broken runs after
 // their last event, requests the score and commits the result. One process executes
 // all items of a group.
-package dispatch
+package jobdriver
 
 import (
 	"cmp"
@@ -18,9 +18,9 @@
 	"github.com/tamarackbay/tamarackbay/internal/feed"
 	"github.com/tamarackbay/tamarackbay/internal/group"
 	"github.com/tamarackbay/tamarackbay/internal/job"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/meter"
 	"github.com/tamarackbay/tamarackbay/internal/routing"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 )
 
 const (
@@ -71,7 +71,7 @@
 	return &Driver{
 		cfg: cfg, wake: make(chan struct{}, 1), jobs: map[string]*jobState{}, running: map[string]int{}, paces: newPaceTracker(),
 		demand: map[string]float64{}, commit: func(ctx context.Context, pr job.Progress) error {
-			return cfg.Group.ProposeLocal(ctx, machine.KindNoteProgress, pr, nil)
+			return cfg.Group.ProposeLocal(ctx, statemachine.KindRecordProgress, pr, nil)
 		},
 	}
 }
@@ -134,7 +134,7 @@
 	if dr.term != st.Term {
 		dr.stopLocked()
 		dr.term, dr.revision = st.Term, 0
-		dr.cfg.Log.WithField("term", st.Term).Info("items are driven here")
+		dr.cfg.Log.WithField("term", st.Term).Info("items are executed by this store")
 	}
 	dr.syncLedger()
 	dr.classifyServers()
@@ -148,7 +148,7 @@
 	defer dr.mu.Unlock()
 
 	if dr.term != 0 {
-		dr.cfg.Log.WithField("term", dr.term).Info("items are not driven here any more")
+		dr.cfg.Log.WithField("term", dr.term).Info("items are no longer executed by this store")
 	}
 	dr.stopLocked()
 	dr.term = 0
@@ -171,7 +171,7 @@
 
 // syncLedger takes over the changes of the ledger: new jobs, ended jobs, listed items.
 func (dr *Driver) syncLedger() {
-	dr.cfg.Group.Read(func(ma *machine.Machine) {
+	dr.cfg.Group.Read(func(ma *statemachine.Machine) {
 		le := ma.Jobs()
 		if le.Revision() == dr.revision && dr.revision != 0 {
 			return
@@ -212,8 +212,8 @@
 		id: sp.ID, workspace: sp.Workspace, host: sp.Host, model: sp.Model, minVersion: sp.MinVersion, submitted: at,
 		tasks: map[int]*task{}, timeline: timeline{runs: map[string]int{}},
 	}
-	if sp.MaxQueue > 0 {
-		js.queueDeadline = at.Add(time.Duration(sp.MaxQueue) * time.Millisecond)
+	if sp.MaxQueueMs > 0 {
+		js.queueDeadline = at.Add(time.Duration(sp.MaxQueueMs) * time.Millisecond)
 	}
 	for i := range sp.Items {
 		if !jo.Listed[i] {
@@ -309,8 +309,8 @@
 	if dr.jobs[t.job.id] != t.job || t.phase != running || t.isProgressStopped {
 		return
 	}
-	dr.progress = append(dr.progress, job.Part{Job: t.job.id, Item: t.index, After: te.proposed, First: !te.hasProposed, Text: job.Partial{
-		Events: slices.Clone(te.events[te.proposedEvents:]), Last: te.lastEvent, Versions: slices.Clone(te.versions), Term: dr.term,
+	dr.progress = append(dr.progress, job.Part{Job: t.job.id, Item: t.index, After: te.proposed, IsFirst: !te.hasProposed, Text: job.Partial{
+		Events: slices.Clone(te.events[te.proposedEvents:]), LastEvent: te.lastEvent, Versions: slices.Clone(te.versions), Term: dr.term,
 	}})
 	te.proposed, te.proposedEvents, te.hasProposed = te.lastEvent, len(te.events), true
 }
@@ -358,7 +358,7 @@
 func (dr *Driver) classifyServers() {
 	slow, lagging := dr.paces.classify(time.Now())
 	if !slices.Equal(slow, dr.slow) {
-		dr.cfg.Log.WithFields(log.Fields{"slow": slow, "before": dr.slow, "lagging": lagging}).Info("slow backend servers")
+		dr.cfg.Log.WithFields(log.Fields{"slow": slow, "before": dr.slow, "lagging": lagging}).Info("slow backend servers changed")
 	}
 	dr.slow, dr.lagging = slow, lagging
 }
@@ -461,7 +461,7 @@
 		fl["why"] = why
 	}
 	for ctx.Err() == nil {
-		err := dr.cfg.Group.ProposeLocal(ctx, machine.KindListResults, job.List{Job: t.job.id, Results: []job.Result{re}}, nil)
+		err := dr.cfg.Group.ProposeLocal(ctx, statemachine.KindListResults, job.ListResults{Job: t.job.id, Results: []job.Result{re}}, nil)
 		if err == nil {
 			dr.cfg.Meter.Count("item.listed")
 			dr.cfg.Log.WithFields(fl).Info("item listed")
--- a/internal/jobstore/jobstore.go
+++ b/internal/jobstore/jobstore.go
@@ -17,18 +17,18 @@
 	"github.com/tamarackbay/tamarackbay/internal/balance"
 	"github.com/tamarackbay/tamarackbay/internal/consensus"
 	"github.com/tamarackbay/tamarackbay/internal/controller"
-	"github.com/tamarackbay/tamarackbay/internal/dispatch"
 	"github.com/tamarackbay/tamarackbay/internal/feed"
 	"github.com/tamarackbay/tamarackbay/internal/group"
 	"github.com/tamarackbay/tamarackbay/internal/job"
-	"github.com/tamarackbay/tamarackbay/internal/jobgate"
-	"github.com/tamarackbay/tamarackbay/internal/machine"
+	"github.com/tamarackbay/tamarackbay/internal/jobdriver"
+	"github.com/tamarackbay/tamarackbay/internal/jobproxy"
 	"github.com/tamarackbay/tamarackbay/internal/meter"
 	"github.com/tamarackbay/tamarackbay/internal/peer"
 	"github.com/tamarackbay/tamarackbay/internal/result"
 	"github.com/tamarackbay/tamarackbay/internal/roster"
 	"github.com/tamarackbay/tamarackbay/internal/scheduler"
 	"github.com/tamarackbay/tamarackbay/internal/settings"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/storage"
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
@@ -60,7 +60,7 @@
 	links         *peer.Links
 	follower      *feed.Follower
 	balancer      *balance.Balancer
-	driver        *dispatch.Driver
+	driver        *jobdriver.Driver
 	statusChanged chan struct{} // holds an element after a change of the group's status
 }
 
@@ -69,21 +69,21 @@
 func New(cfg Config) (*Store, error) {
 	no := cfg.Settings
 	st := &Store{cfg: cfg, statusChanged: make(chan struct{}, 1), links: peer.NewLinks(context.Background(), cfg.Peer)}
-	st.follower = feed.NewFollower(feed.Config{Links: st.links, Seeds: cfg.Controllers, Own: no.PeerAddress, Log: cfg.Log})
+	st.follower = feed.NewFollower(feed.Config{Links: st.links, Seeds: cfg.Controllers, OwnAddress: no.PeerAddress, Log: cfg.Log})
 	var err error
 	st.group, err = group.New(group.Config{
 		Name: no.Name, Address: no.PeerAddress, FailureDomain: no.FailureDomain, DataFolder: no.DataFolder, Peer: cfg.Peer,
 		Files: cfg.Files, Election: settings.NodeElection, Heartbeat: settings.NodeHeartbeat, FreshnessBound: time.Hour,
-		ReplaceAfter: settings.NodeReplaceAfter, Voters: no.Voters(), Addresses: st.addresses, Formation: st.formation, Locate: st.locate,
+		ReplaceAfter: settings.NodeReplaceAfter, TargetVoters: no.Voters(), CandidateAddresses: st.addresses, Formation: st.formation, AddressOf: st.locate,
 		IsRetiring: st.isRetiring, WallMs: cfg.WallMs, Log: cfg.Log, OnStatus: st.onStatus,
 	})
 	if err != nil {
 		return nil, err
 	}
 	st.balancer = balance.New(balance.Config{
-		FailureDomain: no.FailureDomain, Scheduler: scheduler.Config{Choices: schedulerChoices}, Now: cfg.Now, Random: rand.IntN, KeepIdle: cfg.Client.KeepIdle,
+		FailureDomain: no.FailureDomain, Scheduler: scheduler.Config{RandomChoices: schedulerChoices}, Now: cfg.Now, Random: rand.IntN, IdleTimeout: cfg.Client.IdleTimeout,
 	})
-	st.driver = dispatch.New(dispatch.Config{
+	st.driver = jobdriver.New(jobdriver.Config{
 		Group: st.group, View: st.follower.View, Changed: st.follower.Changed, Balancer: st.balancer, Client: cfg.Client,
 		Random: rand.Float64, Meter: cfg.Meter, Log: cfg.Log,
 	})
@@ -157,8 +157,8 @@
 	return err
 }
 
-// StopDuties transfers the leadership before the process stops.
-func (st *Store) StopDuties(ctx context.Context) { st.group.TransferLeadership(ctx) }
+// HandOver transfers the leadership before the process stops.
+func (st *Store) HandOver(ctx context.Context) { st.group.TransferLeadership(ctx) }
 
 // announceLoop announces this store to every controller, periodically and after each
 // change of its status.
@@ -208,24 +208,24 @@
 // Handlers returns the handlers for calls from other processes of this system.
 func (st *Store) Handlers() peer.Mux {
 	mux := st.group.Handlers()
-	mux[jobgate.MethodSubmit] = handle(st, func(ctx context.Context, su *job.Submit) (any, error) {
-		if err := st.group.ProposeLocal(ctx, machine.KindSubmitJob, su, nil); err != nil {
+	mux[jobproxy.MethodSubmit] = handle(st, func(ctx context.Context, su *job.Submit) (any, error) {
+		if err := st.group.ProposeLocal(ctx, statemachine.KindSubmitJob, su, nil); err != nil {
 			return nil, err
 		}
 		st.cfg.Log.WithFields(log.Fields{"job": su.Spec.ID, "items": len(su.Spec.Items)}).Info("job accepted")
 
 		return nil, nil
 	})
-	mux[jobgate.MethodEnd] = handle(st, func(ctx context.Context, en *job.End) (any, error) {
-		if err := st.group.ProposeLocal(ctx, machine.KindEndJob, en, nil); err != nil {
+	mux[jobproxy.MethodEnd] = handle(st, func(ctx context.Context, en *job.End) (any, error) {
+		if err := st.group.ProposeLocal(ctx, statemachine.KindEndJob, en, nil); err != nil {
 			return nil, err
 		}
 		st.cfg.Log.WithField("job", en.Job).Info("job ended")
 
 		return nil, nil
 	})
-	mux[jobgate.MethodRead] = handle(st, st.read)
-	mux[jobgate.MethodBody] = handle(st, st.body)
+	mux[jobproxy.MethodRead] = handle(st, st.read)
+	mux[jobproxy.MethodBody] = handle(st, st.body)
 
 	return mux
 }
@@ -275,7 +275,7 @@
 		changed := st.group.Applied()
 		var pa *job.Page
 		var jerr error
-		st.group.Read(func(ma *machine.Machine) {
+		st.group.Read(func(ma *statemachine.Machine) {
 			var jo *job.Job
 			if jo, jerr = ma.Jobs().Get(rd.Job, rd.Workspace); jerr == nil {
 				pa = jo.Page(rd.From)
@@ -313,7 +313,7 @@
 		}
 		changed = st.group.Applied()
 		hasResults := false
-		st.group.Read(func(ma *machine.Machine) {
+		st.group.Read(func(ma *statemachine.Machine) {
 			jo, err := ma.Jobs().Get(rd.Job, rd.Workspace)
 			hasResults = err != nil || len(jo.Results) > rd.From
 		})
@@ -323,14 +323,14 @@
 	}
 }
 
-func (st *Store) body(ctx context.Context, rq *jobgate.BodyRequest) (any, error) {
+func (st *Store) body(ctx context.Context, rq *jobproxy.BodyRequest) (any, error) {
 	if err := st.barrier(ctx); err != nil {
 		return nil, err
 	}
 
 	var b []byte
 	var err error
-	st.group.Read(func(ma *machine.Machine) {
+	st.group.Read(func(ma *statemachine.Machine) {
 		var jo *job.Job
 		if jo, err = ma.Jobs().Get(rq.Job, rq.Workspace); err != nil {
 			return
--- a/internal/program/node.go
+++ b/internal/program/node.go
@@ -124,13 +124,13 @@
 	return fi
 }
 
-// StartNode starts the process of a role. Boot reads its settings; it is called again to
+// StartNode starts the process of a role. readSettings reads its settings; it is called again to
 // reload them. Dropped returns the number of dropped log lines; nil means none.
-func StartNode(role string, boot func() (*settings.Node, error), lo log.Interface, dropped func() int64) (*Node, error) {
+func StartNode(role string, readSettings func() (*settings.Node, error), lo log.Interface, dropped func() int64) (*Node, error) {
 	if dropped == nil {
 		dropped = func() int64 { return 0 }
 	}
-	no, err := boot()
+	no, err := readSettings()
 	if err != nil {
 		return nil, err
 	}
@@ -139,7 +139,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	nd := &Node{
-		runGroup: newRunGroup("process", lo.WithFields(log.Fields{"role": role, "node": no.Name})), role: role, loadSettings: boot, meter: meter.New(),
+		runGroup: newRunGroup("process", lo.WithFields(log.Fields{"role": role, "node": no.Name})), role: role, loadSettings: readSettings, meter: meter.New(),
 		settings: no, cancel: cancel, handOver: func(context.Context) {}, isLeader: func() bool { return false }, updateGauges: func() {},
 		droppedLines: dropped,
 	}
@@ -163,8 +163,8 @@
 	nd.run("reload", func() error { return nd.reloadPeriodically(ctx) })
 	nd.closeWhenDone()
 	nd.log.WithFields(log.Fields{
-		"failureDomain": no.FailureDomain, "peers": no.PeerAddress, "controllers": no.Controllers, "mayForm": no.MayForm,
-		"dataFolder": no.DataFolder, "losses": no.Losses,
+		"failureDomain": no.FailureDomain, "peers": no.PeerAddress, "controllers": no.Controllers, "mayForm": no.MayBootstrap,
+		"dataFolder": no.DataFolder, "losses": no.ToleratedFailures,
 	}).Info("started")
 
 	return nd, nil
@@ -176,7 +176,7 @@
 // peerConfig returns the configuration of sessions with other own processes.
 func (nd *Node) peerConfig() peer.Config {
 	return peer.Config{
-		Bind: nd.settings.BindIP, Silence: ackTimeout, DialTimeout: sessionDialTimeout, Log: nd.log,
+		Bind: nd.settings.BindIP, AckTimeout: ackTimeout, DialTimeout: sessionDialTimeout, Log: nd.log,
 		Hello: &wire.Hello{
 			Name: nd.settings.Name, Role: nd.role, FailureDomain: nd.settings.FailureDomain, Address: nd.settings.PeerAddress,
 			Protocol: peer.ProtocolVersion,
@@ -202,8 +202,8 @@
 
 // httpClient returns the HTTP client for backend servers.
 func (nd *Node) httpClient() *http.Client {
-	return httpcall.NewLearning(httpcall.Config{
-		Bind: nd.settings.BindIP, KeepAlive: true, Silence: ackTimeout, Idle: backendIdleTimeout, DialTimeout: backendDialTimeout,
+	return httpcall.NewAdaptive(httpcall.Config{
+		Bind: nd.settings.BindIP, KeepAlive: true, AckTimeout: ackTimeout, Idle: backendIdleTimeout, DialTimeout: backendDialTimeout,
 	})
 }
 
@@ -242,14 +242,14 @@
 	})
 	nd.edge = ed
 	nd.updateGauges = func() { ed.Measure(nd.meter) }
-	front := &platform.Front{
-		Serve: ed.Ingress().Serve, IsBatch: ed.Gate().IsBatch, Submit: ed.Gate().Submit, Read: ed.Gate().Read, Body: ed.Gate().Body,
-		End: ed.Gate().End, MaxBodyBytes: ed.MaxBodyBytes, IsReady: ed.IsReady, IsClosing: ed.IsClosing,
+	ch := &platform.ClientHandler{
+		Serve: ed.Ingress().Serve, IsBatch: ed.JobProxy().IsBatch, SubmitJob: ed.JobProxy().Submit, ReadResults: ed.JobProxy().Read, ItemBody: ed.JobProxy().Body,
+		EndJob: ed.JobProxy().End, MaxBodyBytes: ed.MaxBodyBytes, IsReady: ed.IsReady, ShouldCloseConnections: ed.IsClosing,
 	}
-	if err := nd.serve("readiness", nd.settings.ReadinessAddress, http.HandlerFunc(front.Ready)); err != nil {
+	if err := nd.serve("readiness", nd.settings.ReadinessAddress, http.HandlerFunc(ch.ServeReadiness)); err != nil {
 		return err
 	}
-	if err := nd.serve("clients", nd.settings.ClientAddress, front); err != nil {
+	if err := nd.serve("clients", nd.settings.ClientAddress, ch); err != nil {
 		return err
 	}
 	nd.run("edge", func() error {
@@ -270,8 +270,8 @@
 		Settings: nd.settings, Controllers: nd.seeds, Files: nd.countedFiles(), Peer: nd.peerConfig(),
 		Client: platform.NewBackendClient(hc), Now: timeSinceBoot, WallMs: wallMs, Log: nd.log,
 	}
-	if nd.settings.DutiesAddress != "" {
-		cfg.ReportUsage = platform.NewDuties(nd.settings.DutiesAddress, hc).ReportUsage
+	if nd.settings.UsageAddress != "" {
+		cfg.ReportUsage = platform.NewUsageClient(nd.settings.UsageAddress, hc).ReportUsage
 	}
 	co, err := controller.New(cfg)
 	if err != nil {
@@ -280,14 +280,14 @@
 	if err := nd.servePeers(nd.replicaPeerConfig(string(co.Group().Replica())), co.Handlers()); err != nil {
 		return err
 	}
-	ctl := &platform.Control{
-		Beat: co.Beat, Leave: co.Leave, PutRouting: co.PutRouting, Routing: co.Routing, NameVersion: co.NameVersion,
+	ctl := &platform.ControlPlane{
+		RecordHeartbeat: co.RecordHeartbeat, RecordLeave: co.RecordLeave, PutRouting: co.PutRouting, RoutingDocument: co.Routing, NameVersion: co.NameVersion,
 		Retire: co.Retire, Retirement: co.Retirement,
 	}
 	if err := nd.serve("control", nd.settings.ControlAddress, withControlTimeout(ctl.Handler())); err != nil {
 		return err
 	}
-	nd.handOver, nd.isLeader = co.StopDuties, co.Group().IsLeader
+	nd.handOver, nd.isLeader = co.HandOver, co.Group().IsLeader
 	nd.updateGauges = func() { co.Measure(nd.meter) }
 	nd.run("controller", func() error { return co.Run(ctx) })
 
@@ -326,7 +326,7 @@
 	if err := nd.servePeers(nd.replicaPeerConfig(string(st.Group().Replica())), st.Handlers()); err != nil {
 		return err
 	}
-	nd.handOver, nd.isLeader = st.StopDuties, st.Group().IsLeader
+	nd.handOver, nd.isLeader = st.HandOver, st.Group().IsLeader
 	nd.updateGauges = func() { st.Measure(nd.meter) }
 	nd.run("store", func() error { return st.Run(ctx) })
 
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -13,7 +13,7 @@
 func half() float64 { return 0.5 }
 
 var _ = Describe("a budget", func() {
-	crashed := result.New(result.BackendCrashed, "x").With(result.Unknown)
+	crashed := result.New(result.BackendCrashed, "x").WithExecution(result.ExecutionUnknown)
 	cases := []struct {
 		name   string
 		at     retry.Attempt
@@ -31,7 +31,7 @@
 		It("decides on "+tc.name, func() {
 			bu := retry.NewBudget(retry.Config{}, half)
 			tc.at.Key = "k"
-			bu.First("k")
+			bu.RecordFirstAttempt("k")
 			de := bu.Decide(tc.at)
 			Expect(de.Retry).To(Equal(tc.want))
 			Expect(de.Reason).To(Equal(tc.reason))
@@ -42,7 +42,7 @@
 		bu := retry.NewBudget(retry.Config{}, half)
 		first, retries := 0, 0
 		for range 10_000 {
-			bu.First("k")
+			bu.RecordFirstAttempt("k")
 			first++
 			for n := 1; bu.Decide(retry.Attempt{Key: "k", Number: n, MaxRetries: 5, IsRepeatable: true, Err: crashed}).Retry; n++ {
 				retries++
@@ -51,6 +51,6 @@
 		Expect(float64(first+retries) / float64(first)).To(BeNumerically("<=", 1.11))
 		de := bu.Decide(retry.Attempt{Key: "k", Number: 1, MaxRetries: 5, IsRepeatable: true, Err: crashed})
 		Expect(de.Err.Code).To(Equal(result.RetryBudgetSpent))
-		Expect(de.Err.Execution).To(Equal(result.Unknown), "the error still says that the request may have run")
+		Expect(de.Err.Execution).To(Equal(result.ExecutionUnknown), "the error still says that the request may have run")
 	})
 })
--- a/internal/rollout/page.go
+++ b/internal/rollout/page.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/result"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/step"
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
@@ -33,7 +33,7 @@
 	for {
 		if dr.shouldPropose(fp) {
 			var rep step.PageReply
-			err := dr.cfg.Group.Propose(ctx, machine.KindFormPage, fp, &rep)
+			err := dr.cfg.Group.Propose(ctx, statemachine.KindFormPage, fp, &rep)
 			dr.cfg.Meter.Add("samples.stale", int64(rep.Stale))
 			if err == nil {
 				return dr.assemble(ctx, key, id, rep)
@@ -51,7 +51,7 @@
 		case <-ctx.Done():
 			return nil, result.New(result.DeadlinePassed, "step %s: the request ended while waiting for a page", id)
 		case <-timer.C:
-			return nil, result.New(result.PageNotReady, "step %s: page %d is not ready", id, number).After(pagePollPeriod)
+			return nil, result.New(result.PageNotReady, "step %s: page %d is not ready", id, number).WithRetryAfter(pagePollPeriod)
 		}
 	}
 }
@@ -62,7 +62,7 @@
 // than a quarter of the step's samples have won, or after the deadline.
 func (dr *Driver) shouldPropose(fp step.FormPage) bool {
 	propose := true
-	dr.cfg.Group.Read(func(ma *machine.Machine) {
+	dr.cfg.Group.Read(func(ma *statemachine.Machine) {
 		st, err := ma.Steps().Get(fp.Key)
 		if err != nil || fp.Number != uint64(len(st.Pages))+1 {
 			return // the group returns the existing page or an error
@@ -87,13 +87,13 @@
 // checkDriver takes over the step if its driver does not answer.
 func (dr *Driver) checkDriver(ctx context.Context, key string) {
 	driver := ""
-	ok := dr.cfg.Group.Read(func(ma *machine.Machine) {
+	ok := dr.cfg.Group.Read(func(ma *statemachine.Machine) {
 		if st, err := ma.Steps().Get(key); err == nil && st.DoneMs == 0 {
 			driver = st.Driver
 		}
 	})
 	if !ok {
-		if st, err := dr.cfg.Group.QueryStep(ctx, key); err == nil && st.DoneMs == 0 {
+		if st, err := dr.cfg.Group.QueryStepUpstream(ctx, key); err == nil && st.DoneMs == 0 {
 			driver = st.Driver
 		}
 	}
@@ -123,7 +123,7 @@
 		dr.fetchPayloads(ctx, key, holder, digests, found)
 	}
 
-	lost := step.Lost{Key: key}
+	lost := step.ResetLost{Key: key}
 	var buf bytes.Buffer
 	stepID, err := json.Marshal(id)
 	if err != nil {
@@ -189,14 +189,14 @@
 			}
 		}
 	}
-	if dr.cfg.Group.Read(func(ma *machine.Machine) {
+	if dr.cfg.Group.Read(func(ma *statemachine.Machine) {
 		if st, err := ma.Steps().Get(key); err == nil {
 			find(st)
 		}
 	}) {
 		return index
 	}
-	if st, err := dr.cfg.Group.QueryStep(ctx, key); err == nil {
+	if st, err := dr.cfg.Group.QueryStepUpstream(ctx, key); err == nil {
 		find(st)
 	}
 
@@ -206,12 +206,12 @@
 // reportLost asks the holders of each missing payload once more and resets the
 // samples whose payload none of them returns. The other payloads are fetched again
 // with the next request for the page.
-func (dr *Driver) reportLost(ctx context.Context, lost step.Lost, samples []step.Sample) error {
+func (dr *Driver) reportLost(ctx context.Context, lost step.ResetLost, samples []step.Sample) error {
 	byDigest := map[string]step.Sample{}
 	for _, sa := range samples {
 		byDigest[sa.Digest] = sa
 	}
-	confirmed := step.Lost{Key: lost.Key}
+	confirmed := step.ResetLost{Key: lost.Key}
 	for i, d := range lost.Digests {
 		if dr.isPayloadLost(ctx, lost.Key, byDigest[d]) {
 			confirmed.Samples = append(confirmed.Samples, lost.Samples[i])
@@ -220,12 +220,12 @@
 	}
 	if len(confirmed.Samples) > 0 {
 		dr.cfg.Meter.Add("payloads.lost", int64(len(confirmed.Samples)))
-		if err := dr.cfg.Group.Propose(ctx, machine.KindLost, confirmed, nil); err != nil {
+		if err := dr.cfg.Group.Propose(ctx, statemachine.KindResetLost, confirmed, nil); err != nil {
 			return err
 		}
 	}
 
-	return result.New(result.PayloadLost, "step %s: the payloads of %d samples of the page are unavailable; lost samples are generated again", lost.Key, len(lost.Samples)).After(time.Second)
+	return result.New(result.PayloadLost, "step %s: the payloads of %d samples of the page are unavailable; lost samples are generated again", lost.Key, len(lost.Samples)).WithRetryAfter(time.Second)
 }
 
 // isPayloadLost reports whether no other holder returns the payload: each has none
@@ -251,7 +251,7 @@
 // samples that are on no page yet.
 func (dr *Driver) Ack(ctx context.Context, workspace, id string, number uint64) (remaining int, err error) {
 	var rep step.PageReply
-	err = dr.cfg.Group.Propose(ctx, machine.KindAckPage, step.Ack{Key: step.Key(workspace, id), Number: number}, &rep)
+	err = dr.cfg.Group.Propose(ctx, statemachine.KindAckPage, step.AckPage{Key: step.Key(workspace, id), Number: number}, &rep)
 
 	return rep.Remaining, err
 }
--- a/internal/rollout/steprun.go
+++ b/internal/rollout/steprun.go
@@ -8,8 +8,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/tamarackbay/tamarackbay/internal/machine"
 	"github.com/tamarackbay/tamarackbay/internal/result"
+	"github.com/tamarackbay/tamarackbay/internal/statemachine"
 	"github.com/tamarackbay/tamarackbay/internal/step"
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
@@ -135,7 +135,7 @@
 			}
 		}
 	}
-	if sr.dr.cfg.Group.Read(func(ma *machine.Machine) {
+	if sr.dr.cfg.Group.Read(func(ma *statemachine.Machine) {
 		if st, err := ma.Steps().Get(sr.st.Key()); err == nil {
 			read(st)
 		}
@@ -143,7 +143,7 @@
 		return out, state
 	}
 
-	st, err := sr.dr.cfg.Group.QueryStep(ctx, sr.st.Key())
+	st, err := sr.dr.cfg.Group.QueryStepUpstream(ctx, sr.st.Key())
 	if err == nil {
 		read(st)
 	}
@@ -226,7 +226,7 @@
 
 // minSequence returns the oldest weight version that may generate a sample now.
 func (sr *stepRun) minSequence() uint64 {
-	latest := sr.dr.cfg.Latest(sr.st.Model)
+	latest := sr.dr.cfg.LatestSequence(sr.st.Model)
 	low := uint64(1)
 	if latest > sr.st.Staleness {
 		low = latest - sr.st.Staleness
@@ -241,11 +241,11 @@
 	sa := sr.st.Samples[i]
 	gr := sr.st.Groups[sa.Group]
 	startedMs := time.Now().UnixMilli()
-	wr, err := sr.dr.complete(ctx, Attempt{
+	wr, err := sr.dr.complete(ctx, SampleRequest{
 		Workspace: sr.st.Workspace, Model: sr.st.Model, Prompt: gr.Prompt, MaxTokens: uint32(gr.MaxTokens),
-		Temperature: gr.Heat, Seed: xxhash.Sum64String(sa.ID), Retries: retriesPerAttempt,
+		Temperature: gr.Temperature, Seed: xxhash.Sum64String(sa.ID), Retries: retriesPerAttempt,
 		Timeout: time.Until(time.UnixMilli(sr.st.DeadlineMs)), MinSequence: sr.minSequence(), Exclude: exclude,
-		Placed: func(server string) { sr.recordPlacement(i, server) },
+		OnPlaced: func(server string) { sr.recordPlacement(i, server) },
 	})
 	re := record{ID: sa.ID, Group: gr.ID, Attempt: attempt, StartedMs: startedMs}
 	if err != nil {
@@ -254,7 +254,7 @@
 			return false, err
 		}
 		re.Failure = &failure{Code: er.Code, Name: result.Lookup(er.Code).Name, Message: er.Message}
-		wr = &Written{}
+		wr = &SampleResult{}
 	}
 
 	sequence, err := sr.oldestSequence(wr)
@@ -289,9 +289,9 @@
 // oldestSequence returns the sequence of the oldest weight version that generated a
 // part of the text. A trainer cannot use text of an unknown version, so that is an
 // error.
-func (sr *stepRun) oldestSequence(wr *Written) (uint64, error) {
+func (sr *stepRun) oldestSequence(wr *SampleResult) (uint64, error) {
 	if len(wr.Versions) == 0 {
-		return sr.dr.cfg.Latest(sr.st.Model), nil
+		return sr.dr.cfg.LatestSequence(sr.st.Model), nil
 	}
 
 	set := sr.dr.cfg.Group.View().Set
@@ -439,7 +439,7 @@
 	}
 	for ctx.Err() == nil {
 		cctx, cancel := context.WithTimeout(ctx, proposeTimeout)
-		err := sr.dr.cfg.Group.Propose(cctx, machine.KindWins, ws, nil)
+		err := sr.dr.cfg.Group.Propose(cctx, statemachine.KindWins, ws, nil)
 		cancel()
 		if err == nil || result.Is(err, result.UnknownStep) {
 			return
@@ -455,7 +455,7 @@
 	for _, w := range batch {
 		rq.Payloads = append(rq.Payloads, w.payload)
 	}
-	for _, a := range dr.cfg.Group.Others(dr.cfg.FailureDomain) {
+	for _, a := range dr.cfg.Group.ConnectedPeers(dr.cfg.FailureDomain) {
 		cctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 		err := dr.cfg.Group.Call(cctx, a, methodHold, rq, &wire.Empty{})
 		cancel()
--- a/internal/machine/machine.go
+++ b/internal/statemachine/statemachine.go
@@ -1,20 +1,20 @@
-// Package machine is the replicated state machine of a consensus group. It applies
+// Package statemachine is the replicated state machine of a consensus group. It applies
 // the commands of the log to the state of each domain (configuration, leases, orders,
 // steps and so on). It never reads a clock: the time is a field of the command.
-package machine
+package statemachine
 
 import (
 	"encoding/binary"
 
 	"github.com/fxamacker/cbor/v2"
 
-	"github.com/tamarackbay/tamarackbay/internal/call"
 	"github.com/tamarackbay/tamarackbay/internal/codec"
 	"github.com/tamarackbay/tamarackbay/internal/consensus"
 	"github.com/tamarackbay/tamarackbay/internal/declaration"
+	"github.com/tamarackbay/tamarackbay/internal/idempotency"
+	"github.com/tamarackbay/tamarackbay/internal/intent"
 	"github.com/tamarackbay/tamarackbay/internal/job"
 	"github.com/tamarackbay/tamarackbay/internal/lease"
-	"github.com/tamarackbay/tamarackbay/internal/order"
 	"github.com/tamarackbay/tamarackbay/internal/quarantine"
 	"github.com/tamarackbay/tamarackbay/internal/result"
 	"github.com/tamarackbay/tamarackbay/internal/roster"
@@ -24,8 +24,8 @@
 	"github.com/tamarackbay/tamarackbay/internal/weights"
 )
 
-// Register is the address of a replica, and the command that records it.
-type Register struct {
+// Registration is the address of a replica, and the command that records it.
+type Registration struct {
 	Replica       consensus.ReplicaID `cbor:"1,keyasint" json:"replica"`
 	Name          string              `cbor:"2,keyasint" json:"name"`
 	Address       string              `cbor:"3,keyasint" json:"address"`
@@ -47,20 +47,20 @@
 // Machine is the state of a group after the log entries applied so far. It is not
 // safe for concurrent use.
 type Machine struct {
-	applied    uint64 // position of the last entry applied
-	atMs       int64  // latest time of a command, Unix milliseconds
-	book       *declaration.Book
-	leases     *lease.Table
-	orders     *order.Log
-	steps      *step.Ledger
-	calls      *call.Ledger
-	usage      *usage.Book
-	quarantine *quarantine.Book
-	replicas   map[consensus.ReplicaID]Register
-	routing    *routing.Book
-	versions   *weights.Names
-	roster     *roster.Book
-	jobs       *job.Ledger
+	applied       uint64 // position of the last entry applied
+	atMs          int64  // latest time of a command, Unix milliseconds
+	configuration *declaration.Configuration
+	leases        *lease.Table
+	orders        *intent.Log
+	steps         *step.Ledger
+	calls         *idempotency.Ledger
+	usage         *usage.Ledger
+	quarantine    *quarantine.State
+	replicas      map[consensus.ReplicaID]Registration
+	routing       *routing.State
+	versions      *weights.VersionTable
+	roster        *roster.Roster
+	jobs          *job.Ledger
 
 	deltas      []Delta
 	deltasAfter uint64 // position after which deltas holds every change
@@ -69,31 +69,31 @@
 
 // New returns the state before the first log entry.
 func New() *Machine {
-	ma, err := restore(image{})
+	ma, err := restore(snapshot{})
 	if err != nil {
-		panic(err) // the empty image is valid
+		panic(err) // the empty snapshot is valid
 	}
 
 	return ma
 }
 
-// image is the snapshot form of a Machine.
-type image struct {
-	Applied    uint64                           `cbor:"1,keyasint"`
-	AtMs       int64                            `cbor:"2,keyasint"`
-	Book       declaration.Image                `cbor:"3,keyasint"`
-	Leases     map[string]lease.Lease           `cbor:"4,keyasint"`
-	Orders     order.Image                      `cbor:"5,keyasint"`
-	Steps      map[string]*step.Step            `cbor:"6,keyasint"`
-	Calls      call.Image                       `cbor:"7,keyasint"`
-	Usage      usage.Image                      `cbor:"8,keyasint"`
-	Quarantine map[string]quarantine.Entry      `cbor:"9,keyasint"`
-	Replicas   map[consensus.ReplicaID]Register `cbor:"10,keyasint"`
-	Revision   uint64                           `cbor:"11,keyasint"`
-	Routing    routing.Image                    `cbor:"12,keyasint"`
-	Versions   map[string]uint64                `cbor:"13,keyasint"`
-	Roster     roster.Image                     `cbor:"14,keyasint"`
-	Jobs       map[string]*job.Job              `cbor:"15,keyasint"`
+// snapshot is the encoded form of a Machine.
+type snapshot struct {
+	Applied       uint64                               `cbor:"1,keyasint"`
+	AtMs          int64                                `cbor:"2,keyasint"`
+	Configuration declaration.Snapshot                 `cbor:"3,keyasint"`
+	Leases        map[string]lease.Lease               `cbor:"4,keyasint"`
+	Orders        intent.Snapshot                      `cbor:"5,keyasint"`
+	Steps         map[string]*step.Step                `cbor:"6,keyasint"`
+	Calls         idempotency.Snapshot                 `cbor:"7,keyasint"`
+	Usage         usage.Snapshot                       `cbor:"8,keyasint"`
+	Quarantine    map[string]quarantine.Entry          `cbor:"9,keyasint"`
+	Replicas      map[consensus.ReplicaID]Registration `cbor:"10,keyasint"`
+	Revision      uint64                               `cbor:"11,keyasint"`
+	Routing       routing.Snapshot                     `cbor:"12,keyasint"`
+	Versions      map[string]uint64                    `cbor:"13,keyasint"`
+	Roster        roster.Snapshot                      `cbor:"14,keyasint"`
+	Jobs          map[string]*job.Job                  `cbor:"15,keyasint"`
 }
 
 // Snapshot returns the encoded state.
@@ -110,15 +110,15 @@
 // with further commands. Only the ledger of jobs grows large: Freeze takes a snapshot
 // of it and encodes the rest immediately.
 func (ma *Machine) Freeze() (encode func() ([]byte, error), err error) {
-	bo, err := ma.book.Image()
+	cs, err := ma.configuration.Snapshot()
 	if err != nil {
 		return nil, err
 	}
-	rest, err := codec.Append(nil, image{
-		Applied: ma.applied, AtMs: ma.atMs, Book: bo, Leases: ma.leases.Leases(), Orders: ma.orders.Image(),
-		Steps: ma.steps.Steps(), Calls: ma.calls.Image(), Usage: ma.usage.Image(),
+	rest, err := codec.Append(nil, snapshot{
+		Applied: ma.applied, AtMs: ma.atMs, Configuration: cs, Leases: ma.leases.Leases(), Orders: ma.orders.Snapshot(),
+		Steps: ma.steps.Steps(), Calls: ma.calls.Snapshot(), Usage: ma.usage.Snapshot(),
 		Quarantine: ma.quarantine.Entries(), Replicas: ma.replicas, Revision: ma.revision,
-		Routing: ma.routing.Image(), Versions: ma.versions.All(), Roster: ma.roster.Image(),
+		Routing: ma.routing.Snapshot(), Versions: ma.versions.All(), Roster: ma.roster.Snapshot(),
 	})
 	if err != nil {
 		return nil, err
@@ -130,43 +130,43 @@
 	}
 
 	return func() ([]byte, error) {
-		var im image
-		if err := cbor.Unmarshal(rest, &im); err != nil {
+		var sn snapshot
+		if err := cbor.Unmarshal(rest, &sn); err != nil {
 			return nil, result.New(result.Internal, "machine: decode state while encoding a snapshot: %v", err)
 		}
-		im.Jobs = jobs
+		sn.Jobs = jobs
 
 		// Allocated at full size, as a growing buffer would take twice the memory.
-		return codec.Append(make([]byte, 0, len(rest)+job.EncodedBytes(jobs)), im)
+		return codec.Append(make([]byte, 0, len(rest)+job.EncodedBytes(jobs)), sn)
 	}, nil
 }
 
 // Restore returns the state that a snapshot holds.
 func Restore(data []byte) (*Machine, error) {
-	var im image
-	if err := cbor.Unmarshal(data, &im); err != nil {
+	var sn snapshot
+	if err := cbor.Unmarshal(data, &sn); err != nil {
 		return nil, result.New(result.DataFolderDamaged, "machine: decode snapshot: %v", err)
 	}
 
-	return restore(im)
+	return restore(sn)
 }
 
-func restore(im image) (*Machine, error) {
-	bo, err := declaration.NewBookFrom(im.Book)
+func restore(sn snapshot) (*Machine, error) {
+	cs, err := declaration.NewConfigurationFrom(sn.Configuration)
 	if err != nil {
 		return nil, err
 	}
-	if im.Replicas == nil {
-		im.Replicas = map[consensus.ReplicaID]Register{}
+	if sn.Replicas == nil {
+		sn.Replicas = map[consensus.ReplicaID]Registration{}
 	}
 
 	return &Machine{
-		applied: im.Applied, atMs: im.AtMs, book: bo, leases: lease.NewTable(im.Leases),
-		orders: order.NewLog(im.Orders), steps: step.NewLedger(im.Steps), calls: call.NewLedger(im.Calls),
-		usage: usage.NewBook(im.Usage), quarantine: quarantine.NewBook(im.Quarantine), replicas: im.Replicas,
-		deltasAfter: im.Applied, revision: im.Revision,
-		routing: routing.NewBook(im.Routing), versions: weights.NewNames(im.Versions),
-		roster: roster.NewBook(im.Roster), jobs: job.NewLedger(im.Jobs),
+		applied: sn.Applied, atMs: sn.AtMs, configuration: cs, leases: lease.NewTable(sn.Leases),
+		orders: intent.NewLog(sn.Orders), steps: step.NewLedger(sn.Steps), calls: idempotency.NewLedger(sn.Calls),
+		usage: usage.NewLedger(sn.Usage), quarantine: quarantine.NewState(sn.Quarantine), replicas: sn.Replicas,
+		deltasAfter: sn.Applied, revision: sn.Revision,
+		routing: routing.NewState(sn.Routing), versions: weights.NewVersionTable(sn.Versions),
+		roster: roster.NewRoster(sn.Roster), jobs: job.NewLedger(sn.Jobs),
 	}, nil
 }
 
@@ -176,38 +176,38 @@
 // Revision returns the position of the last change that subscribers follow.
 func (ma *Machine) Revision() uint64 { return ma.revision }
 
-// Book returns the configuration.
-func (ma *Machine) Book() *declaration.Book { return ma.book }
+// Configuration returns the configuration.
+func (ma *Machine) Configuration() *declaration.Configuration { return ma.configuration }
 
 // Leases returns the leases.
 func (ma *Machine) Leases() *lease.Table { return ma.leases }
 
 // Orders returns the log of intents to order backend servers.
-func (ma *Machine) Orders() *order.Log { return ma.orders }
+func (ma *Machine) Orders() *intent.Log { return ma.orders }
 
 // Steps returns the ledger of the trainers' steps.
 func (ma *Machine) Steps() *step.Ledger { return ma.steps }
 
 // Calls returns the ledger of calls that may not be repeated.
-func (ma *Machine) Calls() *call.Ledger { return ma.calls }
+func (ma *Machine) Calls() *idempotency.Ledger { return ma.calls }
 
-// Usage returns the book of usage windows.
-func (ma *Machine) Usage() *usage.Book { return ma.usage }
+// Usage returns the ledger of usage windows.
+func (ma *Machine) Usage() *usage.Ledger { return ma.usage }
 
 // Quarantine returns the fingerprints of suspect and refused requests.
-func (ma *Machine) Quarantine() *quarantine.Book { return ma.quarantine }
+func (ma *Machine) Quarantine() *quarantine.State { return ma.quarantine }
 
 // Replicas returns the registered addresses of replicas.
-func (ma *Machine) Replicas() map[consensus.ReplicaID]Register { return ma.replicas }
+func (ma *Machine) Replicas() map[consensus.ReplicaID]Registration { return ma.replicas }
 
 // Routing returns the routing configuration by host and path.
-func (ma *Machine) Routing() *routing.Book { return ma.routing }
+func (ma *Machine) Routing() *routing.State { return ma.routing }
 
 // Versions returns the newest weight version named for each model.
-func (ma *Machine) Versions() *weights.Names { return ma.versions }
+func (ma *Machine) Versions() *weights.VersionTable { return ma.versions }
 
 // Roster returns the VMs that store batch jobs.
-func (ma *Machine) Roster() *roster.Book { return ma.roster }
+func (ma *Machine) Roster() *roster.Roster { return ma.roster }
 
 // Jobs returns the ledger of batch jobs.
 func (ma *Machine) Jobs() *job.Ledger { return ma.jobs }
@@ -250,7 +250,7 @@
 	KindReleaseLease: handle(func(ma *Machine, c lease.Release) (any, error) { return ma.leases.Release(c) }),
 	KindOpenIntent:   handle((*Machine).openIntent),
 	KindSettleIntent: handle((*Machine).settleIntent),
-	KindOpenStep: handle(func(ma *Machine, c step.Open) (any, error) {
+	KindOpenStep: handle(func(ma *Machine, c step.OpenStep) (any, error) {
 		st, err := ma.steps.Open(c, ma.atMs)
 		if err != nil {
 			return nil, err
@@ -258,36 +258,36 @@
 
 		return *st, nil
 	}),
-	KindWins:     handle(func(ma *Machine, c step.Wins) (any, error) { return ma.steps.Wins(c) }),
-	KindFormPage: handle((*Machine).formPage),
-	KindAckPage:  handle(func(ma *Machine, c step.Ack) (any, error) { return ma.steps.Ack(c, ma.atMs) }),
-	KindLost:     handle(func(ma *Machine, c step.Lost) (any, error) { return nil, ma.steps.Lost(c) }),
-	KindDrive: handle(func(ma *Machine, c step.Drive) (any, error) {
-		st, err := ma.steps.Drive(c)
+	KindWins:      handle(func(ma *Machine, c step.Wins) (any, error) { return ma.steps.Wins(c) }),
+	KindFormPage:  handle((*Machine).formPage),
+	KindAckPage:   handle(func(ma *Machine, c step.AckPage) (any, error) { return ma.steps.AckPage(c, ma.atMs) }),
+	KindResetLost: handle(func(ma *Machine, c step.ResetLost) (any, error) { return nil, ma.steps.ResetLost(c) }),
+	KindChangeDriver: handle(func(ma *Machine, c step.ChangeDriver) (any, error) {
+		st, err := ma.steps.ChangeDriver(c)
 		if err != nil {
 			return nil, err
 		}
 
 		return *st, nil
 	}),
-	KindBeginCall: handle(func(ma *Machine, c call.Begin) (any, error) { return ma.calls.Begin(c, ma.atMs) }),
-	KindEndCall:   handle(func(ma *Machine, c call.End) (any, error) { return nil, ma.calls.End(c) }),
-	KindAbandonCall: handle(func(ma *Machine, c call.Abandon) (any, error) {
+	KindBeginCall: handle(func(ma *Machine, c idempotency.Begin) (any, error) { return ma.calls.Begin(c, ma.atMs) }),
+	KindEndCall:   handle(func(ma *Machine, c idempotency.End) (any, error) { return nil, ma.calls.End(c) }),
+	KindAbandonCall: handle(func(ma *Machine, c idempotency.Abandon) (any, error) {
 		ma.calls.Abandon(c)
 
 		return nil, nil
 	}),
-	KindFoldUsage:   handle(func(ma *Machine, c usage.Fold) (any, error) { return ma.usage.Fold(c), nil }),
-	KindCloseWindow: handle((*Machine).closeWindow),
-	KindReported:    handle((*Machine).markReported),
-	KindCrash:       handle((*Machine).recordCrash),
-	KindCleared: handle(func(ma *Machine, c quarantine.Cleared) (any, error) {
+	KindAddUsage:     handle(func(ma *Machine, c usage.AddCounters) (any, error) { return ma.usage.AddCounters(c), nil }),
+	KindCloseWindow:  handle((*Machine).closeWindow),
+	KindMarkReported: handle((*Machine).markReported),
+	KindRecordCrash:  handle((*Machine).recordCrash),
+	KindClearSuspect: handle(func(ma *Machine, c quarantine.Cleared) (any, error) {
 		ma.quarantine.Cleared(c)
 		ma.appendQuarantineDelta([]string{c.Fingerprint})
 
 		return nil, nil
 	}),
-	KindRelease: handle(func(ma *Machine, c quarantine.Release) (any, error) {
+	KindReleaseQuarantine: handle(func(ma *Machine, c quarantine.Release) (any, error) {
 		if !ma.quarantine.Release(c) {
 			return nil, result.New(result.UnknownObject, "quarantine: unknown fingerprint %s", c.Fingerprint)
 		}
@@ -295,14 +295,14 @@
 
 		return nil, nil
 	}),
-	KindRegister: handle(func(ma *Machine, c Register) (any, error) {
+	KindRegister: handle(func(ma *Machine, c Registration) (any, error) {
 		ma.replicas[c.Replica] = c
 
 		return nil, nil
 	}),
 	KindPutRouting: handle(func(ma *Machine, c routing.Put) (any, error) { return ma.routing.Put(c), nil }),
-	KindNameVersion: handle(func(ma *Machine, c weights.Name) (any, error) {
-		ma.versions.Name(c)
+	KindRecordVersion: handle(func(ma *Machine, c weights.VersionRecord) (any, error) {
+		ma.versions.Record(c)
 
 		return nil, nil
 	}),
@@ -323,9 +323,9 @@
 		return nil, nil
 	}),
 	KindSubmitJob:   handle(func(ma *Machine, c job.Submit) (any, error) { return nil, ma.jobs.Submit(c, ma.atMs) }),
-	KindListResults: handle(func(ma *Machine, c job.List) (any, error) { return ma.jobs.List(c), nil }),
-	KindNoteProgress: handle(func(ma *Machine, c job.Progress) (any, error) {
-		ma.jobs.Note(c)
+	KindListResults: handle(func(ma *Machine, c job.ListResults) (any, error) { return ma.jobs.ListResults(c), nil }),
+	KindRecordProgress: handle(func(ma *Machine, c job.Progress) (any, error) {
+		ma.jobs.RecordProgress(c)
 
 		return nil, nil
 	}),
@@ -333,16 +333,16 @@
 }
 
 func (ma *Machine) patch(pa declaration.Patch) (any, error) {
-	before := ma.book.Version()
-	an := ma.book.Apply(pa, ma.atMs)
-	if ma.book.Version() != before {
-		ma.appendDelta(Delta{Change: &ma.book.History(1)[0]})
+	before := ma.configuration.Version()
+	an := ma.configuration.Apply(pa, ma.atMs)
+	if ma.configuration.Version() != before {
+		ma.appendDelta(Delta{Change: &ma.configuration.History(1)[0]})
 	}
 
 	return an, an.Err()
 }
 
-func (ma *Machine) openIntent(op order.Open) (any, error) {
+func (ma *Machine) openIntent(op intent.Open) (any, error) {
 	if err := ma.leases.Check(op.Intent.Lease, op.Intent.Fencing); err != nil {
 		return nil, err
 	}
@@ -351,7 +351,7 @@
 	return ma.orders.Open(op), nil
 }
 
-func (ma *Machine) settleIntent(se order.Settle) (any, error) {
+func (ma *Machine) settleIntent(se intent.Settle) (any, error) {
 	if err := ma.leases.Check(se.Lease, se.Fencing); err != nil {
 		return nil, err
 	}
@@ -364,7 +364,7 @@
 	if err != nil {
 		return nil, err
 	}
-	latest, _ := ma.book.Set().LatestVersion(st.Model)
+	latest, _ := ma.configuration.Set().LatestVersion(st.Model)
 
 	return ma.steps.FormPage(fp, latest.Sequence, ma.atMs)
 }
@@ -382,12 +382,12 @@
 	return nil, nil
 }
 
-func (ma *Machine) markReported(re usage.Reported) (any, error) {
+func (ma *Machine) markReported(re usage.MarkReported) (any, error) {
 	if err := ma.leases.Check(UsageLease, re.Fencing); err != nil {
 		return nil, err
 	}
 
-	return nil, ma.usage.Reported(re)
+	return nil, ma.usage.MarkReported(re)
 }
 
 func (ma *Machine) recordCrash(cr quarantine.Crash) (any, error) {
@@ -418,9 +418,9 @@
 	}
 }
 
-// Since returns the changes after a position, and false if some of them are no
+// DeltasSince returns the changes after a position, and false if some of them are no
 // longer retained.
-func (ma *Machine) Since(revision uint64) ([]Delta, bool) {
+func (ma *Machine) DeltasSince(revision uint64) ([]Delta, bool) {
 	if revision < ma.deltasAfter && ma.revision > revision {
 		return nil, false
 	}
@@ -433,17 +433,17 @@
 	return ma.deltas[n:], true
 }
 
-// Full is the complete state that subscribers follow.
-type Full struct {
+// FullState is the complete state that subscribers follow.
+type FullState struct {
 	Revision   uint64                      `cbor:"1,keyasint"`
 	Version    uint64                      `cbor:"2,keyasint"`
 	Ops        []declaration.Op            `cbor:"3,keyasint"`
 	Quarantine map[string]quarantine.Entry `cbor:"4,keyasint"`
 }
 
-// Full returns the complete state that subscribers follow.
-func (ma *Machine) Full() (Full, error) {
-	ops, err := ma.book.Set().Ops()
+// FullState returns the complete state that subscribers follow.
+func (ma *Machine) FullState() (FullState, error) {
+	ops, err := ma.configuration.Set().Ops()
 
-	return Full{Revision: ma.revision, Version: ma.book.Version(), Ops: ops, Quarantine: ma.quarantine.Entries()}, err
+	return FullState{Revision: ma.revision, Version: ma.configuration.Version(), Ops: ops, Quarantine: ma.quarantine.Entries()}, err
 }
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -10,15 +10,15 @@
 	"github.com/tamarackbay/tamarackbay/internal/result"
 )
 
-// Figures are amounts of usage.
-type Figures struct {
+// Amounts counts requests and tokens.
+type Amounts struct {
 	Requests uint64 `cbor:"1,keyasint" json:"requests"`
 	Tokens   uint64 `cbor:"2,keyasint" json:"tokens"`
 }
 
-func (fi *Figures) add(o Figures) {
-	fi.Requests += o.Requests
-	fi.Tokens += o.Tokens
+func (am *Amounts) add(o Amounts) {
+	am.Requests += o.Requests
+	am.Tokens += o.Tokens
 }
 
 // Counter is the cumulative count of one incarnation of an agent in one window.
@@ -27,11 +27,11 @@
 	Incarnation uint64  `cbor:"2,keyasint"`
 	Workspace   string  `cbor:"3,keyasint"`
 	Window      uint64  `cbor:"4,keyasint"`
-	Figures     Figures `cbor:"5,keyasint"`
+	Amounts     Amounts `cbor:"5,keyasint"`
 }
 
-// Fold is the command that adds counters to the book.
-type Fold struct {
+// AddCounters is the command that adds counters to the ledger.
+type AddCounters struct {
 	Counters []Counter `cbor:"1,keyasint"`
 }
 
@@ -42,8 +42,8 @@
 	Fencing uint64 `cbor:"2,keyasint"`
 }
 
-// Reported is the command that marks a window as reported to the platform.
-type Reported struct {
+// MarkReported is the command that marks a window as reported to the platform.
+type MarkReported struct {
 	Window  uint64 `cbor:"1,keyasint"`
 	Fencing uint64 `cbor:"2,keyasint"`
 }
@@ -51,17 +51,17 @@
 // Line is the usage of one workspace in one window.
 type Line struct {
 	Workspace  string  `cbor:"1,keyasint" json:"workspace"`
-	Figures    Figures `cbor:"2,keyasint" json:"figures"`
-	Adjustment Figures `cbor:"3,keyasint" json:"adjustment"` // late usage of earlier windows
+	Amounts    Amounts `cbor:"2,keyasint" json:"figures"`
+	Adjustment Amounts `cbor:"3,keyasint" json:"adjustment"` // late usage of earlier windows
 }
 
 // Window is the usage in one window of time.
 type Window struct {
-	Number   uint64             `cbor:"1,keyasint"`
-	Folded   map[string]Figures `cbor:"2,keyasint"` // last counters, by counterKey
-	Lines    map[string]*Line   `cbor:"3,keyasint"` // by workspace
-	IsClosed bool               `cbor:"4,keyasint"`
-	IsSent   bool               `cbor:"5,keyasint"` // the report was delivered to the platform
+	Number       uint64             `cbor:"1,keyasint"`
+	LastCounters map[string]Amounts `cbor:"2,keyasint"` // last counters, by counterKey
+	Lines        map[string]*Line   `cbor:"3,keyasint"` // by workspace
+	IsClosed     bool               `cbor:"4,keyasint"`
+	IsReported   bool               `cbor:"5,keyasint"` // the report was delivered to the platform
 }
 
 // Report is the report of one window to the platform. It is encoded to the same
@@ -75,39 +75,39 @@
 // that only the increase of a late counter is added.
 const retainedWindows = 48
 
-// Book holds the usage windows of a consensus group.
-type Book struct {
+// Ledger holds the usage windows of a consensus group.
+type Ledger struct {
 	windows    map[uint64]*Window
 	lastClosed uint64 // number of the last closed window; all before it are closed too
 }
 
-// Image is the snapshot form of a Book.
-type Image struct {
+// Snapshot is the encoded form of a Ledger.
+type Snapshot struct {
 	Windows map[uint64]*Window `cbor:"1,keyasint"`
 	Closed  uint64             `cbor:"2,keyasint"`
 }
 
-// NewBook returns the book with the content of an image.
-func NewBook(im Image) *Book {
-	if im.Windows == nil {
-		im.Windows = map[uint64]*Window{}
+// NewLedger returns the ledger with the content of a snapshot.
+func NewLedger(sn Snapshot) *Ledger {
+	if sn.Windows == nil {
+		sn.Windows = map[uint64]*Window{}
 	}
 
-	return &Book{windows: im.Windows, lastClosed: im.Closed}
+	return &Ledger{windows: sn.Windows, lastClosed: sn.Closed}
 }
 
-// Image returns the book's content for a snapshot.
-func (bo *Book) Image() Image { return Image{Windows: bo.windows, Closed: bo.lastClosed} }
+// Snapshot returns the ledger's encoded form.
+func (le *Ledger) Snapshot() Snapshot { return Snapshot{Windows: le.windows, Closed: le.lastClosed} }
 
 // window returns window n and adds it if it is missing.
-func (bo *Book) window(n uint64) *Window {
-	wi, ok := bo.windows[n]
+func (le *Ledger) window(n uint64) *Window {
+	wi, ok := le.windows[n]
 	if !ok {
-		wi = &Window{Number: n, Folded: map[string]Figures{}, Lines: map[string]*Line{}}
-		bo.windows[n] = wi
+		wi = &Window{Number: n, LastCounters: map[string]Amounts{}, Lines: map[string]*Line{}}
+		le.windows[n] = wi
 	}
-	if wi.Folded == nil {
-		wi.Folded = map[string]Figures{}
+	if wi.LastCounters == nil {
+		wi.LastCounters = map[string]Amounts{}
 	}
 	if wi.Lines == nil {
 		wi.Lines = map[string]*Line{}
@@ -127,37 +127,37 @@
 	return li
 }
 
-// Fold adds the increase of each counter since it was last added. It returns the
+// AddCounters adds the increase of each counter since it was last added. It returns the
 // number of counters rejected because their window is no longer retained.
-func (bo *Book) Fold(fo Fold) int {
+func (le *Ledger) AddCounters(fo AddCounters) int {
 	tooOld := 0
 	for _, co := range fo.Counters {
-		if bo.lastClosed > retainedWindows && co.Window < bo.lastClosed-retainedWindows {
+		if le.lastClosed > retainedWindows && co.Window < le.lastClosed-retainedWindows {
 			tooOld++
 
 			continue
 		}
 
-		wi := bo.window(co.Window)
+		wi := le.window(co.Window)
 		k := counterKey(co)
-		old := wi.Folded[k]
-		if co.Figures.Requests < old.Requests || co.Figures.Tokens < old.Tokens {
+		old := wi.LastCounters[k]
+		if co.Amounts.Requests < old.Requests || co.Amounts.Tokens < old.Tokens {
 			continue // an older counter arrived late
 		}
-		grown := Figures{Requests: co.Figures.Requests - old.Requests, Tokens: co.Figures.Tokens - old.Tokens}
-		if grown == (Figures{}) {
+		grown := Amounts{Requests: co.Amounts.Requests - old.Requests, Tokens: co.Amounts.Tokens - old.Tokens}
+		if grown == (Amounts{}) {
 			continue
 		}
-		wi.Folded[k] = co.Figures
-		if wi.IsClosed || co.Window <= bo.lastClosed {
+		wi.LastCounters[k] = co.Amounts
+		if wi.IsClosed || co.Window <= le.lastClosed {
 			// Late usage is adjusted in the first open window.
-			li := bo.window(bo.lastClosed + 1).line(co.Workspace)
+			li := le.window(le.lastClosed + 1).line(co.Workspace)
 			li.Adjustment.add(grown)
 
 			continue
 		}
 		li := wi.line(co.Workspace)
-		li.Figures.add(grown)
+		li.Amounts.add(grown)
 	}
 
 	return tooOld
@@ -178,40 +178,40 @@
 
 // Close closes every window up to cl.Window and removes reported windows that are
 // past their retention.
-func (bo *Book) Close(cl Close) {
-	if cl.Window <= bo.lastClosed {
+func (le *Ledger) Close(cl Close) {
+	if cl.Window <= le.lastClosed {
 		return
 	}
 
-	first := bo.lastClosed + 1
-	if bo.lastClosed == 0 {
+	first := le.lastClosed + 1
+	if le.lastClosed == 0 {
 		first = cl.Window
-		for n := range bo.windows {
+		for n := range le.windows {
 			first = min(first, n)
 		}
 	}
 	for n := first; n <= cl.Window; n++ {
-		if wi, ok := bo.windows[n]; ok {
+		if wi, ok := le.windows[n]; ok {
 			wi.IsClosed = true
 		}
 	}
-	bo.lastClosed = cl.Window
-	for n, wi := range bo.windows {
-		if wi.IsSent && bo.lastClosed > retainedWindows && n < bo.lastClosed-retainedWindows {
-			delete(bo.windows, n)
+	le.lastClosed = cl.Window
+	for n, wi := range le.windows {
+		if wi.IsReported && le.lastClosed > retainedWindows && n < le.lastClosed-retainedWindows {
+			delete(le.windows, n)
 		}
 	}
 }
 
 // Closed returns the number of the last closed window.
-func (bo *Book) Closed() uint64 { return bo.lastClosed }
+func (le *Ledger) Closed() uint64 { return le.lastClosed }
 
 // Unreported returns the numbers of the closed windows that are not reported yet,
 // oldest first.
-func (bo *Book) Unreported() []uint64 {
+func (le *Ledger) Unreported() []uint64 {
 	var out []uint64
-	for n, wi := range bo.windows {
-		if wi.IsClosed && !wi.IsSent {
+	for n, wi := range le.windows {
+		if wi.IsClosed && !wi.IsReported {
 			out = append(out, n)
 		}
 	}
@@ -221,8 +221,8 @@
 }
 
 // Report returns the report of a closed window, sorted by workspace.
-func (bo *Book) Report(n uint64) (Report, error) {
-	wi, ok := bo.windows[n]
+func (le *Ledger) Report(n uint64) (Report, error) {
+	wi, ok := le.windows[n]
 	if !ok || !wi.IsClosed {
 		return Report{}, result.New(result.UnknownObject, "usage: window %d is not closed", n)
 	}
@@ -236,13 +236,13 @@
 	return re, nil
 }
 
-// Reported marks a window as reported.
-func (bo *Book) Reported(re Reported) error {
-	wi, ok := bo.windows[re.Window]
+// MarkReported marks a window as reported.
+func (le *Ledger) MarkReported(re MarkReported) error {
+	wi, ok := le.windows[re.Window]
 	if !ok || !wi.IsClosed {
 		return result.New(result.UnknownObject, "usage: window %d is not closed", re.Window)
 	}
-	wi.IsSent = true
+	wi.IsReported = true
 
 	return nil
 }
--- a/soak/deployment_test.go
+++ b/soak/deployment_test.go
@@ -44,7 +44,7 @@
 	processes       []*process
 	servers         []*standin.BackendServer
 	listenAddresses map[*standin.BackendServer]string // address on which each listens, to which network forwards
-	cloud           *standin.Cloud
+	cloud           *standin.UsageInterface
 	network         *network
 	caller          *standin.Caller
 	cancel          context.CancelFunc
@@ -73,7 +73,7 @@
 	}
 	de := &deployment{network: newNetwork(), listenAddresses: map[*standin.BackendServer]string{}}
 	ctx, de.cancel = context.WithCancel(ctx)
-	if de.cloud, err = standin.StartCloud(); err != nil {
+	if de.cloud, err = standin.StartUsageInterface(); err != nil {
 		return nil, err
 	}
 	de.caller = &standin.Caller{Ports: ports, Timeout: callTimeout}
@@ -85,13 +85,13 @@
 			ip := host(cfg.Subnet, kind, i)
 			pr := &process{
 				role: role, ip: ip, binary: cfg.Binary, folder: cfg.Folder, peerListen: fmt.Sprintf("%s:%d", ip, internalPorts.Peers),
-				boot: standin.Boot{
+				settings: standin.NodeSettings{
 					Name: fmt.Sprintf("%s-%d", role, i+1), IP: ip, Ports: ports, Controllers: de.caller.Control, Cloud: de.cloud.Address(),
 					Grace: gracePeriod, Window: 5 * time.Second, Lease: 3 * time.Second,
 				},
 			}
 			if role != program.RoleGateway {
-				pr.boot.DataFolder = filepath.Join(cfg.Folder, "data", pr.boot.Name)
+				pr.settings.DataFolder = filepath.Join(cfg.Folder, "data", pr.settings.Name)
 				if err := de.network.forward(fmt.Sprintf("%s:%d", ip, ports.Peers), pr.peerListen, true); err != nil {
 					return err
 				}
@@ -140,7 +140,7 @@
 		go func() {
 			for ctx.Err() == nil {
 				ip := de.caller.Control[rand.IntN(len(de.caller.Control))]
-				_ = bs.Beat(fmt.Sprintf("%s:%d", ip, de.caller.Ports.Control)) // if it fails, the next heartbeat goes to a random controller again
+				_ = bs.SendHeartbeat(fmt.Sprintf("%s:%d", ip, de.caller.Ports.Control)) // if it fails, the next heartbeat goes to a random controller again
 				time.Sleep(heartbeatPeriod)
 			}
 		}()
--- a/soak/promises_test.go
+++ b/soak/promises_test.go
@@ -170,7 +170,7 @@
 				pr.reportBroken("request %s ran for the wrong workspace %q", id, wo)
 			}
 		}
-		if n := bs.Keys(); n > 0 {
+		if n := bs.RequestsWithKey(); n > 0 {
 			pr.reportBroken("backend server %s received the keys of callers with %d requests", bs.ID, n)
 		}
 		for _, or := range bs.AllOrders() {
