--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -1,6 +1,7 @@
 // Package balance picks a backend server for each request, from the records of the
-// registry, the load that backend servers report and the outcomes of this gateway's
-// requests. The decision is the scheduler's. The lock is held for microseconds.
+// registry, the load that backend servers report and the outcomes of the requests of
+// this process, a gateway or a job store. The decision is the scheduler's. The lock is
+// held for microseconds.
 package balance
 
 import (
@@ -32,17 +33,18 @@
 	services map[string]*serverSet
 }
 
-// serverSet holds the backend servers of one service; cands has the same order as servers.
+// serverSet holds the backend servers of one service; cands has the same order as
+// servers.
 type serverSet struct {
 	sched   *scheduler.Scheduler
 	servers []*server
 	cands   []scheduler.Candidate
 }
 
-// server is a backend server with what this gateway knows beyond its record.
+// server is a backend server with what this process knows beyond its record.
 type server struct {
 	record         registry.Record
-	lastPrefix     string // prefix of the last request sent to it
+	lastPrefix     string // prefix of the last request with one that was sent to it
 	pausedUntil    time.Duration
 	loadReportedAt time.Duration   // when it last reported its load
 	idleSince      []time.Duration // start of each connection's idle time, the oldest first
@@ -116,7 +118,7 @@
 	Prefix     string // of its prompt, "" for none
 	Exclude    []string
 	Tokens     int
-	ExtraSlots int // requests that a backend server accepts beyond its slots
+	ExtraSlots int // requests that a backend server may get beyond its slots, where they queue
 }
 
 // Grant is the right to send one request to a backend server.
@@ -220,7 +222,7 @@
 	Busy                     // the backend server refused: it had no room or was loading weights
 )
 
-// maxLoadAge is the age at which a reported load is ignored. It is longer than most
+// maxLoadAge is the age above which a reported load is ignored. It is longer than most
 // requests take on a backend server.
 const maxLoadAge = 500 * time.Millisecond
 
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -114,7 +114,7 @@
 type Part struct {
 	Job     string  `cbor:"1,keyasint"`
 	Item    int     `cbor:"2,keyasint"`
-	After   uint64  `cbor:"3,keyasint"` // number of the event before this part, 0 if the text restarts
+	After   uint64  `cbor:"3,keyasint"` // number of the event before this part, 0 if the text starts or restarts
 	Text    Partial `cbor:"4,keyasint"` // the further events; its versions are those of the complete text so far
 	IsFirst bool    `cbor:"5,keyasint"` // first part of the item that the driver of this term reports
 }
@@ -247,8 +247,8 @@
 	return jo, nil
 }
 
-// ListResults adds results and returns how many were added. An item that is already listed
-// keeps its first result, and an ended job accepts none.
+// ListResults adds results and returns how many were added. An item that is already
+// listed keeps its first result, and an ended job accepts none.
 func (le *Ledger) ListResults(li ListResults) (added int) {
 	jo, ok := le.jobs[li.Job]
 	if !ok || !jo.IsOpen() {
@@ -273,7 +273,8 @@
 	return added
 }
 
-// RecordProgress records progress. Parts that do not continue the recorded text are ignored.
+// RecordProgress records progress. Parts that neither continue the recorded text nor
+// restart it are ignored.
 func (le *Ledger) RecordProgress(pr Progress) {
 	for _, pa := range pr.Parts {
 		jo, ok := le.jobs[pa.Job]
@@ -311,8 +312,8 @@
 	return nil
 }
 
-// expire removes ended jobs after RetentionPeriod since their submission, but not before half
-// of it has passed since their end.
+// expire removes ended jobs after RetentionPeriod since their submission, but not before
+// half of it has passed since their end.
 func (le *Ledger) expire(atMs int64) {
 	for id, jo := range le.jobs {
 		if !jo.IsOpen() && atMs-jo.SubmittedMs > RetentionPeriod.Milliseconds() && atMs-jo.EndedMs > RetentionPeriod.Milliseconds()/2 {
--- a/internal/jobdriver/driver.go
+++ b/internal/jobdriver/driver.go
@@ -26,7 +26,8 @@
 const (
 	// reconcilePeriod is how often the driver checks for due work when no event wakes it.
 	reconcilePeriod = 100 * time.Millisecond
-	// maxFailedServers is how many of the last failed backend servers an item avoids.
+	// maxFailedServers is how many of the last failed backend servers an item, and the
+	// request for its score, avoid.
 	maxFailedServers = 2
 )
 
@@ -55,7 +56,7 @@
 	running  map[string]int
 	paces    *paceTracker
 	slow     []string   // backend servers that are much slower than usual now
-	lagging  []string   // healthy backend servers that are always slower than the fast ones
+	lagging  []string   // healthy backend servers that are slower than the fast quarter
 	progress []job.Part // parts queued for the next commit
 	commit   func(ctx context.Context, pr job.Progress) error
 	// isFlushing is set while a commit of progress is in flight. The next commit waits
@@ -407,8 +408,10 @@
 	}
 }
 
-// start runs a task at a backend server.
+// start runs a task at a backend server in the background. The caller holds dr.mu.
 func (dr *Driver) start(t *task, ro *routing.Route, gr *balance.Grant) {
+	// A text with a part of too old a version is discarded, and so is any text of a
+	// single-version route: there, each run starts from the beginning.
 	if !t.generated.meetsVersionRules(t.job.minVersion, ro.IsSingleVersion) || (ro.IsSingleVersion && len(t.generated.versions) > 0) {
 		t.generated = generatedText{}
 	}
@@ -448,7 +451,8 @@
 	}()
 }
 
-// commitRetryPause is the pause before a result that could not be committed is proposed again.
+// commitRetryPause is the pause before a result that could not be committed is proposed
+// again.
 const commitRetryPause = 50 * time.Millisecond
 
 // commitResult commits a result and retries while this process is the leader.
--- a/internal/jobproxy/jobproxy.go
+++ b/internal/jobproxy/jobproxy.go
@@ -157,12 +157,12 @@
 func (pr *Proxy) callStores(ctx context.Context, method string, in, out any, isWrite bool) error {
 	b, err := cbor.Marshal(in)
 	if err != nil {
-		return result.New(result.Internal, "jobgate: encode the request: %v", err)
+		return result.New(result.Internal, "jobproxy: encode the request: %v", err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 
-	var last error = result.New(result.NoLeader, "jobgate: the store group has no known leader").WithRetryAfter(retryAfter)
+	var last error = result.New(result.NoLeader, "jobproxy: the store group has no known leader").WithRetryAfter(retryAfter)
 	mayHaveRun := false
 	for try := 0; ; try++ {
 		changed := pr.cfg.Changed()
@@ -218,7 +218,7 @@
 		return nil
 	}
 	if err := cbor.Unmarshal(rep.GetRecord(), out); err != nil {
-		return result.New(result.Internal, "jobgate: decode the answer of the store: %v", err)
+		return result.New(result.Internal, "jobproxy: decode the answer of the store: %v", err)
 	}
 
 	return nil
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -389,8 +389,8 @@
 	se.prefixes = map[uint64]struct{}{}
 }
 
-// RemoveServer removes a backend server whose agent's session has ended, unless it has a new
-// session or incarnation.
+// RemoveServer removes a backend server whose agent's session has ended, unless it has a
+// new session or incarnation.
 func (po *Pool) RemoveServer(name string, incarnation uint64, session *peer.Session) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
--- a/internal/pool/server.go
+++ b/internal/pool/server.go
@@ -7,7 +7,8 @@
 	"github.com/tamarackbay/tamarackbay/internal/wire"
 )
 
-// States of a backend server as its agent reports them.
+// States of a backend server as its agent reports them. StateSuspect is also shown for a
+// backend server whose agent has not reported for too long.
 const (
 	StateStarting = "starting"
 	StateReady    = "ready"
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -20,7 +20,7 @@
 		{"one crash reported twice", []quarantine.Crash{crash("s1", false, "x"), crash("s1", false, "x")}, quarantine.Suspect},
 		{"many crashes, none as the only suspect", []quarantine.Crash{crash("s1", false, "x", "y"), crash("s2", false, "x", "z"), crash("s3", false, "x")}, quarantine.Suspect},
 		{"a second crash as the only suspect", []quarantine.Crash{crash("s1", false, "x", "y"), crash("s2", true, "x")}, quarantine.Refused},
-		{"a crash with other requests in flight", []quarantine.Crash{crash("s1", false, "y")}, quarantine.Clear},
+		{"a crash at which only another fingerprint was in flight", []quarantine.Crash{crash("s1", false, "y")}, quarantine.Clear},
 	}
 	for _, tc := range cases {
 		It("returns the verdict on a fingerprint after "+tc.name, func() {
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -40,15 +40,16 @@
 	retriesLeft map[string]float64
 }
 
-// NewBudget returns a budget in which every key starts with Config.InitialBudget. random
-// returns a number in [0, 1).
+// NewBudget returns a budget in which every key starts with Config.InitialBudget.
+// random returns a number in [0, 1).
 func NewBudget(cfg Config, random func() float64) *Budget {
 	cfg.Defaults()
 
 	return &Budget{cfg: cfg, random: random, retriesLeft: map[string]float64{}}
 }
 
-// RecordFirstAttempt records a first attempt, which adds Config.Ratio to the budget of key.
+// RecordFirstAttempt records a first attempt, which adds Config.Ratio to the budget of
+// key.
 func (bu *Budget) RecordFirstAttempt(key string) {
 	v, ok := bu.retriesLeft[key]
 	if !ok {
@@ -118,8 +119,8 @@
 	return Decision{Retry: true, Delay: delay, Reason: reason, Err: at.Err}
 }
 
-// delay returns the back-off before the next attempt: exponential, with jitter. A first
-// attempt that surely has not run is retried without delay.
+// delay returns the back-off before the next attempt: exponential, with a jitter of
+// 0.5 to 1.5 times. A first attempt that surely has not run is retried without delay.
 func (bu *Budget) delay(at Attempt) time.Duration {
 	if at.Number == 1 && at.Err.Execution == result.NotRun {
 		return 0
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,20 +1,21 @@
 // Package scheduler picks the backend server of a request. Among a few random
 // candidates with an eligible weight version, it prefers those with the lowest load,
-// with the prompt's prefix in their cache (a hint from cache events) and in the
-// gateway's own failure domain. As load reports lag, it adds the gateway's own
-// requests in flight. New backend servers start slowly and outliers are ejected.
-// The candidates, the time and the random source are arguments.
+// with the prompt's prefix in their cache (a hint from cache events or from earlier
+// requests) and in the failure domain of the process that places the request, a gateway
+// or a job store. As load reports lag, it adds the requests that this process has in
+// flight. New backend servers start slowly and outliers are ejected. The candidates,
+// the time and the random source are arguments.
 package scheduler
 
 import "time"
 
-// Candidate is the state of one backend server, as known to this gateway.
+// Candidate is the state of one backend server, as known to this process.
 type Candidate struct {
 	Slots            int
-	Running          int    // requests of all gateways, as last reported
-	InFlight         int    // requests in flight from this gateway
-	InFlightReported int    // the part of Running that came from this gateway
-	Tokens           int    // estimated tokens in flight from this gateway
+	Running          int    // requests of all processes, as last reported
+	InFlight         int    // requests in flight from this process
+	InFlightReported int    // the part of Running that came from this process
+	Tokens           int    // estimated tokens in flight from this process
 	Sequence         uint64 // of the weight version that it serves
 	FailureDomain    string
 	IsReady          bool
@@ -30,7 +31,7 @@
 type Request struct {
 	MinSequence   uint64 // of the weight version
 	NewestFirst   bool   // newer weights weigh more than load
-	FailureDomain string // of this gateway
+	FailureDomain string // of this process
 	Affinity      int    // index of the candidate that holds the prefix, -1 for none
 	Tokens        int    // estimated
 	IsSuspect     bool   // was in flight at the crash of a backend server
@@ -50,7 +51,7 @@
 	Policy          string
 	RandomChoices   int           // number of random candidates compared
 	AffinityBonus   float64       // bonus for the holder of the prefix
-	DomainBonus     float64       // bonus for the gateway's own failure domain
+	DomainBonus     float64       // bonus for the process's own failure domain
 	IdleBonus       float64       // bonus for an idle connection
 	SlowStart       time.Duration // time until a new candidate gets its full load
 	EjectFailures   float64       // value of Candidate.Failures that ejects a candidate
@@ -172,9 +173,9 @@
 	return false
 }
 
-// Room returns how many more requests this gateway may send to the candidate: the
-// slots that other gateways leave free, but at least an equal share of all slots,
-// less its own requests in flight.
+// Room returns how many more requests this process may send to the candidate: the
+// slots that the others leave free, but at least an equal share of all slots, less its
+// own requests in flight.
 func Room(ca *Candidate, gateways int) int {
 	others := max(0, ca.Running-ca.InFlightReported)
 	share := (ca.Slots + gateways - 1) / max(gateways, 1)
@@ -244,8 +245,8 @@
 	return best
 }
 
-// RecordFailure records a failure of candidate i. It ejects the candidate once its failures
-// reach Config.EjectFailures, unless too many are ejected already.
+// RecordFailure records a failure of candidate i. It ejects the candidate once its
+// failures reach Config.EjectFailures, unless too many are ejected already.
 func (sc *Scheduler) RecordFailure(now time.Duration, cands []Candidate, i int) {
 	ca := &cands[i]
 	ca.Failures++
