--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -375,8 +375,9 @@
 	return pr != nil && pr.match > 0 && pr.match+maxPromotionLag >= r.log.lastIndex()
 }
 
-// LastContact returns when the leader last received a reply from the follower id, or before the
-// first reply, when it started to track id. It returns false if id is not tracked.
+// LastContact returns when the leader last received a reply from the follower id. Before the
+// first reply it returns when the leader started to track id. It returns false if id is not
+// tracked.
 func (r *Replica) LastContact(id ReplicaID) (time.Duration, bool) {
 	pr := r.progress[id]
 	if pr == nil {
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -34,7 +34,8 @@
 	Data  []byte    `cbor:"4,keyasint,omitempty"`
 }
 
-// HardState must be durable before the replica sends any message that depends on it.
+// HardState is a replica's term and the vote that it cast in it. It must be stored before the
+// replica sends any message that depends on it.
 type HardState struct {
 	Term uint64    `cbor:"1,keyasint"`
 	Vote ReplicaID `cbor:"2,keyasint"`
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -41,7 +41,7 @@
 // State is what one controller reports. It is never changed, only replaced.
 type State struct {
 	Config      *routing.Config
-	Versions    map[string]uint64 // newest named weight version of each model
+	Versions    map[string]uint64 // newest recorded weight version of each model
 	Controllers []string          // peer addresses
 	Stores      []Store
 	Formation   []string // replicas that formed the store group
@@ -113,7 +113,7 @@
 // changed, only replaced.
 type View struct {
 	Table       *routing.Table    // nil before the first configuration
-	Versions    map[string]uint64 // newest named weight version of each model
+	Versions    map[string]uint64 // newest recorded weight version of each model
 	Controllers []string
 	Stores      []Store
 	Formation   []string
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -179,7 +179,7 @@
 		}
 		if !received {
 			received = true
-			fo.cfg.Log.WithField("controller", address).Info("controller followed")
+			fo.cfg.Log.WithField("controller", address).Info("started to follow the controller")
 		}
 		fo.applyDelta(address, &de, time.Now())
 	}
--- a/internal/group/feed.go
+++ b/internal/group/feed.go
@@ -89,7 +89,7 @@
 
 	next, deltas, err := viewAfter(vi, &rep)
 	if err != nil {
-		gr.cfg.Log.WithFields(log.Fields{"error": err.Error()}).Error("feed reply could not be decoded")
+		gr.cfg.Log.WithFields(log.Fields{"error": err.Error()}).Error("feed reply could not be decoded or applied")
 
 		return err
 	}
@@ -230,7 +230,7 @@
 }
 
 func (gr *Group) feedReply(revision uint64) (*wire.FeedReply, error) {
-	// The caller has read the age before: the view is at least as recent as it says.
+	// The caller read the age first, so this view is at least as recent as that age says.
 	vi := gr.View()
 	rep := &wire.FeedReply{Version: vi.Version, Revision: vi.Revision}
 	if vi.Revision <= revision {
--- a/internal/group/node.go
+++ b/internal/group/node.go
@@ -295,7 +295,7 @@
 	delete(n.pendingReads, rs.Context)
 	an := readAnswer{index: rs.Index}
 	if !rs.OK {
-		an.err = result.New(result.NotLeader, "group: leadership was lost")
+		an.err = result.New(result.NotLeader, "group: this replica lost leadership before it could confirm the read")
 	}
 	rr.answer <- an
 }
@@ -355,7 +355,7 @@
 
 	delete(n.pendingProposals, en.Index)
 	if w.term != en.Term {
-		w.proposal.answer <- proposalAnswer{err: result.New(result.NotLeader, "group: leadership was lost")}
+		w.proposal.answer <- proposalAnswer{err: result.New(result.NotLeader, "group: this replica lost leadership, the command was not committed")}
 
 		return
 	}
@@ -410,8 +410,8 @@
 	return nil
 }
 
-// updateStatus publishes the state of the replica. When it is not the leader any more,
-// all pending proposals and reads fail.
+// updateStatus publishes the state of the replica. Once it is not the leader any more, all
+// pending proposals fail, because their outcome is unknown here.
 func (n *node) updateStatus() {
 	re := n.replica
 	st := Status{
@@ -431,7 +431,7 @@
 	}
 
 	if re.Role() != consensus.RoleLeader && len(n.pendingProposals) > 0 {
-		n.failPending(result.New(result.NotLeader, "group: leadership was lost").WithExecution(result.ExecutionUnknown))
+		n.failPending(result.New(result.NotLeader, "group: this replica lost leadership while the request was pending").WithExecution(result.ExecutionUnknown))
 	}
 }
 
--- a/internal/group/propose.go
+++ b/internal/group/propose.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// Propose commits a command and decodes its reply into out. It retries while no leader
-// can be reached, which is safe as every command is idempotent.
+// Propose commits a command and decodes its reply into out. It retries after a change of the
+// leader or a lost connection, which is safe as every command is idempotent.
 func (gr *Group) Propose(ctx context.Context, kind statemachine.Kind, body, out any) error {
 	command, err := statemachine.Encode(kind, body)
 	if err != nil {
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -138,7 +138,7 @@
 			return err
 		}
 		if he.GetProtocol() != ProtocolVersion {
-			return result.New(result.Internal, "peer: protocol %d, this process uses protocol %d", he.GetProtocol(), ProtocolVersion)
+			return result.New(result.Internal, "peer: the other process uses protocol %d, this process uses protocol %d", he.GetProtocol(), ProtocolVersion)
 		}
 		hello <- &he
 
--- a/internal/statemachine/command.go
+++ b/internal/statemachine/command.go
@@ -106,11 +106,11 @@
 func DecodeReply(b []byte, out any) error {
 	var re reply
 	if err := cbor.Unmarshal(b, &re); err != nil {
-		return result.New(result.Internal, "machine: decode reply: %v", err)
+		return result.New(result.Internal, "statemachine: decode reply: %v", err)
 	}
 	if out != nil && len(re.Body) > 0 {
 		if err := cbor.Unmarshal(re.Body, out); err != nil {
-			return result.New(result.Internal, "machine: decode body of reply: %v", err)
+			return result.New(result.Internal, "statemachine: decode body of reply: %v", err)
 		}
 	}
 	if re.Code == 0 {
--- a/internal/statemachine/statemachine.go
+++ b/internal/statemachine/statemachine.go
@@ -132,7 +132,7 @@
 	return func() ([]byte, error) {
 		var sn snapshot
 		if err := cbor.Unmarshal(rest, &sn); err != nil {
-			return nil, result.New(result.Internal, "machine: decode state while encoding a snapshot: %v", err)
+			return nil, result.New(result.Internal, "statemachine: decode state while encoding a snapshot: %v", err)
 		}
 		sn.Jobs = jobs
 
@@ -145,7 +145,7 @@
 func Restore(data []byte) (*Machine, error) {
 	var sn snapshot
 	if err := cbor.Unmarshal(data, &sn); err != nil {
-		return nil, result.New(result.DataFolderDamaged, "machine: decode snapshot: %v", err)
+		return nil, result.New(result.DataFolderDamaged, "statemachine: decode snapshot: %v", err)
 	}
 
 	return restore(sn)
@@ -203,7 +203,7 @@
 // Routing returns the routing configuration by host and path.
 func (ma *Machine) Routing() *routing.State { return ma.routing }
 
-// Versions returns the newest weight version named for each model.
+// Versions returns the newest recorded weight version of each model.
 func (ma *Machine) Versions() *weights.VersionTable { return ma.versions }
 
 // Roster returns the VMs that store batch jobs.
@@ -219,13 +219,13 @@
 func (ma *Machine) Apply(index uint64, command []byte) []byte {
 	ma.applied = index
 	if len(command) < commandHeaderBytes {
-		return encodeReply(nil, result.New(result.Internal, "machine: command of %d bytes is shorter than its header", len(command)))
+		return encodeReply(nil, result.New(result.Internal, "statemachine: command of %d bytes is shorter than its header", len(command)))
 	}
 
 	ma.atMs = max(ma.atMs, int64(binary.LittleEndian.Uint64(command[1:])))
 	h, ok := handlers[Kind(command[0])]
 	if !ok {
-		return encodeReply(nil, result.New(result.Internal, "machine: unknown command kind %d", command[0]))
+		return encodeReply(nil, result.New(result.Internal, "statemachine: unknown command kind %d", command[0]))
 	}
 
 	return encodeReply(h(ma, command[commandHeaderBytes:]))
@@ -236,7 +236,7 @@
 	return func(ma *Machine, raw []byte) (any, error) {
 		var body T
 		if err := cbor.Unmarshal(raw, &body); err != nil {
-			return nil, result.New(result.Internal, "machine: decode body of command: %v", err)
+			return nil, result.New(result.Internal, "statemachine: decode body of command: %v", err)
 		}
 
 		return apply(ma, body)
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -35,7 +35,8 @@
 }
 
 // Store stores the log and the snapshot of one group. It is not safe for concurrent use,
-// except for WriteSnapshot. After a failed write, all methods that write return that error.
+// except for WriteSnapshot. After a failed write the state of the disk is unknown, so that all
+// further writes return the same error; WriteSnapshot alone neither checks nor records it.
 type Store struct {
 	files        Files
 	dir          string
@@ -436,7 +437,7 @@
 }
 
 // AdoptSnapshot makes a written snapshot the stored one and removes the older snapshot and
-// the log segments that it covers.
+// the log segments that it covers, or all older segments if it was received from the leader.
 func (st *Store) AdoptSnapshot(sn consensus.Snapshot, received bool) error {
 	if st.failure != nil {
 		return st.failure
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -248,7 +248,7 @@
 		}, result.DataFolderNewer},
 	}
 	for _, tc := range damage {
-		It("fails to open a folder with "+tc.name+" and names it in the error", func() {
+		It("fails to open a folder with "+tc.name+" and names the folder in the error", func() {
 			d := newDisk()
 			st, _, err := storage.Open(d.operations(), dir, 1)
 			Expect(err).NotTo(HaveOccurred())
