--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -391,7 +391,7 @@
 // IsLeader reports whether this replica is the leader by its last known status.
 func (gr *Group) IsLeader() bool { return gr.Status().Role == consensus.RoleLeader.String() }
 
-// Replica returns the identity of the own replica, "" on a subscriber.
+// Replica returns the ID of this process's replica, "" on a subscriber.
 func (gr *Group) Replica() consensus.ReplicaID {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -20,7 +20,7 @@
 // Version 2 stores the data of a snapshot in separate records. Version 1 can still be read.
 const FormatVersion = 2
 
-// A new segment starts once the current one exceeds maxSegmentBytes.
+// maxSegmentBytes is the size of a log segment above which a new one is started.
 const maxSegmentBytes = 16 << 20
 
 type fileHeader struct {
@@ -36,7 +36,7 @@
 
 // Store stores the log and the snapshot of one group. It is not safe for concurrent use,
 // except for WriteSnapshot. After a failed write the state of the disk is unknown, so that all
-// further writes return the same error; WriteSnapshot alone neither checks nor records it.
+// further writes fail too; WriteSnapshot alone neither checks for a failure nor records one.
 type Store struct {
 	files        Files
 	dir          string
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -30,7 +30,7 @@
 bool held[2];
 byte heldFencing[2];
 byte leaseLeft[2];                   /* remaining ticks of the process's own lease */
-byte lastRenewal[2];                 /* last renewal number that the holder sent */
+byte lastRenewal[2];                 /* last renewal number that the holder used */
 byte pending[2];                     /* pending command: 0 none, 1 acquire, 2 renew */
 byte sinceSent[2];                   /* ticks since the command was sent, at most LEASE */
 byte sentFencing[2], sentRenewal[2];
