--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -20,7 +20,7 @@
 // Version 2 stores the data of a snapshot in separate records. Version 1 can still be read.
 const FormatVersion = 2
 
-// A new segment starts once the current one exceeds maxSegmentBytes.
+// maxSegmentBytes is the size of a log segment above which a new one is started.
 const maxSegmentBytes = 16 << 20
 
 type fileHeader struct {
@@ -35,7 +35,8 @@
 }
 
 // Store stores the log and the snapshot of one group. It is not safe for concurrent use,
-// except for WriteSnapshot. After a failed write, all methods that write return that error.
+// except for WriteSnapshot. After a failed write the state of the disk is unknown, so that all
+// further writes fail too; WriteSnapshot alone neither checks for a failure nor records one.
 type Store struct {
 	files        Files
 	dir          string
@@ -436,7 +437,7 @@
 }
 
 // AdoptSnapshot makes a written snapshot the stored one and removes the older snapshot and
-// the log segments that it covers.
+// the log segments that it covers, or all older segments if it was received from the leader.
 func (st *Store) AdoptSnapshot(sn consensus.Snapshot, received bool) error {
 	if st.failure != nil {
 		return st.failure
