--- a/cmd/tamarackbay/node.go
+++ b/cmd/tamarackbay/node.go
@@ -30,7 +30,7 @@
 func addNode(app *kingpin.Application) []command {
 	c := app.Command("node", nodeUsage)
 	role := c.Arg("role", "Role of the process: gateway, controller or store.").Required().Enum(program.RoleGateway, program.RoleController, program.RoleStore)
-	peerListen := c.Flag("peer-listen", "Address to listen on for own processes, if a forwarder listens on the address that they dial.").
+	peerListen := c.Flag("peer-listen", "Address to listen on for the deployment's other processes, if a forwarder listens on the address that they dial.").
 		PlaceHolder("HOST:PORT").String()
 	level := c.Flag("log-level", "Lowest level that is logged: debug, info, warn or error.").Default("info").String()
 
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -98,7 +98,7 @@
 type inFlightRequest struct {
 	fingerprint string
 	isSuspect   bool
-	versions    map[string]struct{} // weight versions activated since the request began
+	versions    map[string]struct{} // weight versions that may have been served since the request began
 }
 
 // New returns an agent.
--- a/internal/demo/nodes.go
+++ b/internal/demo/nodes.go
@@ -26,7 +26,7 @@
 	nodeItems           = 16                    // per job
 	nodeEvents          = 20                    // per item
 	nodeUsageWindow     = 2 * time.Second       // length of a usage window
-	nodeRetryTimeout    = 20 * time.Second      // timeout of operations that are retried
+	nodeRetryTimeout    = 20 * time.Second      // bounds retried operations, among them the start of the nodes
 	nodeTimeout         = 5 * time.Second       // timeout of a call, stop grace period and lease
 	nodeHeartbeatPeriod = 50 * time.Millisecond // period of the heartbeats of backend servers
 )
@@ -121,7 +121,7 @@
 	return errors.Join(errs...)
 }
 
-// retryUntil calls f until it returns nil or the time that a start may take has passed.
+// retryUntil calls f until it returns nil or nodeRetryTimeout has passed.
 func retryUntil(ctx context.Context, f func() error) error {
 	ctx, cancel := context.WithTimeout(ctx, nodeRetryTimeout)
 	defer cancel()
--- a/internal/deployment/servers.go
+++ b/internal/deployment/servers.go
@@ -95,7 +95,8 @@
 	}
 }
 
-// KillServer terminates a backend server and its agent as the loss of its VM would.
+// KillServer terminates a backend server and its agent as the loss of its VM would. A
+// plain service loses only its agent.
 func (de *Deployment) KillServer(server string) {
 	pa, en := de.removeServer(server)
 	if en != nil {
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -332,7 +332,7 @@
 			})
 		}
 		if err != nil {
-			continue // the end of the run interrupted the step
+			continue // not counted; usually the end of the run interrupted the step
 		}
 		tr.recordStep(time.Since(at), seen, behind)
 		time.Sleep(100 * time.Millisecond) // stands for the training itself
--- a/internal/logging/async.go
+++ b/internal/logging/async.go
@@ -18,7 +18,8 @@
 	// maxInfoLines is the number of buffered lines above which lines of level info and
 	// below are dropped, so that warnings and errors still find space.
 	maxInfoLines = maxBufferedLines * 3 / 4
-	// batchPeriod is how long lines are collected before they are written together.
+	// batchPeriod is how long lines are collected before they are written together. A
+	// warning or an error is written without this delay.
 	batchPeriod = 100 * time.Millisecond
 	// dropReportPeriod is the minimum time between two reports of dropped lines.
 	dropReportPeriod = time.Second
--- a/internal/meter/meter_test.go
+++ b/internal/meter/meter_test.go
@@ -22,7 +22,7 @@
 	ginkgo.It("matches the table in docs/operators/counters.md", func() {
 		b, err := os.ReadFile("../../docs/operators/counters.md")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(string(b)).To(ContainSubstring(meter.MarkdownTable()), "replace the table in docs/operators/counters.md with the output of meter.Document")
+		Expect(string(b)).To(ContainSubstring(meter.MarkdownTable()), "replace the table in docs/operators/counters.md with the output of meter.MarkdownTable")
 	})
 
 	ginkgo.It("contains every metric that the source uses", func() {
--- a/internal/program/node.go
+++ b/internal/program/node.go
@@ -43,8 +43,8 @@
 	// connection is closed. It tolerates one or two lost packets and is well below the
 	// seconds after which a VM counts as lost.
 	ackTimeout = 1500 * time.Millisecond
-	// sessionDialTimeout bounds the opening of a session between own processes. It takes
-	// milliseconds unless a packet is lost.
+	// sessionDialTimeout bounds the opening of a session between the deployment's
+	// processes. It takes milliseconds unless a packet is lost.
 	sessionDialTimeout = 500 * time.Millisecond
 	// backendIdleTimeout is how long an idle connection to a backend server is kept until
 	// the server has announced its own keep-alive timeout.
@@ -173,7 +173,7 @@
 // seeds returns the controllers' addresses of the settings that were loaded last.
 func (nd *Node) seeds() []string { return slices.Clone(*nd.controllers.Load()) }
 
-// peerConfig returns the configuration of sessions with other own processes.
+// peerConfig returns the configuration of sessions with the deployment's other processes.
 func (nd *Node) peerConfig() peer.Config {
 	return peer.Config{
 		Bind: nd.settings.BindIP, AckTimeout: ackTimeout, DialTimeout: sessionDialTimeout, Log: nd.log,
--- a/pkg/client/trainer.go
+++ b/pkg/client/trainer.go
@@ -56,7 +56,7 @@
 }
 
 // Samples calls onPage with the samples of each page of a step until all are delivered.
-// A page is fetched again only if its response was incomplete, and is acknowledged after
+// A page is requested until it has been received completely, and is acknowledged after
 // onPage has returned nil, so that each sample is passed to onPage once.
 func (cl *Client) Samples(ctx context.Context, step string, onPage func([]Sample) error) error {
 	return cl.SamplesFrom(ctx, step, 1, func(_ uint64, ss []Sample) error { return onPage(ss) })
--- a/soak/deployment_test.go
+++ b/soak/deployment_test.go
@@ -39,7 +39,7 @@
 )
 
 // deployment consists of the programs as processes, the network between them, and stand-ins
-// for the backend servers, the cloud and the callers.
+// for the backend servers, the usage interface and the callers.
 type deployment struct {
 	processes       []*process
 	servers         []*standin.BackendServer
--- a/soak/promises_test.go
+++ b/soak/promises_test.go
@@ -157,8 +157,8 @@
 	return pr.configVersion, pr.ackedAt
 }
 
-// checkFinalState checks the promises against the requests that backend servers and the cloud
-// stand-in received. It is called after the load and all processes have stopped.
+// checkFinalState checks the promises against the requests that backend servers and the stand-in
+// for the usage interface received. It is called after the load and all processes have stopped.
 func (pr *promises) checkFinalState(de *deployment) {
 	runs := map[string]int{}
 	holders := map[uint64]string{}
