--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -59,7 +59,7 @@
 	Mode     SwapMode
 	Holder   string // of the lease under which the order is sent
 	Fencing  uint64
-	Sequence uint64 // orders that the backend server has accepted so far; it refuses any other number
+	Sequence uint64 // orders that the backend server has accepted so far; it refuses an order with any other number
 	Instance string // the only incarnation that may carry out the order
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -42,8 +42,9 @@
 	maxMissedHeartbeats = 4
 	// forwardTimeout limits the call that forwards a heartbeat to another controller.
 	forwardTimeout = time.Second
-	// formationTimeout is how long the first formation of the store group waits until
-	// as many stores are known as it should have voters; then it takes those known.
+	// formationTimeout is how long the first formation of the store group waits for as
+	// many stores as the group should have voters. After it the known stores form the
+	// group.
 	formationTimeout = 5 * time.Second
 	// storeTimeout is the silence after which a store no longer counts as leader.
 	storeTimeout = 3 * time.Second
@@ -331,7 +332,7 @@
 	co.observe(no)
 	b, err := cbor.Marshal(no)
 	if err != nil {
-		co.cfg.Log.WithError(err).Error("heartbeat not forwarded, encoding failed")
+		co.cfg.Log.WithError(err).Error("heartbeat or leave notice not forwarded: encoding failed")
 
 		return
 	}
@@ -394,7 +395,7 @@
 	var b []byte
 	co.group.Read(func(ma *statemachine.Machine) { b = ma.Routing().Document() })
 	if len(b) == 0 {
-		return nil, result.New(result.NoLeader, "controller: no configuration was accepted yet")
+		return nil, result.New(result.NoLeader, "controller: no configuration has been accepted yet")
 	}
 
 	return b, nil
--- a/internal/controller/usage.go
+++ b/internal/controller/usage.go
@@ -26,8 +26,9 @@
 	pausedUntil time.Duration
 }
 
-// reportUsage closes the usage windows that have ended and reports them. The figures
-// are committed first, and only committed figures are sent.
+// reportUsage closes the usage windows that have ended and reports them. Only committed
+// figures are sent, so that a report sent again, also by the next lease holder, has the
+// same figures.
 func (co *Controller) reportUsage(ctx context.Context, held leasedtask.Held) {
 	now := co.cfg.Now()
 	if now < co.usage.pausedUntil {
--- a/internal/controller/weights.go
+++ b/internal/controller/weights.go
@@ -15,10 +15,11 @@
 
 const (
 	leaseWeights = "weights"
-	// waveShare is the share of a service's engines that load weights at once. More
-	// only slow each other down at the weight store that the users describe.
+	// waveShare is the share of a service's engines that load weights at once, though
+	// at least minWave engines do. More loads at once only slow each other down at the
+	// users' weight stores.
 	waveShare = 0.2
-	minWave   = 2 // engines, where waveShare is fewer
+	minWave   = 2
 	// loadPollPeriod is how often an engine is polled while it loads; a load takes
 	// about a second.
 	loadPollPeriod = 150 * time.Millisecond
--- a/internal/gateway/caller.go
+++ b/internal/gateway/caller.go
@@ -12,7 +12,7 @@
 type Caller struct {
 	Workspace string
 	KeyID     string // "" on an open route
-	Secret    string // secret part of the key; must not reach a backend server
+	Secret    string // secret part of the key; scrub keeps it from backend servers
 }
 
 // Authenticate returns the caller that the token belongs to.
--- a/internal/gateway/handlers.go
+++ b/internal/gateway/handlers.go
@@ -227,7 +227,8 @@
 	return st.Reply(&rep)
 }
 
-// handleDemand returns the demand on one pool. Refused requests count since the last call.
+// handleDemand returns the demand on one pool. Each call ends a period of pool.Demand,
+// which counts recently refused requests as waiting.
 func (ga *Gateway) handleDemand(_ context.Context, st *peer.Stream) error {
 	var rq wire.QueryRequest
 	if err := st.Request(&rq); err != nil {
--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -91,7 +91,7 @@
 	wt.mu.Unlock()
 }
 
-// planner returns the planner of a model. The caller must hold wd.mu.
+// planner returns the planner of a model. The caller must hold wt.mu.
 func (wt *weightsTask) planner(model string) *weights.Planner {
 	pl, ok := wt.planners[model]
 	if !ok {
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -37,7 +37,7 @@
 	Balancer *balance.Balancer
 	Client   *backend.Client
 	Random   func() float64                       // in [0, 1)
-	OnStart  func(workspace string, at time.Time) // called once per request that may have run
+	OnStart  func(workspace string, at time.Time) // called once for each request of a workspace that may have run
 	Meter    *meter.Meter
 	Log      log.Interface
 }
@@ -236,7 +236,7 @@
 		}
 		if err == nil {
 			rs.failedAnswer = &completeAnswer{an, body}
-			err = result.New(result.BackendRefused, "ingress: %s answered with status %d", gr.Record().ID, an.Status).WithExecution(result.Ran)
+			err = result.New(result.BackendRefused, "ingress: backend server %s answered with status %d", gr.Record().ID, an.Status).WithExecution(result.Ran)
 		}
 		rs.lastErr = err
 		if ctx.Err() != nil || !rs.canRetry() {
@@ -274,17 +274,17 @@
 	if an.IsNotRun {
 		outcome = balance.Busy
 
-		return nil, nil, result.New(result.ServerDraining, "ingress: %s refused with status %d", gr.Record().ID, an.Status).WithRetryAfter(defaultRetryAfter)
+		return nil, nil, result.New(result.ServerDraining, "ingress: backend server %s refused with status %d", gr.Record().ID, an.Status).WithRetryAfter(defaultRetryAfter)
 	}
 	rs.recordStart(sent)
 	body, err := io.ReadAll(io.LimitReader(an.Body, maxAnswerBytes+1))
 	switch {
 	case err != nil:
-		return nil, nil, result.New(result.BackendAnswerBroken, "ingress: %s: the answer broke off: %v", gr.Record().ID, err).WithExecution(result.Ran)
+		return nil, nil, result.New(result.BackendAnswerBroken, "ingress: backend server %s: the answer broke off: %v", gr.Record().ID, err).WithExecution(result.Ran)
 	case len(body) > maxAnswerBytes:
-		return nil, nil, result.New(result.BackendAnswerBroken, "ingress: %s: the answer exceeds the limit of %d bytes", gr.Record().ID, maxAnswerBytes).WithExecution(result.Ran)
+		return nil, nil, result.New(result.BackendAnswerBroken, "ingress: backend server %s: the answer exceeds the limit of %d bytes", gr.Record().ID, maxAnswerBytes).WithExecution(result.Ran)
 	case an.Status < 300 && an.Stamp == "":
-		return nil, nil, result.New(result.BackendAnswerBroken, "ingress: %s: the answer carries no signature", gr.Record().ID).WithExecution(result.Ran)
+		return nil, nil, result.New(result.BackendAnswerBroken, "ingress: backend server %s: the answer carries no signature", gr.Record().ID).WithExecution(result.Ran)
 	}
 	outcome = balance.Succeeded
 	if an.Status >= 500 {
--- a/internal/ingress/stream.go
+++ b/internal/ingress/stream.go
@@ -61,7 +61,7 @@
 	if an.IsNotRun {
 		outcome = balance.Busy
 
-		return result.New(result.ServerDraining, "ingress: %s refused with status %d", gr.Record().ID, an.Status).WithRetryAfter(defaultRetryAfter)
+		return result.New(result.ServerDraining, "ingress: backend server %s refused with status %d", gr.Record().ID, an.Status).WithRetryAfter(defaultRetryAfter)
 	}
 	rs.recordStart(sent)
 	if an.Status >= 300 || an.Stamp == "" {
@@ -70,7 +70,7 @@
 			rs.failedAnswer = &completeAnswer{an, body}
 		}
 
-		return result.New(result.BackendRefused, "ingress: %s answered with status %d", gr.Record().ID, an.Status).WithExecution(result.Ran)
+		return result.New(result.BackendRefused, "ingress: backend server %s answered with status %d", gr.Record().ID, an.Status).WithExecution(result.Ran)
 	}
 
 	next := rs.in.cfg.Client.NewEventReader(an.Body)
@@ -86,10 +86,10 @@
 			return nil
 		}
 		if err != nil {
-			return result.New(result.StreamCut, "ingress: %s: the stream broke off: %v", gr.Record().ID, err).WithExecution(result.Ran)
+			return result.New(result.StreamCut, "ingress: backend server %s: the stream broke off: %v", gr.Record().ID, err).WithExecution(result.Ran)
 		}
 		if *last > 0 && ev.Number != *last+1 {
-			return result.New(result.BackendAnswerBroken, "ingress: %s: event %d does not follow event %d directly", gr.Record().ID, ev.Number, *last).WithExecution(result.Ran)
+			return result.New(result.BackendAnswerBroken, "ingress: backend server %s: event %d does not follow event %d directly", gr.Record().ID, ev.Number, *last).WithExecution(result.Ran)
 		}
 		if !*begun {
 			*begun = true
--- a/internal/leasedtask/leasedtask.go
+++ b/internal/leasedtask/leasedtask.go
@@ -152,7 +152,7 @@
 		err = ta.cfg.Group.Propose(cctx, statemachine.KindRenewLease, ac.Renew, &got)
 	case ac.Release != nil:
 		if err := ta.cfg.Group.Propose(cctx, statemachine.KindReleaseLease, ac.Release, nil); err != nil {
-			ta.cfg.Log.WithError(err).WithField("lease", ta.cfg.Name).Warn("lease not released, it expires")
+			ta.cfg.Log.WithError(err).WithField("lease", ta.cfg.Name).Warn("lease not released, the next holder must wait until it expires")
 		}
 
 		return
--- a/internal/registry/merged.go
+++ b/internal/registry/merged.go
@@ -7,8 +7,9 @@
 
 // MergedView combines the registries of several sources, each a process that receives
 // heartbeats. A backend server is alive while any source receives its heartbeats. One
-// that no source knows any more is retained until a source that has listened long
-// enough sends an update without it. MergedView is not safe for concurrent use.
+// that no source knows any more, for example while all sources restart, still counts as
+// alive until a source that has listened long enough reports without it. MergedView is
+// not safe for concurrent use.
 type MergedView struct {
 	sources map[string]*source
 	known   map[string]Record // the newest record of each ID
--- a/internal/rollout/steprun.go
+++ b/internal/rollout/steprun.go
@@ -24,7 +24,7 @@
 	scoreTimeout           = 5 * time.Second
 	maxScoreAttempts       = 3
 	hedgePendingShare      = 0.1                    // hedging starts when at most this share of a step's samples is pending
-	hedgeBudgetShare       = 0.05                   // at most this share of a step's samples is hedged, or two
+	hedgeBudgetShare       = 0.05                   // at most this share of a step's samples is hedged, or two samples if that is more
 	hedgeDurationFactor    = 2.0                    // a straggler takes this multiple of the 90th percentile of the durations so far
 	minHedgeDelay          = 100 * time.Millisecond // and at least this long
 	maxConcurrentAttempts  = 4096                   // of one step
