--- a/internal/gateway/complete.go
+++ b/internal/gateway/complete.go
@@ -177,9 +177,9 @@
 	return hex.EncodeToString(h.Sum(nil)[:12])
 }
 
-// checkQuarantine refuses a fingerprint that was in flight at two crashes of backend
-// servers, at one of them as the only suspect. It sets *suspect for a fingerprint that
-// was in flight at a crash otherwise.
+// checkQuarantine refuses a fingerprint that was in flight at two or more crashes of
+// backend servers, at one of them as the only suspect. It sets *suspect for any other
+// fingerprint that was in flight at a crash.
 func (ga *Gateway) checkQuarantine(fp string, suspect *bool) error {
 	en, ok := ga.group.View().Quarantine[fp]
 	if !ok {
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -19,8 +19,8 @@
 
 const (
 	fleetPeriod          = 500 * time.Millisecond
-	drainTimeout         = 60 * time.Second
-	startupTimeoutFactor = 4 // multiple of the class's start-up time after which an absent backend server counts as lost
+	drainTimeout         = 60 * time.Second // after it a draining backend server is stopped even if requests still run on it
+	startupTimeoutFactor = 4                // multiple of the class's start-up time after which an absent backend server counts as lost
 )
 
 // fleetTask orders backend servers from the platform.
@@ -218,7 +218,7 @@
 		return false
 	}
 	if isLost {
-		ft.ga.cfg.Log.WithFields(log.Fields{"server": b.Name, "order": b.OrderID}).Warn("ordered backend server is absent for too long, it will be stopped")
+		ft.ga.cfg.Log.WithFields(log.Fields{"server": b.Name, "order": b.OrderID}).Warn("ordered backend server has been absent for too long, it will be stopped")
 	}
 	ft.placeOrder(ctx, held, intent.Intent{Kind: intent.KindStop, Class: b.Class, FailureDomain: b.FailureDomain, Server: b.Name})
 	delete(ft.drainingSince, b.Name)
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -182,7 +182,7 @@
 }
 
 // acquireServer acquires a slot on a backend server. It prefers a server that was not
-// tried, then any server but the last one tried.
+// tried, then any server but the last one tried, and takes that one as the last resort.
 func (rs *requestState) acquireServer() (*balance.Grant, error) {
 	service := rs.ro.PickTarget(rs.in.cfg.Random())
 	rq := &balance.Request{Service: service, Model: rs.rq.Model, Exclude: rs.tried}
--- a/internal/step/step.go
+++ b/internal/step/step.go
@@ -244,7 +244,7 @@
 	case fp.Number == n:
 		return st.pageReply(st.Pages[n-1], 0), nil
 	case fp.Number > n+1 || (n > 0 && !st.Pages[n-1].Acked):
-		return PageReply{}, result.New(result.PageFromFuture, "step %s: page %d cannot be formed yet, the last page formed is %d", fp.Key, fp.Number, n)
+		return PageReply{}, result.New(result.PageFromFuture, "step %s: page %d cannot be formed until all pages before it are acknowledged, the last page formed is %d", fp.Key, fp.Number, n)
 	}
 
 	return st.formNextPage(fp, latest, atMs)
--- a/internal/weights/joint_test.go
+++ b/internal/weights/joint_test.go
@@ -65,7 +65,7 @@
 var _ = ginkgo.Describe("swaps of engines that serve several models", func() {
 	const load, tick = 900 * time.Millisecond, 50 * time.Millisecond
 
-	ginkgo.It("keep two models that are trained at once recent enough for each training step", func() {
+	ginkgo.It("keep up with two models trained at once: each training step finds engines at most one version behind", func() {
 		jo, en := weights.NewJointPlanner(), newFakeEngines(8, "short", "long")
 		targets := []weights.Target{{Model: "long", Version: 1, Demand: 3}, {Model: "short", Version: 1, Demand: 1}}
 		// Each model's trainer publishes a version every 4.5 s; its step then uses engines
