--- a/internal/handlers/completion.go
+++ b/internal/handlers/completion.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// maxCompletionBodyBytes bounds completion requests and operators' patches.
-	maxCompletionBodyBytes = 4 << 20
-	maxTokensLimit         = 131_072
-	defaultMaxTokens       = 256
+	// maxMediumBodyBytes bounds completion requests and operators' patches.
+	maxMediumBodyBytes = 4 << 20
+	maxTokensLimit     = 131_072
+	defaultMaxTokens   = 256
 )
 
 // completionRequest is the body of the usual completion calls. Fields of the usual
@@ -97,7 +97,7 @@
 func (ca *Callers) parseCompletion(w http.ResponseWriter, r *http.Request, cl gateway.Caller, isChat bool) (completionRequest, gateway.CompletionRequest, error) {
 	var rq completionRequest
 	var co gateway.CompletionRequest
-	b, err := readBody(w, r, maxCompletionBodyBytes, ca.bodyTimeout())
+	b, err := readBody(w, r, maxMediumBodyBytes, ca.bodyTimeout())
 	if err != nil {
 		return rq, co, err
 	}
--- a/internal/handlers/operator.go
+++ b/internal/handlers/operator.go
@@ -132,7 +132,7 @@
 }
 
 func (op *Operators) patch(w http.ResponseWriter, r *http.Request, operator string) {
-	b, err := readBody(w, r, maxCompletionBodyBytes, defaultPageWait)
+	b, err := readBody(w, r, maxMediumBodyBytes, defaultPageWait)
 	if err != nil {
 		op.refuse(w, err)
 
