--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -130,7 +130,7 @@
 	}
 
 	prev, _ := r.log.term(pr.next - 1)
-	r.sendEarly(Message{
+	r.sendUnsynced(Message{
 		Kind: MessageAppend, To: id, Index: pr.next - 1, LogTerm: prev,
 		Entries: entries, Commit: r.log.commit, Round: r.round,
 	})
@@ -142,10 +142,10 @@
 // the heartbeat of a follower that is receiving a snapshot.
 func (r *Replica) sendEmptyAppend(id ReplicaID, index uint64) {
 	t, _ := r.log.term(index)
-	r.sendEarly(Message{Kind: MessageAppend, To: id, Index: index, LogTerm: t, Round: r.round})
+	r.sendUnsynced(Message{Kind: MessageAppend, To: id, Index: index, LogTerm: t, Round: r.round})
 }
 
-func (r *Replica) sendEarly(m Message) {
+func (r *Replica) sendUnsynced(m Message) {
 	m.From, m.Group, m.Term = r.cfg.ID, r.cfg.Group, r.hardState.Term
 	r.unsyncedMessages = append(r.unsyncedMessages, m)
 }
@@ -180,7 +180,7 @@
 	pr.snapshotSent = now
 	from := min(pr.snapshotOffset, uint64(len(pr.snapshot.Data)))
 	end := min(from+uint64(r.cfg.ChunkBytes), uint64(len(pr.snapshot.Data)))
-	r.sendEarly(Message{
+	r.sendUnsynced(Message{
 		Kind: MessageSnapshot, To: id, Index: pr.snapshot.Index, LogTerm: pr.snapshot.Term,
 		Membership: pr.snapshot.Membership, SnapshotOffset: from, Chunk: pr.snapshot.Data[from:end],
 		SnapshotDone: end == uint64(len(pr.snapshot.Data)), Round: r.round,
