--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -69,7 +69,7 @@
 // IDs. It returns false if any of them remains unsettled.
 func (ft *fleetTask) resendUnsettled(ctx context.Context, held leaseCheck) bool {
 	var open []intent.Intent
-	ft.ga.group.Read(func(ma *statemachine.Machine) { open = ma.Orders().Unsettled() })
+	ft.ga.group.Read(func(ma *statemachine.Machine) { open = ma.Intents().Unsettled() })
 	for _, in := range open {
 		if in.Lease == agent.LeaseFleet && ft.sendOrder(ctx, held, in) != nil {
 			return false
--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -78,7 +78,7 @@
 // version that they run.
 func (wt *weightsTask) takeOver(ctx context.Context, fencing uint64) {
 	var open []intent.Intent
-	wt.ga.group.Read(func(ma *statemachine.Machine) { open = ma.Orders().Unsettled() })
+	wt.ga.group.Read(func(ma *statemachine.Machine) { open = ma.Intents().Unsettled() })
 	for _, in := range open {
 		if in.Lease == agent.LeaseWeights && in.Fencing < fencing {
 			_ = wt.ga.group.Propose(ctx, statemachine.KindSettleIntent, intent.Settle{
--- a/internal/handlers/operator.go
+++ b/internal/handlers/operator.go
@@ -234,7 +234,7 @@
 		for n, le := range ma.Leases().Leases() {
 			rep.Leases[n] = le
 		}
-		rep.Open = ma.Orders().Unsettled()
+		rep.Open = ma.Intents().Unsettled()
 	})
 	writeJSON(w, http.StatusOK, rep)
 }
--- a/internal/statemachine/statemachine.go
+++ b/internal/statemachine/statemachine.go
@@ -51,7 +51,7 @@
 	atMs          int64  // latest time of a command, Unix milliseconds
 	configuration *declaration.Configuration
 	leases        *lease.Table
-	orders        *intent.Log
+	intents       *intent.Log
 	steps         *step.Ledger
 	calls         *idempotency.Ledger
 	usage         *usage.Ledger
@@ -83,7 +83,7 @@
 	AtMs          int64                                `cbor:"2,keyasint"`
 	Configuration declaration.Snapshot                 `cbor:"3,keyasint"`
 	Leases        map[string]lease.Lease               `cbor:"4,keyasint"`
-	Orders        intent.Snapshot                      `cbor:"5,keyasint"`
+	Intents       intent.Snapshot                      `cbor:"5,keyasint"`
 	Steps         map[string]*step.Step                `cbor:"6,keyasint"`
 	Calls         idempotency.Snapshot                 `cbor:"7,keyasint"`
 	Usage         usage.Snapshot                       `cbor:"8,keyasint"`
@@ -115,7 +115,7 @@
 		return nil, err
 	}
 	rest, err := codec.Append(nil, snapshot{
-		Applied: ma.applied, AtMs: ma.atMs, Configuration: cs, Leases: ma.leases.Leases(), Orders: ma.orders.Snapshot(),
+		Applied: ma.applied, AtMs: ma.atMs, Configuration: cs, Leases: ma.leases.Leases(), Intents: ma.intents.Snapshot(),
 		Steps: ma.steps.Steps(), Calls: ma.calls.Snapshot(), Usage: ma.usage.Snapshot(),
 		Quarantine: ma.quarantine.Entries(), Replicas: ma.replicas, Revision: ma.revision,
 		Routing: ma.routing.Snapshot(), Versions: ma.versions.All(), Roster: ma.roster.Snapshot(),
@@ -162,7 +162,7 @@
 
 	return &Machine{
 		applied: sn.Applied, atMs: sn.AtMs, configuration: cs, leases: lease.NewTable(sn.Leases),
-		orders: intent.NewLog(sn.Orders), steps: step.NewLedger(sn.Steps), calls: idempotency.NewLedger(sn.Calls),
+		intents: intent.NewLog(sn.Intents), steps: step.NewLedger(sn.Steps), calls: idempotency.NewLedger(sn.Calls),
 		usage: usage.NewLedger(sn.Usage), quarantine: quarantine.NewState(sn.Quarantine), replicas: sn.Replicas,
 		deltasAfter: sn.Applied, revision: sn.Revision,
 		routing: routing.NewState(sn.Routing), versions: weights.NewVersionTable(sn.Versions),
@@ -182,8 +182,8 @@
 // Leases returns the leases.
 func (ma *Machine) Leases() *lease.Table { return ma.leases }
 
-// Orders returns the log of intents to order backend servers.
-func (ma *Machine) Orders() *intent.Log { return ma.orders }
+// Intents returns the log of intents to order backend servers.
+func (ma *Machine) Intents() *intent.Log { return ma.intents }
 
 // Steps returns the ledger of the trainers' steps.
 func (ma *Machine) Steps() *step.Ledger { return ma.steps }
@@ -348,7 +348,7 @@
 	}
 	op.Intent.AtMs = ma.atMs
 
-	return ma.orders.Open(op), nil
+	return ma.intents.Open(op), nil
 }
 
 func (ma *Machine) settleIntent(se intent.Settle) (any, error) {
@@ -356,7 +356,7 @@
 		return nil, err
 	}
 
-	return ma.orders.Settle(se)
+	return ma.intents.Settle(se)
 }
 
 func (ma *Machine) formPage(fp step.FormPage) (any, error) {
