--- a/internal/gateway/handlers.go
+++ b/internal/gateway/handlers.go
@@ -204,7 +204,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), groupCallTimeout)
 	defer cancel()
-	if err := ga.group.Propose(ctx, statemachine.KindClearSuspect, quarantine.Cleared{Fingerprint: fp}, nil); err == nil {
+	if err := ga.group.Propose(ctx, statemachine.KindClearSuspect, quarantine.ClearSuspect{Fingerprint: fp}, nil); err == nil {
 		ga.cfg.Meter.Count("quarantine.cleared")
 	}
 }
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -31,8 +31,8 @@
 	WereSuspects bool     `cbor:"3,keyasint"` // the fingerprints ran as suspects
 }
 
-// Cleared records that a request of a suspect fingerprint has completed.
-type Cleared struct {
+// ClearSuspect records that a request of a suspect fingerprint has completed.
+type ClearSuspect struct {
 	Fingerprint string `cbor:"1,keyasint"`
 }
 
@@ -105,8 +105,8 @@
 	return false
 }
 
-// Cleared removes a suspect that completed. A refused fingerprint stays refused.
-func (st *State) Cleared(cl Cleared) {
+// ClearSuspect removes a suspect that completed. A refused fingerprint stays refused.
+func (st *State) ClearSuspect(cl ClearSuspect) {
 	if en, ok := st.entries[cl.Fingerprint]; ok && en.Verdict() == Suspect {
 		delete(st.entries, cl.Fingerprint)
 	}
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -8,8 +8,8 @@
 )
 
 var _ = Describe("the quarantine state", func() {
-	crash := func(server string, alone bool, fps ...string) quarantine.Crash {
-		return quarantine.Crash{Server: server, Fingerprints: fps, WereSuspects: alone}
+	crash := func(server string, wereSuspects bool, fps ...string) quarantine.Crash {
+		return quarantine.Crash{Server: server, Fingerprints: fps, WereSuspects: wereSuspects}
 	}
 	cases := []struct {
 		name    string
@@ -35,10 +35,10 @@
 	It("clears a suspect that completes, keeps a refused fingerprint, and releases it on request", func() {
 		st := quarantine.NewState(nil)
 		st.Crash(crash("s1", false, "x", "y"), 1)
-		st.Cleared(quarantine.Cleared{Fingerprint: "y"})
+		st.ClearSuspect(quarantine.ClearSuspect{Fingerprint: "y"})
 		Expect(st.Entries()).NotTo(HaveKey("y"))
 		st.Crash(crash("s2", true, "x"), 1)
-		st.Cleared(quarantine.Cleared{Fingerprint: "x"})
+		st.ClearSuspect(quarantine.ClearSuspect{Fingerprint: "x"})
 		Expect(st.Entries()["x"].Verdict()).To(Equal(quarantine.Refused))
 		Expect(st.Release(quarantine.Release{Fingerprint: "x"})).To(BeTrue())
 		Expect(st.Entries()["x"].Verdict()).To(Equal(quarantine.Clear))
--- a/internal/statemachine/statemachine.go
+++ b/internal/statemachine/statemachine.go
@@ -281,8 +281,8 @@
 	KindCloseWindow:  handle((*Machine).closeWindow),
 	KindMarkReported: handle((*Machine).markReported),
 	KindRecordCrash:  handle((*Machine).recordCrash),
-	KindClearSuspect: handle(func(ma *Machine, c quarantine.Cleared) (any, error) {
-		ma.quarantine.Cleared(c)
+	KindClearSuspect: handle(func(ma *Machine, c quarantine.ClearSuspect) (any, error) {
+		ma.quarantine.ClearSuspect(c)
 		ma.appendQuarantineDelta([]string{c.Fingerprint})
 
 		return nil, nil
