--- a/internal/jobstore/jobstore.go
+++ b/internal/jobstore/jobstore.go
@@ -74,7 +74,7 @@
 	st.group, err = group.New(group.Config{
 		Name: no.Name, Address: no.PeerAddress, FailureDomain: no.FailureDomain, DataFolder: no.DataFolder, Peer: cfg.Peer,
 		Files: cfg.Files, Election: settings.NodeElection, Heartbeat: settings.NodeHeartbeat, FreshnessBound: time.Hour,
-		ReplaceAfter: settings.NodeReplaceAfter, TargetVoters: no.Voters(), CandidateAddresses: st.addresses, Formation: st.formation, AddressOf: st.locate,
+		ReplaceAfter: settings.NodeReplaceAfter, TargetVoters: no.Voters(), CandidateAddresses: st.candidateAddresses, Formation: st.formation, AddressOf: st.addressOf,
 		IsRetiring: st.isRetiring, WallMs: cfg.WallMs, Log: cfg.Log, OnStatus: st.onStatus,
 	})
 	if err != nil {
@@ -95,7 +95,7 @@
 // a candidate for each item, as one process places all items.
 const schedulerChoices = 256
 
-func (st *Store) addresses() []string {
+func (st *Store) candidateAddresses() []string {
 	var out []string
 	for _, so := range st.follower.View().Stores {
 		out = append(out, so.Address)
@@ -113,7 +113,7 @@
 	return out
 }
 
-func (st *Store) locate(id consensus.ReplicaID) string {
+func (st *Store) addressOf(id consensus.ReplicaID) string {
 	for _, so := range st.follower.View().Stores {
 		if so.Replica == string(id) {
 			return so.Address
