--- a/internal/jobdriver/run.go
+++ b/internal/jobdriver/run.go
@@ -34,8 +34,8 @@
 	// a new event. The pause doubles each time, at most maxBackoffDoublings times.
 	maxRetryPause       = time.Second
 	maxBackoffDoublings = 8
-	// rewardTimeout bounds one request for a score: several times its usual duration.
-	rewardTimeout = time.Second
+	// scoreTimeout bounds one request for a score: several times its usual duration.
+	scoreTimeout = time.Second
 	// maxErrorBytes is how much of a failure's answer is read so that its connection
 	// can be reused.
 	maxErrorBytes = 64 << 10
@@ -294,7 +294,7 @@
 
 			return
 		case oc == serverFailed:
-			if t.rewardFailures++; t.rewardFailures >= limit {
+			if t.scoreFailures++; t.scoreFailures >= limit {
 				dr.commitResult(ctx, t, job.Result{Item: t.index, State: job.Aborted}, "failed score requests reached the route's maximum attempts")
 
 				return
@@ -317,7 +317,7 @@
 		return "", "", refused, 1
 	}
 	limit = max(ro.MaxAttempts, 1)
-	rq := &balance.Request{Service: ro.PickTarget(dr.cfg.Random()), Exclude: tried, ExtraSlots: rewardQueueSlots}
+	rq := &balance.Request{Service: ro.PickTarget(dr.cfg.Random()), Exclude: tried, ExtraSlots: scoreQueueSlots}
 	gr := dr.cfg.Balancer.Acquire(rq)
 	if gr == nil {
 		rq.Exclude = nil
@@ -331,11 +331,11 @@
 	grantOutcome, load := balance.Failed, (*backend.Load)(nil)
 	defer func() { gr.Release(grantOutcome, load) }()
 	rec := gr.Record()
-	ctx, cancel := context.WithTimeout(ctx, rewardTimeout)
+	ctx, cancel := context.WithTimeout(ctx, scoreTimeout)
 	defer cancel()
 	an, err := dr.cfg.Client.Send(ctx, rec.Address, &backend.Call{
 		ID: rw.ID, Method: http.MethodPost, Host: rw.Host, Target: rw.Path, Body: rw.Body, Instance: rec.ID,
-		Timeout: rewardTimeout, Priority: -1,
+		Timeout: scoreTimeout, Priority: -1,
 	})
 	oc = brokenOff
 	if err == nil {
@@ -361,6 +361,6 @@
 	return score, rec.ID, oc, limit
 }
 
-// rewardQueueSlots is how many score requests a backend server may receive beyond its
+// scoreQueueSlots is how many score requests a backend server may receive beyond its
 // slots. Queueing there takes less time than retrying.
-const rewardQueueSlots = 6
+const scoreQueueSlots = 6
--- a/internal/jobdriver/task.go
+++ b/internal/jobdriver/task.go
@@ -34,7 +34,7 @@
 	failedServers     []string  // IDs of the backend servers of its last failed runs, at most maxFailedServers
 	serverFailures    int       // answers in which a backend server reported its own failure
 	brokenRuns        int       // consecutive broken runs without a new event; sets the back-off
-	rewardFailures    int
+	scoreFailures     int
 	isProgressStopped bool // a part of its progress may be lost, so no further part is committed
 	runs              int
 	firstStartedAt    time.Time          // start of its first run by this driver
