--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -147,7 +147,7 @@
 	now := ba.cfg.Now()
 	sr := scheduler.Request{
 		MinSequence: rq.MinVersion, FailureDomain: ba.cfg.FailureDomain, Affinity: scheduler.NoCandidate,
-		Tokens: rq.Tokens, Gateways: 1,
+		Tokens: rq.Tokens, Sharers: 1,
 	}
 	idleTimeout := time.Duration(0)
 	if ba.cfg.IdleTimeout != nil {
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -198,7 +198,7 @@
 func (po *Pool) pick(now time.Duration, rq *Request) int {
 	sr := scheduler.Request{
 		MinSequence: rq.MinSequence, NewestFirst: rq.NewestFirst, FailureDomain: po.cfg.FailureDomain,
-		Affinity: -1, Tokens: int(rq.Cost), IsSuspect: rq.IsSuspect, Gateways: po.gateways,
+		Affinity: -1, Tokens: int(rq.Cost), IsSuspect: rq.IsSuspect, Sharers: po.gateways,
 	}
 	if name, ok := po.prefixes[rq.Prefix]; ok && rq.Prefix != 0 {
 		if i, ok := po.byName[name]; ok {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -36,7 +36,7 @@
 	Tokens        int    // estimated
 	IsSuspect     bool   // was in flight at the crash of a backend server
 	Exclude       []int  // indices of candidates
-	Gateways      int    // number that share the backend servers
+	Sharers       int    // number of processes that share the backend servers
 }
 
 // Values of Config.Policy.
@@ -176,9 +176,9 @@
 // Room returns how many more requests this process may send to the candidate: the
 // slots that the others leave free, but at least an equal share of all slots, less its
 // own requests in flight.
-func Room(ca *Candidate, gateways int) int {
+func Room(ca *Candidate, sharers int) int {
 	others := max(0, ca.Running-ca.InFlightReported)
-	share := (ca.Slots + gateways - 1) / max(gateways, 1)
+	share := (ca.Slots + sharers - 1) / max(sharers, 1)
 
 	return max(ca.Slots-others, share) - ca.InFlight
 }
@@ -190,7 +190,7 @@
 	if rq.IsSuspect && ca.RunsSuspect {
 		return false
 	}
-	room := Room(ca, rq.Gateways)
+	room := Room(ca, rq.Sharers)
 	if age := now - ca.ReadySince; age < sc.cfg.SlowStart {
 		allowed := 1 + int(float64(ca.Slots)*float64(age)/float64(sc.cfg.SlowStart))
 		room = min(room, allowed-ca.InFlight)
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -37,7 +37,7 @@
 		{"none that is excluded", func(_ []scheduler.Candidate, rq *scheduler.Request) { rq.Exclude = []int{0, 2} }, 1},
 		{"none without room", func(cs []scheduler.Candidate, _ *scheduler.Request) { cs[0].InFlight, cs[1].InFlight = 8, 8 }, 2},
 		{"none whose slots other gateways use", func(cs []scheduler.Candidate, rq *scheduler.Request) {
-			rq.Gateways = 8
+			rq.Sharers = 8
 			cs[0].Running, cs[1].Running = 8, 8
 			cs[0].InFlight, cs[1].InFlight = 1, 1
 		}, 2},
@@ -69,7 +69,7 @@
 	for _, tc := range cases {
 		It("picks "+tc.name, func() {
 			cs := readyCandidates(3)
-			rq := scheduler.Request{Affinity: -1, Gateways: 1, FailureDomain: "none"}
+			rq := scheduler.Request{Affinity: -1, Sharers: 1, FailureDomain: "none"}
 			tc.edit(cs, &rq)
 			if tc.want == 2 && cs[2].InFlight == 0 && cs[0] == cs[2] {
 				cs[0].InFlight++ // avoid a tie
@@ -82,7 +82,7 @@
 		cs := readyCandidates(1)
 		cs[0].ReadySince = 0
 		sc := newScheduler(scheduler.Config{SlowStart: time.Second})
-		rq := scheduler.Request{Affinity: -1, Gateways: 1}
+		rq := scheduler.Request{Affinity: -1, Sharers: 1}
 		Expect(sc.Pick(0, cs, &rq)).To(Equal(0))
 		cs[0].InFlight = 1
 		Expect(sc.Pick(0, cs, &rq)).To(Equal(scheduler.NoCandidate))
@@ -117,7 +117,7 @@
 				cs[i].InFlight = rnd.IntN(8)
 			}
 			sc := scheduler.New(scheduler.Config{}, rnd.IntN)
-			rq := scheduler.Request{Affinity: 3, Gateways: 3, FailureDomain: "a"}
+			rq := scheduler.Request{Affinity: 3, Sharers: 3, FailureDomain: "a"}
 			b.ReportAllocs()
 			for b.Loop() {
 				sc.Pick(0, cs, &rq)
@@ -133,7 +133,7 @@
 		cs[i].InFlight = 8
 	}
 	sc := scheduler.New(scheduler.Config{}, rand.New(rand.NewPCG(1, 2)).IntN)
-	rq := scheduler.Request{Affinity: -1, Gateways: 3}
+	rq := scheduler.Request{Affinity: -1, Sharers: 3}
 	b.ReportAllocs()
 	for b.Loop() {
 		sc.Pick(0, cs, &rq)
