--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -257,7 +257,7 @@
 	var last error
 	for ctx.Err() == nil {
 		for i := range de.settings {
-			retry, err := de.operateAt(ctx, i, method, path, in, out)
+			retry, err := de.callOperatorsAt(ctx, i, method, path, in, out)
 			if err == nil || !retry {
 				return err
 			}
@@ -269,9 +269,9 @@
 	return fmt.Errorf("deployment: the operator's call did not succeed: %w; last error: %w", ctx.Err(), last)
 }
 
-// operateAt calls the operators' interface of gateway i and reports whether the call may
+// callOperatorsAt calls the operators' interface of gateway i and reports whether the call may
 // be retried.
-func (de *Deployment) operateAt(ctx context.Context, i int, method, path string, in, out any) (bool, error) {
+func (de *Deployment) callOperatorsAt(ctx context.Context, i int, method, path string, in, out any) (bool, error) {
 	b, err := json.Marshal(in)
 	if err != nil {
 		return false, err
--- a/internal/group/membership.go
+++ b/internal/group/membership.go
@@ -209,7 +209,7 @@
 // rejoinLoop asks to join again after a time without a leader: the group may have
 // replaced this replica while it was unreachable.
 func (gr *Group) rejoinLoop(ctx context.Context) {
-	leaderless := gr.now()
+	leaderlessSince := gr.now()
 	for ctx.Err() == nil {
 		select {
 		case <-time.After(rejoinPeriod):
@@ -217,16 +217,16 @@
 			return
 		}
 		if gr.Status().Leader != "" || gr.cfg.IsRetiring(gr.cfg.Name) {
-			leaderless = gr.now()
+			leaderlessSince = gr.now()
 
 			continue
 		}
-		if gr.now() < leaderless+rejoinAfter {
+		if gr.now() < leaderlessSince+rejoinAfter {
 			continue
 		}
 		for _, an := range gr.discoverPeers(ctx) {
 			if an.reply.GetFormed() && gr.requestJoin(ctx, an.address) == nil {
-				leaderless = gr.now()
+				leaderlessSince = gr.now()
 
 				break
 			}
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -109,7 +109,7 @@
 
 	ginkgo.It("never joins events of two runs, even if their numbers are consecutive", func() {
 		le := newLedger()
-		note := func(term, after, last uint64, first bool, events ...string) {
+		record := func(term, after, last uint64, first bool, events ...string) {
 			le.RecordProgress(job.Progress{Parts: []job.Part{{Job: "j", Item: 0, After: after, IsFirst: first, Text: job.Partial{Events: events, LastEvent: last, Term: term}}}})
 		}
 		recorded := func() []string {
@@ -118,17 +118,17 @@
 
 			return jo.Partial[0].Events
 		}
-		note(1, 0, 2, true, "a1", "a2")
+		record(1, 0, 2, true, "a1", "a2")
 		// The driver of term 2 resumes after event 2, but a part of its predecessor is applied first.
-		note(1, 2, 3, false, "a3")
-		note(2, 2, 3, true, "b3")
-		note(2, 3, 4, false, "b4")
+		record(1, 2, 3, false, "a3")
+		record(2, 2, 3, true, "b3")
+		record(2, 3, 4, false, "b4")
 		Expect(recorded()).To(Equal([]string{"a1", "a2", "a3"}))
 		// The driver of term 3 resumes after event 3; late parts of older drivers are ignored.
-		note(3, 3, 4, true, "c4")
-		note(2, 4, 5, false, "b5")
-		note(1, 0, 1, true, "a1")
-		note(3, 4, 5, false, "c5")
+		record(3, 3, 4, true, "c4")
+		record(2, 4, 5, false, "b5")
+		record(1, 0, 1, true, "a1")
+		record(3, 4, 5, false, "c5")
 		Expect(recorded()).To(Equal([]string{"a1", "a2", "a3", "c4", "c5"}))
 	})
 
