--- a/internal/demo/nodes.go
+++ b/internal/demo/nodes.go
@@ -35,7 +35,7 @@
 type nodeRun struct {
 	out     io.Writer
 	caller  *standin.Caller
-	cloud   *standin.UsageInterface
+	usage   *standin.UsageInterface
 	nodes   []*program.Node
 	servers []*standin.BackendServer
 	gateway string
@@ -75,13 +75,13 @@
 	if err != nil {
 		return err
 	}
-	if nr.cloud, err = standin.StartUsageInterface(); err != nil {
+	if nr.usage, err = standin.StartUsageInterface(); err != nil {
 		return err
 	}
-	nr.caller = &standin.Caller{Ports: ports, Timeout: nodeTimeout, Control: []string{"127.0.9.11", "127.0.9.12", "127.0.9.13"}}
+	nr.caller = &standin.Caller{Ports: ports, Timeout: nodeTimeout, ControllerIPs: []string{"127.0.9.11", "127.0.9.12", "127.0.9.13"}}
 	add := func(role, ip string) error {
 		ns := standin.NodeSettings{
-			Name: role + "-" + ip, IP: ip, Ports: ports, Controllers: nr.caller.Control, IsFirst: true, Cloud: nr.cloud.Address(),
+			Name: role + "-" + ip, IP: ip, Ports: ports, Controllers: nr.caller.ControllerIPs, IsFirst: true, UsageAddress: nr.usage.Address(),
 			Grace: nodeTimeout, Window: nodeUsageWindow, Lease: nodeTimeout,
 		}
 		if role != program.RoleGateway {
@@ -99,7 +99,7 @@
 		return err
 	}
 	errs := []error{add(program.RoleGateway, nr.gateway)}
-	for i, ip := range nr.caller.Control {
+	for i, ip := range nr.caller.ControllerIPs {
 		errs = append(errs, add(program.RoleController, ip), add(program.RoleStore, fmt.Sprintf("127.0.9.2%d", i+1)))
 	}
 	for i := range 5 {
@@ -112,7 +112,7 @@
 		nr.wg.Go(func() {
 			for i := 0; ctx.Err() == nil; i++ {
 				// An error is ignored: a controller that is not ready yet receives a later heartbeat.
-				_ = bs.SendHeartbeat(fmt.Sprintf("%s:%d", nr.caller.Control[i%len(nr.caller.Control)], ports.Control))
+				_ = bs.SendHeartbeat(fmt.Sprintf("%s:%d", nr.caller.ControllerIPs[i%len(nr.caller.ControllerIPs)], ports.Control))
 				time.Sleep(nodeHeartbeatPeriod)
 			}
 		})
@@ -187,7 +187,7 @@
 	fmt.Fprintf(nr.out, "all engines have weight version %d loaded\n", nodeJobs+1)
 
 	return retryUntil(ctx, func() error {
-		if n := nr.cloud.Reported(); n < nodeLookups {
+		if n := nr.usage.Reported(); n < nodeLookups {
 			return fmt.Errorf("usage reports contain %d of %d requests", n, nodeLookups)
 		}
 
@@ -257,7 +257,7 @@
 	if keys > 0 {
 		broken = append(broken, fmt.Errorf("%d requests with a client's key reached a backend server", keys))
 	}
-	for _, s := range nr.cloud.Problems() {
+	for _, s := range nr.usage.Problems() {
 		broken = append(broken, errors.New(s))
 	}
 	if len(broken) == 0 {
@@ -275,8 +275,8 @@
 	for _, bs := range nr.servers {
 		bs.Stop()
 	}
-	if nr.cloud != nil {
-		nr.cloud.Stop()
+	if nr.usage != nil {
+		nr.usage.Stop()
 	}
 	nr.wg.Wait()
 }
--- a/soak/deployment_test.go
+++ b/soak/deployment_test.go
@@ -44,7 +44,7 @@
 	processes       []*process
 	servers         []*standin.BackendServer
 	listenAddresses map[*standin.BackendServer]string // address on which each listens, to which network forwards
-	cloud           *standin.UsageInterface
+	usage           *standin.UsageInterface
 	network         *network
 	caller          *standin.Caller
 	cancel          context.CancelFunc
@@ -73,12 +73,12 @@
 	}
 	de := &deployment{network: newNetwork(), listenAddresses: map[*standin.BackendServer]string{}}
 	ctx, de.cancel = context.WithCancel(ctx)
-	if de.cloud, err = standin.StartUsageInterface(); err != nil {
+	if de.usage, err = standin.StartUsageInterface(); err != nil {
 		return nil, err
 	}
 	de.caller = &standin.Caller{Ports: ports, Timeout: callTimeout}
 	for i := range cfg.Controllers {
-		de.caller.Control = append(de.caller.Control, host(cfg.Subnet, hostController, i))
+		de.caller.ControllerIPs = append(de.caller.ControllerIPs, host(cfg.Subnet, hostController, i))
 	}
 	add := func(role string, kind, n int) error {
 		for i := range n {
@@ -86,7 +86,7 @@
 			pr := &process{
 				role: role, ip: ip, binary: cfg.Binary, folder: cfg.Folder, peerListen: fmt.Sprintf("%s:%d", ip, internalPorts.Peers),
 				settings: standin.NodeSettings{
-					Name: fmt.Sprintf("%s-%d", role, i+1), IP: ip, Ports: ports, Controllers: de.caller.Control, Cloud: de.cloud.Address(),
+					Name: fmt.Sprintf("%s-%d", role, i+1), IP: ip, Ports: ports, Controllers: de.caller.ControllerIPs, UsageAddress: de.usage.Address(),
 					Grace: gracePeriod, Window: 5 * time.Second, Lease: 3 * time.Second,
 				},
 			}
@@ -139,7 +139,7 @@
 		de.servers = append(de.servers, bs)
 		go func() {
 			for ctx.Err() == nil {
-				ip := de.caller.Control[rand.IntN(len(de.caller.Control))]
+				ip := de.caller.ControllerIPs[rand.IntN(len(de.caller.ControllerIPs))]
 				_ = bs.SendHeartbeat(fmt.Sprintf("%s:%d", ip, de.caller.Ports.Control)) // if it fails, the next heartbeat goes to a random controller again
 				time.Sleep(heartbeatPeriod)
 			}
@@ -220,7 +220,7 @@
 		bs.Stop()
 	}
 	de.network.close()
-	de.cloud.Stop()
+	de.usage.Stop()
 
 	return errors.Join(errs...)
 }
--- a/soak/promises_test.go
+++ b/soak/promises_test.go
@@ -180,7 +180,7 @@
 			holders[or.Fencing] = or.Holder
 		}
 	}
-	for _, s := range de.cloud.Problems() {
+	for _, s := range de.usage.Problems() {
 		pr.reportBroken("%s", s)
 	}
 
@@ -216,7 +216,7 @@
 		}
 		pr.reportBrokenLocked("request %s ran, but was never sent", id)
 	}
-	if billed := de.cloud.Reported(); billed > total {
+	if billed := de.usage.Reported(); billed > total {
 		pr.reportBrokenLocked("%d requests were billed, but only %d ran", billed, total)
 	}
 	for _, p := range de.processes {
@@ -258,7 +258,7 @@
 		})
 	}
 	version, _ := pr.ackedConfig()
-	for _, ip := range de.caller.Control {
+	for _, ip := range de.caller.ControllerIPs {
 		await("controller "+ip+" does not have the newest configuration", func() bool {
 			v, err := de.caller.ReadVersion(ctx, ip)
 
--- a/soak/run_test.go
+++ b/soak/run_test.go
@@ -247,7 +247,7 @@
 			pr.mu.Unlock()
 			pr.count("configuration accepted")
 		}
-		for _, ip := range lo.de.caller.Control {
+		for _, ip := range lo.de.caller.ControllerIPs {
 			acked, ackedAt := pr.ackedConfig()
 			sent := time.Now()
 			if v, err := lo.de.caller.ReadVersion(wctx, ip); err == nil {
