--- a/soak/deployment_test.go
+++ b/soak/deployment_test.go
@@ -121,9 +121,9 @@
 // addServers starts the backend servers. They listen on internalPort; port is the one that
 // they announce and that network forwards.
 func (de *deployment) addServers(ctx context.Context, cfg *Config, port, internalPort int) error {
-	for i := range cfg.Plain + cfg.Engines {
+	for i := range cfg.PlainServers + cfg.Engines {
 		bs := standin.NewBackendServer(fmt.Sprintf("p%d", i), servicePlain)
-		if i >= cfg.Plain {
+		if i >= cfg.PlainServers {
 			bs = standin.NewBackendServer(fmt.Sprintf("e%d", i), serviceEngines, standin.Model)
 			bs.Pace = 15 * time.Millisecond
 		}
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -60,7 +60,7 @@
 	for _, k := range faultKinds {
 		sum += k.weight
 	}
-	processes, servers := cfg.Controllers+cfg.Stores+cfg.Gateways, cfg.Plain+cfg.Engines
+	processes, servers := cfg.Controllers+cfg.Stores+cfg.Gateways, cfg.PlainServers+cfg.Engines
 	wiped := map[bool]bool{} // key: is a store. A second emptied disk in a group could come before the repair of the first.
 	var out []fault
 	for at := time.Second; ; at += time.Duration(rnd.ExpFloat64() * float64(meanFaultGap)) {
--- a/soak/run_test.go
+++ b/soak/run_test.go
@@ -32,17 +32,17 @@
 
 // Config describes one run.
 type Config struct {
-	Seed        uint64
-	Length      time.Duration // period in which faults start
-	Subnet      int           // second number of the loopback IP numbers; different for concurrent runs
-	Binary      string        // path of the tamarackbay program
-	Folder      string        // for settings, data and logs
-	Controllers int
-	Stores      int
-	Gateways    int
-	Plain       int // backend servers of the plain service
-	Engines     int
-	Tell        func(format string, args ...any) // logs progress, one line per fault
+	Seed         uint64
+	Length       time.Duration // period in which faults start
+	Subnet       int           // second number of the loopback IP numbers; different for concurrent runs
+	Binary       string        // path of the tamarackbay program
+	Folder       string        // for settings, data and logs
+	Controllers  int
+	Stores       int
+	Gateways     int
+	PlainServers int // backend servers of the plain service
+	Engines      int
+	Logf         func(format string, args ...any) // logs progress, one line per fault
 }
 
 // Defaults sets the default of each field that is zero.
@@ -56,13 +56,13 @@
 	def(&cfg.Controllers, 3)
 	def(&cfg.Stores, 4)
 	def(&cfg.Gateways, 3)
-	def(&cfg.Plain, 3)
+	def(&cfg.PlainServers, 3)
 	def(&cfg.Engines, 4)
 	if cfg.Length == 0 {
 		cfg.Length = 20 * time.Second
 	}
-	if cfg.Tell == nil {
-		cfg.Tell = func(string, ...any) {}
+	if cfg.Logf == nil {
+		cfg.Logf = func(string, ...any) {}
 	}
 }
 
@@ -71,9 +71,9 @@
 	switch {
 	case cfg.Subnet < 1 || cfg.Subnet > 254:
 		return fmt.Errorf("the subnet %d is not between 1 and 254", cfg.Subnet)
-	case cfg.Controllers < 3 || cfg.Stores < 3 || cfg.Gateways < 1 || cfg.Plain < 1 || cfg.Engines < 1:
+	case cfg.Controllers < 3 || cfg.Stores < 3 || cfg.Gateways < 1 || cfg.PlainServers < 1 || cfg.Engines < 1:
 		return errors.New("a run needs at least 3 controllers, 3 stores, and one gateway, plain backend server and engine")
-	case max(cfg.Controllers, cfg.Stores, cfg.Gateways, cfg.Plain+cfg.Engines) > 250:
+	case max(cfg.Controllers, cfg.Stores, cfg.Gateways, cfg.PlainServers+cfg.Engines) > 250:
 		return errors.New("a run may have at most 250 controllers, 250 stores, 250 gateways and 250 backend servers")
 	case cfg.Binary == "" || cfg.Folder == "":
 		return errors.New("the binary and the folder must be set")
@@ -84,9 +84,9 @@
 
 // Report is the outcome of a run.
 type Report struct {
-	Broken []string       // one message for each promise that was broken
-	Counts map[string]int // events by name
-	Faults int
+	BrokenPromises []string       // one message for each promise that was broken
+	Counts         map[string]int // events by name
+	Faults         int
 }
 
 // String returns the number of faults and all counts in one line.
@@ -129,7 +129,7 @@
 	for _, f := range []func(ctx context.Context){lo.lookups, lo.jobs, lo.configurations, lo.versions} {
 		wg.Go(func() { f(lctx) })
 	}
-	in := &injector{de: de, logf: cfg.Tell}
+	in := &injector{de: de, logf: cfg.Logf}
 	in.run(ctx, faults)
 	stop()
 	defer time.AfterFunc(recoverWithin, stopReads).Stop()
@@ -138,7 +138,7 @@
 	err = errors.Join(append(in.errs, de.close())...)
 	pr.checkFinalState(de)
 
-	return &Report{Broken: pr.broken, Counts: pr.counts, Faults: len(faults)}, err
+	return &Report{BrokenPromises: pr.broken, Counts: pr.counts, Faults: len(faults)}, err
 }
 
 // load generates the requests of callers during the run.
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -61,7 +61,7 @@
 	app.Flag("controllers", "Number of controllers.").IntVar(&ra.Controllers)
 	app.Flag("stores", "Number of stores.").IntVar(&ra.Stores)
 	app.Flag("gateways", "Number of gateways.").IntVar(&ra.Gateways)
-	app.Flag("plain", "Number of backend servers of the plain service.").IntVar(&ra.Plain)
+	app.Flag("plain", "Number of backend servers of the plain service.").IntVar(&ra.PlainServers)
 	app.Flag("engines", "Number of engines.").IntVar(&ra.Engines)
 	app.Flag("verbose", "Print each fault.").BoolVar(&ra.verbose)
 	app.Flag("measure", "Print the resource use of each role during start, idle time, lookups and jobs.").BoolVar(&ra.measure)
@@ -89,12 +89,12 @@
 		ginkgo.It(fmt.Sprintf("keep every promise: seed %d", cfg.Seed), func() {
 			cfg.Folder, cfg.Binary = filepath.Join(cfg.Folder, fmt.Sprintf("soak-%d-%d", os.Getpid(), cfg.Seed)), binary
 			if ra.verbose {
-				cfg.Tell = func(format string, args ...any) { fmt.Printf("  "+format+"\n", args...) }
+				cfg.Logf = func(format string, args ...any) { fmt.Printf("  "+format+"\n", args...) }
 			}
 			re, err := Run(context.Background(), cfg)
 			Expect(err).NotTo(HaveOccurred(), cfg.Folder)
 			fmt.Printf("seed %d: %v\n", cfg.Seed, re)
-			Expect(re.Broken).To(BeEmpty(), "data and logs are in %s", cfg.Folder)
+			Expect(re.BrokenPromises).To(BeEmpty(), "data and logs are in %s", cfg.Folder)
 			Expect(os.RemoveAll(cfg.Folder)).To(Succeed())
 		})
 	}
@@ -112,10 +112,10 @@
 		ginkgo.It(tc.name, func() {
 			re, err := Run(context.Background(), Config{
 				Seed: tc.seed, Length: tc.length, Binary: binary, Folder: filepath.Join(folder, tc.name), Subnet: 60,
-				Tell: func(format string, args ...any) { ginkgo.GinkgoWriter.Printf(format+"\n", args...) },
+				Logf: func(format string, args ...any) { ginkgo.GinkgoWriter.Printf(format+"\n", args...) },
 			})
 			Expect(err).NotTo(HaveOccurred())
-			Expect(re.Broken).To(BeEmpty())
+			Expect(re.BrokenPromises).To(BeEmpty())
 			Expect(re.Counts["job complete"]).To(BeNumerically(">", 0))
 			Expect(re.Counts["lookup served"]).To(BeNumerically(">", 0))
 		})
