--- a/internal/handlers/operator.go
+++ b/internal/handlers/operator.go
@@ -132,7 +132,7 @@
 }
 
 func (op *Operators) patch(w http.ResponseWriter, r *http.Request, operator string) {
-	b, err := readBody(w, r, maxCompletionBodyBytes, defaultPageWait)
+	b, err := readBody(w, r, maxMediumBodyBytes, defaultPageWait)
 	if err != nil {
 		op.refuse(w, err)
 
@@ -234,7 +234,7 @@
 		for n, le := range ma.Leases().Leases() {
 			rep.Leases[n] = le
 		}
-		rep.Open = ma.Orders().Unsettled()
+		rep.Open = ma.Intents().Unsettled()
 	})
 	writeJSON(w, http.StatusOK, rep)
 }
